--- a/src/tanagerscale/coordination/_departures.py
+++ b/src/tanagerscale/coordination/_departures.py
@@ -8,7 +8,7 @@
 from tanagerscale.core import Clock
 from tanagerscale.core import Millis
 from tanagerscale.core import UpstreamId
-from tanagerscale.policy import NOTICE_MS
+from tanagerscale.policy import MIN_NOTICE_MS
 
 LINKS_BUSY_MS: Final = 1600
 """After a notice the engines' links are kept for what must leave. Engines go 1.5 to 2.1 s after
@@ -38,7 +38,7 @@
         }
         self._noticed[upstream] = now
         self._gone = {engine: at for engine, at in self._gone.items() if engine in self._noticed}
-        self._gone[upstream] = Millis(now + NOTICE_MS)
+        self._gone[upstream] = Millis(now + MIN_NOTICE_MS)
         self._asked &= self._noticed.keys()
 
     def ask_once(self, upstream: UpstreamId) -> bool:
--- a/src/tanagerscale/coordination/_health.py
+++ b/src/tanagerscale/coordination/_health.py
@@ -26,7 +26,7 @@
 from tanagerscale.generated.messages import EjectedUpstream
 from tanagerscale.policy import Tally
 from tanagerscale.policy import is_outlier
-from tanagerscale.policy import may_eject
+from tanagerscale.policy import select_ejections
 from tanagerscale.upstreams import UpstreamEntry
 
 WINDOW_MS: Final = 4000
@@ -141,7 +141,7 @@
         }
         if not ejected:
             return list(entries)
-        kept_out = may_eject(ejected, siblings=len(entries))
+        kept_out = select_ejections(ejected, siblings=len(entries))
         return [entry for entry in entries if entry.upstream not in kept_out]
 
     def _tell_later(self) -> None:
--- a/src/tanagerscale/coordination/_placement_queue.py
+++ b/src/tanagerscale/coordination/_placement_queue.py
@@ -179,7 +179,7 @@
         return place(
             query=query,
             views=views,
-            arriving_tokens=self._leaving_tokens(totals),
+            reserved_tokens=self._leaving_tokens(totals),
             failure_domain=waiting.domain,
             rng=parts.rng,
         )
--- a/src/tanagerscale/coordination/_planner.py
+++ b/src/tanagerscale/coordination/_planner.py
@@ -31,7 +31,7 @@
 from tanagerscale.policy import MovableRun
 from tanagerscale.policy import Move
 from tanagerscale.policy import MoveSnapshot
-from tanagerscale.policy import copies_to_drop
+from tanagerscale.policy import copies_to_evict
 from tanagerscale.policy import next_move
 from tanagerscale.policy import reason_not_moved
 from tanagerscale.routes import EngineCapabilities
@@ -205,7 +205,7 @@
                 break
             self._give(hosts[move.run.request], move)
         self._log_not_moved(snapshot)
-        for run in copies_to_drop(snapshot):
+        for run in copies_to_evict(snapshot):
             self._drop(hosts[run.request], run)
 
     def _runs_of(self, service: ServiceId) -> list[tuple[LedgerRun, MovableRun]]:
@@ -239,13 +239,13 @@
             request=request,
             engine=engine,
             tokens=run.tokens,
-            made=run.made,
-            is_settled=run.running_ms >= SETTLED_MS,
+            answer_tokens=run.made,
+            is_copy_worthwhile=run.running_ms >= SETTLED_MS,
             copy_at=UpstreamId(use.copy_at) if use.copy_at else None,
             is_copy_fresh=run.copy_age_ms < RENEW_MS,
-            is_put_back=tries is not None and tries.is_put_back,
+            has_copy_failed=tries is not None and tries.is_put_back,
             excluded=frozenset() if tries is None else frozenset(tries.failed_at),
-            domains={FailureDomainId(domain) for domain in use.domains},
+            allowed_domains={FailureDomainId(domain) for domain in use.domains},
         )
 
     def _snapshot(
@@ -272,8 +272,8 @@
             busy=self._busy(),
             token_bytes=engine.token_bytes,
             link_mbps=engine.link_mbps,
-            is_current=parts.upstreams.is_current,
-            are_links_kept=self._departures.links_busy,
+            are_notices_current=parts.upstreams.is_current,
+            are_links_reserved=self._departures.links_busy,
         )
 
     def _entries(
--- a/src/tanagerscale/coordination/_repeats.py
+++ b/src/tanagerscale/coordination/_repeats.py
@@ -90,7 +90,7 @@
         per_s = part / self._window_s
         budget = self._budgets.get(service)
         if budget is None:
-            budget = RetryBudget(ratio=self._ratio, reserve=reserve, start=0.0, refilled=since)
+            budget = RetryBudget(ratio=self._ratio, reserve=reserve, start=0.0, last_refill=since)
             self._budgets[service] = budget
         budget.set_reserve(reserve=reserve)
         budget.refill(now=self._clock.now(), per_s=per_s)
--- a/src/tanagerscale/policy/__init__.py
+++ b/src/tanagerscale/policy/__init__.py
@@ -1,11 +1,11 @@
-"""Decisions under load, without I/O."""
+"""Scheduling, placement, rate-limiting and outlier-ejection policies, without I/O."""
 
 from __future__ import annotations
 
-from tanagerscale.policy._copying import NOTICE_MS
-from tanagerscale.policy._copying import copy_ms
-from tanagerscale.policy._copying import easy_tokens
-from tanagerscale.policy._copying import order_of
+from tanagerscale.policy._copying import MIN_NOTICE_MS
+from tanagerscale.policy._copying import copy_sort_key
+from tanagerscale.policy._copying import estimate_copy_ms
+from tanagerscale.policy._copying import evacuable_tokens
 from tanagerscale.policy._forecast import ForecastScheduler
 from tanagerscale.policy._forecast import make_scheduler
 from tanagerscale.policy._lengths import LengthCurve
@@ -17,25 +17,25 @@
 from tanagerscale.policy._moves import MovableRun
 from tanagerscale.policy._moves import Move
 from tanagerscale.policy._moves import MoveSnapshot
-from tanagerscale.policy._moves import copies_to_drop
+from tanagerscale.policy._moves import copies_to_evict
 from tanagerscale.policy._moves import next_move
 from tanagerscale.policy._moves import reason_not_moved
 from tanagerscale.policy._outliers import Tally
 from tanagerscale.policy._outliers import is_outlier
-from tanagerscale.policy._outliers import may_eject
-from tanagerscale.policy._placement import COPY_MARGIN
-from tanagerscale.policy._placement import SPARE_MARGIN
+from tanagerscale.policy._outliers import select_ejections
+from tanagerscale.policy._placement import MAX_COPY_MEMORY_RATIO
+from tanagerscale.policy._placement import MAX_SPARE_COPY_MEMORY_RATIO
 from tanagerscale.policy._placement import EngineView
 from tanagerscale.policy._placement import Placement
 from tanagerscale.policy._placement import PlacementQuery
 from tanagerscale.policy._placement import Verdict
-from tanagerscale.policy._placement import cheapest
-from tanagerscale.policy._placement import has_room
-from tanagerscale.policy._placement import has_room_at_once
-from tanagerscale.policy._placement import has_room_for_copy
-from tanagerscale.policy._placement import is_uneven
+from tanagerscale.policy._placement import has_capacity
+from tanagerscale.policy._placement import has_capacity_for_copy
+from tanagerscale.policy._placement import has_capacity_without_eviction
+from tanagerscale.policy._placement import is_imbalanced
 from tanagerscale.policy._placement import place
-from tanagerscale.policy._placement import tokens_to_yield
+from tanagerscale.policy._placement import select_engine
+from tanagerscale.policy._placement import tokens_to_evict
 from tanagerscale.policy._retries import RetryBudget
 from tanagerscale.policy._simple import ImmediateScheduler
 from tanagerscale.policy._simple import LeastOutstanding
@@ -50,9 +50,9 @@
 from tanagerscale.policy._types import Scheduler
 
 __all__ = [
-    "COPY_MARGIN",
-    "NOTICE_MS",
-    "SPARE_MARGIN",
+    "MAX_COPY_MEMORY_RATIO",
+    "MAX_SPARE_COPY_MEMORY_RATIO",
+    "MIN_NOTICE_MS",
     "AccountLimits",
     "AccountSpec",
     "AccountUsage",
@@ -79,21 +79,21 @@
     "Tally",
     "Tuning",
     "Verdict",
-    "cheapest",
-    "copies_to_drop",
-    "copy_ms",
-    "easy_tokens",
-    "has_room",
-    "has_room_at_once",
-    "has_room_for_copy",
+    "copies_to_evict",
+    "copy_sort_key",
+    "estimate_copy_ms",
+    "evacuable_tokens",
+    "has_capacity",
+    "has_capacity_for_copy",
+    "has_capacity_without_eviction",
+    "is_imbalanced",
     "is_outlier",
-    "is_uneven",
     "make_scheduler",
-    "may_eject",
     "next_move",
-    "order_of",
     "place",
     "reason_not_moved",
-    "tokens_to_yield",
+    "select_ejections",
+    "select_engine",
+    "tokens_to_evict",
     "tuning_for",
 ]
--- a/src/tanagerscale/policy/_copying.py
+++ b/src/tanagerscale/policy/_copying.py
@@ -1,10 +1,10 @@
-"""When each run is copied away from an engine that leaves, and which runs have a copy before.
+"""Estimates how long copies of runs take, their order, and which engines need copies made ahead.
 
-The load it answers: an engine with a handful of long generations goes two seconds after its notice,
-as one does every few seconds. Its link copies one run at a time, in the order asked; 3,500 tokens
-take 0.2 s to an engine of its failure domain and 0.4 s to another one. The last, short copy of a
-run, during which it stands still, waits behind whatever was asked for before it, so copies that
-all begin at once hold up each other's streams.
+Workload: an engine with a handful of long generations is gone two seconds after its notice, and
+this happens to some engine every few seconds. Its link copies one run at a time, in the order of
+the requests; 3,500 tokens take 0.2 s to an engine in the same failure domain and 0.4 s to one in
+another. The last, short copy of a run, during which the run is paused, waits behind all copies
+requested before it, so copies that all start at once delay each other's streams.
 """
 
 from __future__ import annotations
@@ -15,45 +15,53 @@
 
 BITS_PER_BYTE: Final = 8
 
-AWAY_FACTOR: Final = 2.0
+CROSS_DOMAIN_FACTOR: Final = 2.0
 """A copy to another failure domain takes twice as long."""
 
-NOTICE_MS: Final = 1500
-"""Least time between an engine's notice and its end; engines that know more tell."""
+MIN_NOTICE_MS: Final = 1500
+"""Minimum time between an engine's notice and its end, used when the engine does not report one."""
 
-EASY_MS: Final = 1100
-"""Runs that can be copied within so long of a notice need no copy beforehand; it leaves time for
-the notice to be heard and for young runs to begin."""
+EVACUATION_BUDGET_MS: Final = 1100
+"""Runs that can be copied within this time after a notice need no copy beforehand. The rest of the
+notice covers its propagation and the start of newly placed runs."""
 
 
-def copy_ms(*, tokens: int, token_bytes: int, link_mbps: float, away: bool) -> float:
-    """Return how long a run's memory takes from one engine to another, in milliseconds.
+def estimate_copy_ms(
+    *, tokens: int, token_bytes: int, link_mbps: float, is_cross_domain: bool
+) -> float:
+    """Return how long copying a run's memory between two engines takes, in milliseconds.
 
-    :param tokens: Memory it holds.
+    :param tokens: Memory the run holds.
     :param token_bytes: Bytes for each token.
-    :param link_mbps: Speed of the engines' links.
-    :param away: Whether they stand in different failure domains.
+    :param link_mbps: Bandwidth of the engines' links, in megabits per second; 0 if not declared.
+    :param is_cross_domain: Whether the engines are in different failure domains.
+    :returns: The time, or 0 if the bandwidth is not declared.
     """
     if link_mbps <= 0:
         return 0.0
     bits = tokens * token_bytes * BITS_PER_BYTE
-    alone = bits / (link_mbps * 1_000_000) * MS_PER_SECOND
-    return alone * (AWAY_FACTOR if away else 1.0)
+    same_domain_ms = bits / (link_mbps * 1_000_000) * MS_PER_SECOND
+    return same_domain_ms * (CROSS_DOMAIN_FACTOR if is_cross_domain else 1.0)
 
 
-def easy_tokens(*, token_bytes: int, link_mbps: float) -> int:
-    """Return how many tokens can leave an engine after its notice, to another failure domain."""
-    each = copy_ms(tokens=1, token_bytes=token_bytes, link_mbps=link_mbps, away=True)
-    return int(EASY_MS / each) if each else 0
+def evacuable_tokens(*, token_bytes: int, link_mbps: float) -> int:
+    """Return how many tokens can be copied to another failure domain after an engine's notice.
+
+    :returns: The number of tokens, or 0 if the bandwidth is not declared.
+    """
+    ms_per_token = estimate_copy_ms(
+        tokens=1, token_bytes=token_bytes, link_mbps=link_mbps, is_cross_domain=True
+    )
+    return int(EVACUATION_BUDGET_MS / ms_per_token) if ms_per_token else 0
 
 
-def order_of(*, tokens: int, made: int) -> int:
-    """Return the place of a run in the order of copying, the smallest first.
+def copy_sort_key(*, tokens: int, answer_tokens: int) -> int:
+    """Return the position of a run in the order of copying; the smallest is copied first.
 
-    What an answer is worth grows with its length, and the time to copy it with its memory, so the
-    run with the largest part of its memory in its answer goes first.
+    The value of an answer grows with its length and the time to copy a run with its memory, so the
+    run whose answer is the largest part of its memory is copied first.
 
-    :param tokens: Memory it holds.
-    :param made: Tokens of its answer so far.
+    :param tokens: Memory the run holds.
+    :param answer_tokens: Tokens of its answer so far.
     """
-    return -1000 * made // max(tokens, 1)
+    return -1000 * answer_tokens // max(tokens, 1)
--- a/src/tanagerscale/policy/_lengths.py
+++ b/src/tanagerscale/policy/_lengths.py
@@ -1,4 +1,4 @@
-"""Estimates of answer lengths, learnt only from answers that have ended."""
+"""Estimates of answer lengths, based only on completed answers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from tanagerscale.policy._types import PlacementRequest
 
 BUCKETS_PER_E_FOLD = 5
-LONGEST_TOKENS = 1 << 17
-BUCKETS = int(math.log(LONGEST_TOKENS) * BUCKETS_PER_E_FOLD) + 2
+MAX_ANSWER_TOKENS = 1 << 17
+BUCKETS = int(math.log(MAX_ANSWER_TOKENS) * BUCKETS_PER_E_FOLD) + 2
 
-HALF_LIFE = 400
-"""Finished answers after which an observation counts half."""
+HALF_LIFE_ANSWERS = 400
+"""Number of completed answers after which an observation counts half."""
 
-PARENT_STRENGTH = 6.0
-"""How many observations the coarser group's distribution is worth in the finer one."""
+PARENT_OBSERVATIONS = 6.0
+"""Number of observations that the coarser group's distribution counts as in the finer one."""
 
-RESCALE_ABOVE = 1e12
+RESCALE_THRESHOLD = 1e12
 
-MOST_GROUPS = 4_096
-"""Most groups kept; callers choose class names, so the least recently learnt ones go."""
+MAX_GROUPS = 4_096
+"""Maximum number of groups; callers choose class names, so the least recently updated are evicted.
+"""
 
 
 def _edge(bucket: int) -> float:
@@ -32,22 +33,22 @@
 _EDGES = tuple(_edge(bucket) for bucket in range(BUCKETS + 1))
 
 
-def _position(tokens: float) -> float:
+def _bucket_position(tokens: float) -> float:
     return math.log1p(tokens) * BUCKETS_PER_E_FOLD
 
 
 @final
 class LengthCurve:
-    """The survival function of one group's answer lengths.
+    """Survival function of the answer lengths of one group.
 
-    :param density: Probability of each bucket; they sum to one.
+    :param density: Probability of each bucket; the sum is 1.
     """
 
-    __slots__ = ("_density", "_limited", "_survival", "mean")
+    __slots__ = ("_density", "_survival", "_truncated", "mean")
 
     def __init__(self, *, density: Sequence[float]) -> None:
         self._density = density
-        self._limited: dict[int, LengthCurve] = {}
+        self._truncated: dict[int, LengthCurve] = {}
         survival = [1.0]
         for probability in density:
             survival.append(max(survival[-1] - probability, 0.0))
@@ -63,49 +64,49 @@
         """Return the probability of each bucket."""
         return self._density
 
-    def limited(self, longest: int) -> LengthCurve:
-        """Return the distribution when answers are cut off after ``longest`` tokens."""
-        bucket = int(_position(longest))
+    def truncated(self, max_tokens: int) -> LengthCurve:
+        """Return the distribution of answers cut off after ``max_tokens`` tokens."""
+        bucket = int(_bucket_position(max_tokens))
         if bucket >= BUCKETS or self._survival[bucket + 1] <= 0.0:
             return self
-        curve = self._limited.get(bucket)
+        curve = self._truncated.get(bucket)
         if curve is None:
             density = list(self._density[: bucket + 1]) + [0.0] * (BUCKETS - bucket - 1)
             density[bucket] += self._survival[bucket + 1]
-            curve = self._limited[bucket] = LengthCurve(density=density)
+            curve = self._truncated[bucket] = LengthCurve(density=density)
         return curve
 
     def survival(self, tokens: float) -> float:
-        """Return the chance that an answer is longer than ``tokens``."""
+        """Return the probability that an answer is longer than ``tokens``."""
         position = math.log1p(tokens) * BUCKETS_PER_E_FOLD
         bucket = int(position)
         if bucket >= BUCKETS:
             return 0.0
-        left = self._survival[bucket]
-        return left + (self._survival[bucket + 1] - left) * (position - bucket)
+        lower = self._survival[bucket]
+        return lower + (self._survival[bucket + 1] - lower) * (position - bucket)
 
 
 @final
 class _Group:
-    """Decayed counts of one group of requests and the curve made from them."""
+    """Decayed counts of one group of requests and the curve computed from them."""
 
-    __slots__ = ("_growth", "_increment", "_since", "_total", "counts", "curve")
+    __slots__ = ("_growth", "_increment", "_since_rebuild", "_total", "counts", "curve")
 
     def __init__(self) -> None:
         self.counts = [0.0] * BUCKETS
         self.curve: LengthCurve | None = None
-        self._growth = 2.0 ** (1.0 / HALF_LIFE)
+        self._growth = 2.0 ** (1.0 / HALF_LIFE_ANSWERS)
         self._increment = 1.0
         self._total = 0.0
-        self._since = 0
+        self._since_rebuild = 0
 
     def observe(self, bucket: int) -> None:
         self.counts[bucket] += self._increment
         self._total += self._increment
-        # Growing the increment has the effect of decaying all older counts.
+        # A growing increment decays all older counts in relation to new ones.
         self._increment *= self._growth
-        self._since += 1
-        if self._increment > RESCALE_ABOVE:
+        self._since_rebuild += 1
+        if self._increment > RESCALE_THRESHOLD:
             self._rescale()
 
     def _rescale(self) -> None:
@@ -120,64 +121,65 @@
         return self._total / self._increment
 
     @property
-    def stale(self) -> bool:
-        """Return whether the curve should be made again."""
-        return self.curve is None or self._since * 16 > self.observations
+    def is_stale(self) -> bool:
+        """Return whether the curve must be recomputed."""
+        return self.curve is None or self._since_rebuild * 16 > self.observations
 
     def rebuild(self, *, parent: Sequence[float]) -> LengthCurve:
-        seen = self.observations
-        total = seen + PARENT_STRENGTH
+        observed = self.observations
+        total = observed + PARENT_OBSERVATIONS
         scale = 1.0 / (self._increment * total)
-        share = PARENT_STRENGTH / total
+        parent_share = PARENT_OBSERVATIONS / total
         density = [
-            count * scale + share * prior for count, prior in zip(self.counts, parent, strict=True)
+            count * scale + parent_share * prior
+            for count, prior in zip(self.counts, parent, strict=True)
         ]
         self.curve = LengthCurve(density=density)
-        self._since = 0
+        self._since_rebuild = 0
         return self.curve
 
 
 def _log_uniform() -> list[float]:
-    used = int(_position(8192))
+    used = int(_bucket_position(8192))
     return [1.0 / used if bucket < used else 0.0 for bucket in range(BUCKETS)]
 
 
 @final
 class LengthEstimator:
-    """Learns lengths for (model, adapter, account, class), backing off to coarser groups."""
+    """Estimates lengths for (model, adapter, account, class), backing off to coarser groups."""
 
     def __init__(self) -> None:
         self._groups: OrderedDict[tuple[str, ...], _Group] = OrderedDict()
         self._prior = LengthCurve(density=_log_uniform())
 
     def observe(self, *, request: PlacementRequest, tokens: int) -> None:
-        """Learn from an answer that has ended.
+        """Record the length of a completed answer.
 
-        :param request: What was asked for.
+        :param request: Request of the answer.
         :param tokens: Length of the whole answer.
         """
-        bucket = min(int(_position(tokens)), BUCKETS - 1)
+        bucket = min(int(_bucket_position(tokens)), BUCKETS - 1)
         for key in self._keys(request):
             self._groups.setdefault(key, _Group()).observe(bucket)
             self._groups.move_to_end(key)
-        while len(self._groups) > MOST_GROUPS:
+        while len(self._groups) > MAX_GROUPS:
             self._groups.popitem(last=False)
 
     def curve(self, *, request: PlacementRequest) -> LengthCurve:
-        """Return the survival function for a request that has not ended.
+        """Return the survival function of the answer length of a request.
 
-        :param request: What is asked for; its length is not known.
+        :param request: The request; its answer length is unknown.
         """
         curve = self._prior
         for key in reversed(self._keys(request)):
             group = self._groups.get(key)
             if group is None:
                 continue
-            if group.stale or group.curve is None:
+            if group.is_stale or group.curve is None:
                 group.rebuild(parent=curve.density)
             assert group.curve is not None
             curve = group.curve
-        return curve.limited(request.max_tokens)
+        return curve.truncated(request.max_tokens)
 
     @staticmethod
     def _keys(request: PlacementRequest) -> tuple[tuple[str, ...], ...]:
--- a/src/tanagerscale/policy/_limits.py
+++ b/src/tanagerscale/policy/_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts that hold over all hosts together."""
+"""Limits of client accounts, enforced over all hosts together."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from tanagerscale.policy._types import AccountSpec
 
 MS_PER_MINUTE = 60 * MS_PER_SECOND
-STALE_MS = 3_000
-"""Age after which a peer's usage is no longer believed."""
+MAX_USAGE_AGE_MS = 3_000
+"""Age above which the usage reported by a peer is ignored."""
 
 RATE_BURST_MS = 1_000
-"""A bucket of requests holds what this time grants."""
+"""Capacity of the token bucket for requests, as the time that fills it."""
 
 TOKEN_BURST_MS = 10_000
-"""A bucket of tokens holds what this time grants."""
+"""Capacity of the token bucket for tokens, as the time that fills it."""
 
 USAGE_HALF_LIFE_MS = 2_000.0
-LEAST_DEMAND = 0.01
-"""Requests a second below which an account is idle at a host."""
+MIN_DEMAND_PER_S = 0.01
+"""Requests per second below which an account is idle at a host."""
 
-FLOOR_DIVISOR = 8
-"""An eighth of an equal share of places stays with each host, however little it asks for."""
+MIN_SLOTS_DIVISOR = 8
+"""Each host keeps an eighth of an equal share of the slots, however low its demand is."""
 
-LEAST_PART = 0.5
-"""Part of an equal share that a host always may use, whatever peers say."""
+MIN_SHARE_FACTOR = 0.5
+"""Part of an equal share of the rates that a host may always use, whatever its peers report."""
 
 
 @unique
 class Limit(Enum):
-    """Which limit refused a request."""
+    """The limit that refused a request."""
 
     RATE = "requests_per_second"
     CONCURRENCY = "concurrent_requests"
@@ -46,10 +46,10 @@
 
 
 class AccountUsage(Struct, frozen=True, kw_only=True):
-    """What one host tells its peers of an account with each heartbeat.
+    """Usage of an account that a host reports to its peers with each heartbeat.
 
-    :param demand: Requests a second that came lately, refused ones included.
-    :param running: Requests that run or may be started until the next heartbeat.
+    :param demand: Recent requests per second, including refused ones.
+    :param running: Requests that run or may be started before the next heartbeat.
     """
 
     demand: float
@@ -57,215 +57,217 @@
 
 
 class LimitRefusal(Struct, frozen=True, kw_only=True):
-    """Why a request may not run now.
+    """Reason why a request may not run now.
 
     :param limit: The limit that is reached.
-    :param retry_after_ms: When coming back helps.
+    :param retry_after_ms: Time after which a retry may succeed.
     """
 
     limit: Limit
     retry_after_ms: int
 
 
-class _Heard(Struct):
+class _PeerUsage(Struct):
     usage: AccountUsage
-    when: Millis
+    received: Millis
 
 
-class _Account(Struct):
+class _AccountState(Struct):
     spec: AccountSpec
     updated: Millis
     requests: float
     tokens: float
     running: int = 0
     demand: float = 0.0
-    places: int = 0
-    told: bool = False
+    slots: int = 0
+    announced: bool = False
 
 
 @final
 class AccountLimits:
-    """One host's part of each account's limits.
+    """One host's share of the limits of each account.
 
-    A host may use the part of a limit that its own demand has in the demand of all hosts, as
-    far as heartbeats tell. A peer that was not heard of counts as one with an equal share, so
-    hosts that are cut off from one another can't pass the limit together, however long it lasts.
+    A host may use a part of each limit equal to its part of the demand of all hosts, as reported by
+    heartbeats. A peer without recent heartbeats counts as using an equal share, so partitioned
+    hosts can't exceed the limit together, however long the partition lasts.
 
     :param accounts: Declared accounts; others have no limits.
     """
 
     def __init__(self, *, accounts: Mapping[ClientAccountId, AccountSpec]) -> None:
         self._specs = accounts
-        self._accounts: dict[ClientAccountId, _Account] = {}
+        self._accounts: dict[ClientAccountId, _AccountState] = {}
         self._peers: frozenset[HostId] = frozenset()
-        self._heard: dict[ClientAccountId, dict[HostId, _Heard]] = {}
-        self._last_word: dict[HostId, Millis] = {}
+        self._peer_usage: dict[ClientAccountId, dict[HostId, _PeerUsage]] = {}
+        self._last_heartbeat: dict[HostId, Millis] = {}
 
     def set_accounts(self, *, accounts: Mapping[ClientAccountId, AccountSpec]) -> None:
-        """Replace the declared accounts; what runs stays counted.
+        """Replace the declared accounts; running requests stay counted.
 
         :param accounts: Declared accounts.
         """
         self._specs = accounts
-        for name, held in self._accounts.items():
-            held.spec = accounts.get(name, AccountSpec())
+        for name, state in self._accounts.items():
+            state.spec = accounts.get(name, AccountSpec())
 
     def set_peers(self, *, peers: frozenset[HostId]) -> None:
-        """Replace the other live hosts; hosts that are only cut off stay among them."""
+        """Replace the other live hosts; they include those that are only partitioned."""
         self._peers = peers
-        for heard in self._heard.values():
-            for host in heard.keys() - peers:
-                del heard[host]
+        for peer_usage in self._peer_usage.values():
+            for host in peer_usage.keys() - peers:
+                del peer_usage[host]
 
     def on_peer(
         self, *, host: HostId, usage: Mapping[ClientAccountId, AccountUsage], now: Millis
     ) -> None:
-        """Take in a peer's heartbeat; accounts it does not name are idle there."""
-        self._last_word[host] = now
-        for account, heard in self._heard.items():
+        """Apply a peer's heartbeat; accounts that it does not name are idle there."""
+        self._last_heartbeat[host] = now
+        for account, peer_usage in self._peer_usage.items():
             if account not in usage:
-                heard.pop(host, None)
+                peer_usage.pop(host, None)
         for account, item in usage.items():
-            self._heard.setdefault(account, {})[host] = _Heard(item, now)
+            self._peer_usage.setdefault(account, {})[host] = _PeerUsage(item, now)
 
     def usage(self, *, now: Millis) -> dict[ClientAccountId, AccountUsage]:
-        """Return what to tell peers with each heartbeat: accounts that are not idle here."""
-        told = {}
+        """Return the usage to send with each heartbeat: all accounts that are not idle here."""
+        announced = {}
         for name, account in self._accounts.items():
             self._refill(name, account, now=now)
-            if not account.running and account.demand < LEAST_DEMAND:
-                account.told = False
-                account.places = self._equal_places(account.spec)
+            if not account.running and account.demand < MIN_DEMAND_PER_S:
+                account.announced = False
+                account.slots = self._equal_slots(account.spec)
                 continue
-            # Until peers had a chance to hear of this host and it of them, it keeps to an
-            # equal share.
-            if account.told:
-                self._grant(name, account, now=now)
-            account.told = True
-            told[name] = AccountUsage(
-                demand=account.demand, running=max(account.running, account.places)
+            # This host keeps to an equal share until it has exchanged a heartbeat with its
+            # peers.
+            if account.announced:
+                self._update_slots(name, account, now=now)
+            account.announced = True
+            announced[name] = AccountUsage(
+                demand=account.demand, running=max(account.running, account.slots)
             )
-        return told
+        return announced
 
     def try_start(
         self, *, account: ClientAccountId, tokens: int, now: Millis
     ) -> LimitRefusal | None:
-        """Ask for a request to run.
+        """Start a request if the limits of its account allow it.
 
-        :param account: Who asks.
-        :param tokens: Prompt tokens, known at the start; the answer's are charged as it ends.
-        :returns: ``None`` when it may run, which counts it as running.
+        :param account: Account of the caller.
+        :param tokens: Prompt tokens; the answer's tokens are charged when the request ends.
+        :returns: ``None`` if the request may run, and is then counted as running; else the refusal.
         """
         spec = self._specs.get(account)
         if spec is None or not _is_limited(spec):
             return None
-        held = self._account(account, spec, now=now)
-        held.demand += MS_PER_SECOND / USAGE_HALF_LIFE_MS
-        part = self._part(account, now=now)
-        refusal = self._check(account, held, part, now=now)
+        state = self._account(account, spec, now=now)
+        state.demand += MS_PER_SECOND / USAGE_HALF_LIFE_MS
+        share = self._share(account, now=now)
+        refusal = self._check(account, state, share, now=now)
         if refusal is None:
-            held.running += 1
-            held.requests -= 1.0
-            held.tokens -= tokens
+            state.running += 1
+            state.requests -= 1.0
+            state.tokens -= tokens
         return refusal
 
     def on_finished(self, *, account: ClientAccountId, tokens: int, now: Millis) -> None:
-        """Record that a request that was started ended.
+        """Record the end of a request that was started.
 
         :param tokens: Tokens of its answer.
         """
-        held = self._accounts.get(account)
-        if held is not None:
-            self._refill(account, held, now=now)
-            held.running = max(held.running - 1, 0)
-            held.tokens -= tokens
+        state = self._accounts.get(account)
+        if state is not None:
+            self._refill(account, state, now=now)
+            state.running = max(state.running - 1, 0)
+            state.tokens -= tokens
 
     def _check(
-        self, name: ClientAccountId, held: _Account, part: float, *, now: Millis
+        self, name: ClientAccountId, state: _AccountState, share: float, *, now: Millis
     ) -> LimitRefusal | None:
-        spec = held.spec
-        if spec.requests_per_second > 0.0 and held.requests < 1.0:
-            wait = (1.0 - held.requests) / (spec.requests_per_second * part)
+        spec = state.spec
+        if spec.requests_per_second > 0.0 and state.requests < 1.0:
+            wait = (1.0 - state.requests) / (spec.requests_per_second * share)
             return LimitRefusal(limit=Limit.RATE, retry_after_ms=int(wait * MS_PER_SECOND) + 1)
-        if spec.tokens_per_minute > 0 and held.tokens <= 0.0:
-            wait = (1.0 - held.tokens) / (spec.tokens_per_minute * part)
+        if spec.tokens_per_minute > 0 and state.tokens <= 0.0:
+            wait = (1.0 - state.tokens) / (spec.tokens_per_minute * share)
             return LimitRefusal(limit=Limit.TOKENS, retry_after_ms=int(wait * MS_PER_MINUTE) + 1)
-        if spec.concurrent_requests > 0 and held.running >= held.places:
+        if spec.concurrent_requests > 0 and state.running >= state.slots:
             return LimitRefusal(limit=Limit.CONCURRENCY, retry_after_ms=MS_PER_SECOND)
         return None
 
-    def _equal_places(self, spec: AccountSpec) -> int:
+    def _equal_slots(self, spec: AccountSpec) -> int:
         return max(spec.concurrent_requests // (len(self._peers) + 1), 1)
 
-    def _grant(self, name: ClientAccountId, held: _Account, *, now: Millis) -> None:
+    def _update_slots(self, name: ClientAccountId, state: _AccountState, *, now: Millis) -> None:
         """Set how many requests may run here until the next heartbeat.
 
-        What is free is divided by demand, so that hosts which start work at the same moment
-        don't pass the limit together.
+        Free slots are divided by demand, so that hosts that start requests at the same time don't
+        exceed the limit together.
         """
-        limit = held.spec.concurrent_requests
+        limit = state.spec.concurrent_requests
         hosts = len(self._peers) + 1
-        # Each host leaves the others a few places, so that one with little demand can start
-        # work between two heartbeats although the rest is dealt out.
-        floor = limit // hosts // FLOOR_DIVISOR
-        heard = self._heard.get(name, {})
-        elsewhere = 0
+        # Each host leaves the others a few slots, so that one with little demand can start
+        # requests between two heartbeats even if all other slots are assigned.
+        min_slots = limit // hosts // MIN_SLOTS_DIVISOR
+        peer_usage = self._peer_usage.get(name, {})
+        used_elsewhere = 0
         for host in self._peers:
             if not self._is_fresh(host, now=now):
-                elsewhere += -(-limit // hosts)
+                used_elsewhere += -(-limit // hosts)
             else:
-                claimed = heard[host].usage.running if host in heard else 0
-                elsewhere += max(claimed, floor)
-        free = max(limit - held.running - elsewhere, 0)
-        granted = held.running + int(free * self._demand_part(name, now=now))
-        held.places = max(granted, floor)
-
-    def _part(self, name: ClientAccountId, *, now: Millis) -> float:
-        """Return this host's part of an account's rates; silent hosts keep equal shares."""
+                claimed = peer_usage[host].usage.running if host in peer_usage else 0
+                used_elsewhere += max(claimed, min_slots)
+        free = max(limit - state.running - used_elsewhere, 0)
+        granted = state.running + int(free * self._demand_share(name, now=now))
+        state.slots = max(granted, min_slots)
+
+    def _share(self, name: ClientAccountId, *, now: Millis) -> float:
+        """Return this host's share of an account's rates; silent hosts keep equal shares."""
         hosts = len(self._peers) + 1
         silent = sum(not self._is_fresh(host, now=now) for host in self._peers)
-        part = max(self._demand_part(name, now=now), LEAST_PART / hosts)
-        return part * (hosts - silent) / hosts
+        share = max(self._demand_share(name, now=now), MIN_SHARE_FACTOR / hosts)
+        return share * (hosts - silent) / hosts
 
-    def _demand_part(self, name: ClientAccountId, *, now: Millis) -> float:
-        """Return this host's part of the demand of all hosts that are heard of."""
+    def _demand_share(self, name: ClientAccountId, *, now: Millis) -> float:
+        """Return this host's part of the demand of all hosts with recent heartbeats."""
         own = self._accounts[name].demand
         others = sum(
             item.usage.demand
-            for host, item in self._heard.get(name, {}).items()
+            for host, item in self._peer_usage.get(name, {}).items()
             if self._is_fresh(host, now=now)
         )
         return own / (own + others) if own > 0.0 else 0.0
 
     def _is_fresh(self, host: HostId, *, now: Millis) -> bool:
-        return now - self._last_word.get(host, -STALE_MS - 1) <= STALE_MS
+        return now - self._last_heartbeat.get(host, -MAX_USAGE_AGE_MS - 1) <= MAX_USAGE_AGE_MS
 
-    def _account(self, name: ClientAccountId, spec: AccountSpec, *, now: Millis) -> _Account:
-        held = self._accounts.get(name)
-        if held is None:
-            part = 1.0 / (len(self._peers) + 1)
-            held = self._accounts[name] = _Account(
+    def _account(self, name: ClientAccountId, spec: AccountSpec, *, now: Millis) -> _AccountState:
+        state = self._accounts.get(name)
+        if state is None:
+            share = 1.0 / (len(self._peers) + 1)
+            state = self._accounts[name] = _AccountState(
                 spec=spec,
                 updated=now,
-                requests=max(spec.requests_per_second * part * RATE_BURST_MS / MS_PER_SECOND, 1.0),
-                tokens=spec.tokens_per_minute * part * TOKEN_BURST_MS / MS_PER_MINUTE,
-                places=self._equal_places(spec),
+                requests=max(spec.requests_per_second * share * RATE_BURST_MS / MS_PER_SECOND, 1.0),
+                tokens=spec.tokens_per_minute * share * TOKEN_BURST_MS / MS_PER_MINUTE,
+                slots=self._equal_slots(spec),
             )
-        self._refill(name, held, now=now)
-        return held
+        self._refill(name, state, now=now)
+        return state
 
-    def _refill(self, name: ClientAccountId, held: _Account, *, now: Millis) -> None:
-        passed = now - held.updated
-        if passed <= 0:
+    def _refill(self, name: ClientAccountId, state: _AccountState, *, now: Millis) -> None:
+        elapsed = now - state.updated
+        if elapsed <= 0:
             return
-        part = self._part(name, now=now)
-        spec = held.spec
-        rate = spec.requests_per_second * part / MS_PER_SECOND
-        held.requests = min(held.requests + rate * passed, max(rate * RATE_BURST_MS, 1.0))
-        pace = spec.tokens_per_minute * part / MS_PER_MINUTE
-        held.tokens = min(held.tokens + pace * passed, pace * TOKEN_BURST_MS)
-        held.demand *= 0.5 ** (passed / USAGE_HALF_LIFE_MS)
-        held.updated = now
+        share = self._share(name, now=now)
+        spec = state.spec
+        request_rate = spec.requests_per_second * share / MS_PER_SECOND
+        state.requests = min(
+            state.requests + request_rate * elapsed, max(request_rate * RATE_BURST_MS, 1.0)
+        )
+        token_rate = spec.tokens_per_minute * share / MS_PER_MINUTE
+        state.tokens = min(state.tokens + token_rate * elapsed, token_rate * TOKEN_BURST_MS)
+        state.demand *= 0.5 ** (elapsed / USAGE_HALF_LIFE_MS)
+        state.updated = now
 
 
 def _is_limited(spec: AccountSpec) -> bool:
--- a/src/tanagerscale/policy/_outliers.py
+++ b/src/tanagerscale/policy/_outliers.py
@@ -1,8 +1,8 @@
-"""Which upstream does so much worse than its siblings that it is left alone for a while.
+"""Detects upstreams that fail much more often than their siblings, so that they can be ejected.
 
-The load it answers: one of a few upstreams fails part of its requests, answers them late or not at
-all, while its health check is good. What shows it is the requests alone, a few a second at each
-host, so hosts add up what they saw.
+Workload: one of a few upstreams fails some of its requests, or answers them late or not at all,
+while its health check passes. Only the requests show the fault, and each host sees just a few per
+second, so hosts add up their observations.
 """
 
 from __future__ import annotations
@@ -15,32 +15,33 @@
 
 from tanagerscale.core import UpstreamId
 
-LEAST_BAD: Final = 3
-"""Answers that must be bad before anything is concluded."""
+MIN_BAD_ANSWERS: Final = 3
+"""Minimum number of bad answers before an upstream may be ejected."""
 
-LEAST_RATE: Final = 0.2
-"""Part of an upstream's answers that must be bad; a worse one costs more than its siblings' load
-grows by when it is ejected."""
+MIN_BAD_RATE: Final = 0.2
+"""Minimum part of an upstream's answers that must be bad. Below it, the upstream costs less than
+the load that its ejection adds to its siblings."""
 
-USUAL_RATE: Final = 0.1
-USUAL_ANSWERS: Final = 10
-"""Until more is known of its siblings they count as having given ten answers of which one was bad:
-sound upstreams fail up to one request in ten on their own."""
+PRIOR_BAD_RATE: Final = 0.1
+PRIOR_ANSWERS: Final = 10
+"""Until more is known of its siblings, they count as having given ten answers of which one was bad:
+healthy upstreams fail up to one request in ten on their own."""
 
-CHANCE: Final = 0.01
-"""An upstream is ejected when one as good as its siblings would do so badly only once in a hundred
-windows. Of 25 answers in a window nine or more are bad by then, of four answers three."""
+SIGNIFICANCE_LEVEL: Final = 0.01
+"""Probability, for an upstream as good as its siblings, of so many bad answers in a window, below
+which it is ejected: one window in a hundred. With 25 answers in a window this takes nine or more
+bad ones, with four answers three."""
 
-EJECTED_SHARE: Final = 3
-"""At most one in so many upstreams of a service is ejected, as nobody knows what the others can
-carry."""
+EJECTION_DIVISOR: Final = 3
+"""At most one in this many upstreams of a service is ejected, since the capacity of the others is
+unknown."""
 
 
 class Tally(Struct, frozen=True, kw_only=True):
-    """Answers of one upstream within a window of time.
+    """Number of good and bad answers of one upstream within a time window.
 
-    :param good: Those that came whole and in time.
-    :param bad: Errors, broken and missing answers, and those that came late.
+    :param good: Complete answers that came in time.
+    :param bad: Errors, incomplete and missing answers, and those that came late.
     """
 
     good: int = 0
@@ -48,40 +49,43 @@
 
     @property
     def rate(self) -> float:
-        """Part of the answers that were bad; 0 when there were none."""
+        """Part of the answers that were bad; 0 if there were none."""
         return self.bad / max(self.good + self.bad, 1)
 
     def plus(self, other: Tally) -> Tally:
-        """Return both together."""
+        """Return the sum of two tallies."""
         return Tally(good=self.good + other.good, bad=self.bad + other.bad)
 
 
 def is_outlier(*, own: Tally, others: Tally) -> bool:
     """Return whether an upstream should be ejected.
 
-    :param own: Its answers.
-    :param others: The answers of all its siblings.
+    :param own: Answers of the upstream.
+    :param others: Answers of all its siblings.
     """
-    if own.bad < LEAST_BAD or own.rate < LEAST_RATE:
+    if own.bad < MIN_BAD_ANSWERS or own.rate < MIN_BAD_RATE:
         return False
     answers = others.good + others.bad
-    usual = (others.bad + USUAL_RATE * USUAL_ANSWERS) / (answers + USUAL_ANSWERS)
-    return _chance_of(bad=own.bad, answers=own.good + own.bad, rate=usual) < CHANCE
+    expected_rate = (others.bad + PRIOR_BAD_RATE * PRIOR_ANSWERS) / (answers + PRIOR_ANSWERS)
+    return (
+        _binomial_tail(bad=own.bad, answers=own.good + own.bad, rate=expected_rate)
+        < SIGNIFICANCE_LEVEL
+    )
 
 
-def _chance_of(*, bad: int, answers: int, rate: float) -> float:
-    """Return how likely so many bad answers or more are when each is bad at a rate."""
+def _binomial_tail(*, bad: int, answers: int, rate: float) -> float:
+    """Return the probability of at least this many bad answers when each is bad at a given rate."""
     return sum(
-        comb(answers, number) * rate**number * (1 - rate) ** (answers - number)
-        for number in range(bad, answers + 1)
+        comb(answers, count) * rate**count * (1 - rate) ** (answers - count)
+        for count in range(bad, answers + 1)
     )
 
 
-def may_eject(candidates: Mapping[UpstreamId, float], *, siblings: int) -> set[UpstreamId]:
-    """Return which of the upstreams that should be ejected are, the worst first.
+def select_ejections(candidates: Mapping[UpstreamId, float], *, siblings: int) -> set[UpstreamId]:
+    """Return the upstreams to eject, limited to a part of the service, the worst first.
 
-    :param candidates: Those that should, each with its rate.
-    :param siblings: How many upstreams the service has.
+    :param candidates: Upstreams that should be ejected, each with its rate of bad answers.
+    :param siblings: Number of upstreams of the service.
     """
-    worst = sorted(candidates, key=lambda upstream: (-candidates[upstream], upstream))
-    return set(worst[: siblings // EJECTED_SHARE])
+    worst_first = sorted(candidates, key=lambda upstream: (-candidates[upstream], upstream))
+    return set(worst_first[: siblings // EJECTION_DIVISOR])
--- a/src/tanagerscale/policy/_placement.py
+++ b/src/tanagerscale/policy/_placement.py
@@ -1,9 +1,10 @@
-"""Which engine takes a generation, and whether it may begin now, by what all hosts have there.
+"""Selects an engine for a generation and decides whether it starts now, from the load of all hosts.
 
-The load it answers: long generations and many short ones arrive at several hosts while engines are
-taken away every few seconds. An engine reads prompts in pieces between the tokens of what runs, so
-a prompt waits for those before it, at half speed where anything runs. Memory is what runs out
-first: each generation holds its prompt and its answer.
+Workload: long generations and many short ones arrive at several hosts while engines are removed
+every few seconds. An engine prefills prompts in chunks between the decoding steps of its running
+generations, so a prompt waits for the prompts before it, and prefill runs at half speed while
+anything is decoded. Memory is the first resource to run out: each generation holds its prompt and
+its answer.
 """
 
 from __future__ import annotations
@@ -20,64 +21,68 @@
 from tanagerscale.core import UpstreamId
 
 PREFILL_TOKENS_PER_MS: Final = 7.3
-"""Prompt tokens that an engine reads in a millisecond, in steps of 112 that take 15 ms, whatever
-else it runs."""
+"""Prompt tokens that an engine prefills in a millisecond, in steps of 112 tokens that take 15 ms,
+regardless of what else it runs."""
 
-COLD_COST: Final = 0.1
-"""What each millisecond of an engine's warm-up counts as waiting time. Engines that have just
-started answer about as soon as others, so it only breaks ties."""
+WARMUP_COST_FACTOR: Final = 0.1
+"""Cost of each remaining millisecond of an engine's warm-up, in milliseconds of waiting time.
+Engines that have just started answer about as soon as others, so it only breaks ties."""
 
-NEIGHBOUR_MS: Final = 6.0
-"""What each generation already running on an engine counts as waiting time: it slows every later
-token a little and is itself held up by the new prompt."""
+RUNNING_GENERATION_COST_MS: Final = 6.0
+"""Cost of each generation already running on an engine, as waiting time: it slows every later token
+slightly and is itself delayed by the new prompt."""
 
-AWAY_MS: Final = 8.0
-"""What another failure domain counts as waiting time; bytes between them are paid for."""
+CROSS_DOMAIN_COST_MS: Final = 8.0
+"""Cost of sending a generation to another failure domain, as waiting time; traffic between failure
+domains is billed."""
 
-UNCOPIED_MS: Final = 0.02
-"""What each token without a copy elsewhere counts as waiting time for a long generation. Ten
-thousand are as many as can be copied within the notice of a leaving engine."""
+UNCOPIED_TOKEN_COST_MS: Final = 0.02
+"""Cost of each token on an engine that has no copy elsewhere, as waiting time, for a long
+generation. About ten thousand tokens can be copied within the notice of a leaving engine."""
 
-MEMORY_MARGIN: Final = 0.95
-"""Part of an engine's memory that may be planned for; what runs there grows into the rest."""
+MAX_PLANNED_MEMORY_RATIO: Final = 0.95
+"""Part of an engine's memory that may be planned for; the rest absorbs the growth of running
+generations."""
 
-COPY_MARGIN: Final = 0.9
-"""Part of an engine's memory up to which it takes copies that a notice would be too short for; a
-prompt still finds room."""
+MAX_COPY_MEMORY_RATIO: Final = 0.9
+"""Part of an engine's memory up to which it takes copies of runs that could not all be evacuated
+within the notice of their engine; a prompt still fits."""
 
-SPARE_MARGIN: Final = 0.6
+MAX_SPARE_COPY_MEMORY_RATIO: Final = 0.6
 """Part of an engine's memory up to which it takes copies of any long generation, in case the engine
-that runs it fails without notice. Copying is cheap and room is not, so only memory that nothing
-else needs is used."""
+that runs it fails without notice. Copying is cheap but memory is not, so these copies use only
+memory that nothing else needs."""
 
-UNEVEN_FACTOR: Final = 2.5
-"""A run moves to an emptier engine when the difference is so many times its size: after the move it
-is still the emptier one, so that no run goes back and forth."""
+MIN_IMBALANCE_FACTOR: Final = 2.5
+"""Minimum difference in planned memory between two engines, as a multiple of a run's memory, for
+the run to move to the emptier one. After the move that engine is still the emptier one, so runs do
+not oscillate between the two."""
 
-LATE_ROOM: Final = 2
-"""Rooms of its size that a late long generation must find. It holds its memory for as long as one
-that is still in time, and is worth less to its caller, so it leaves room for one of these."""
+LATE_RESERVATION_FACTOR: Final = 2
+"""Free memory that a long generation past its deadline needs, as a multiple of its prompt. It holds
+its memory for as long as one that can still meet its deadline, but is worth less to its caller, so
+it must leave room for one of those."""
 
-GROWTH_TOKENS: Final = 250
-"""Room kept for the growth of each generation. Two seconds at 8 ms a token, after which what is
-known of the engine has been renewed."""
+GROWTH_RESERVE_TOKENS: Final = 250
+"""Memory reserved for the growth of each generation: two seconds at 8 ms a token, after which the
+state of the engine has been refreshed."""
 
 
 class EngineView(Struct, frozen=True, kw_only=True):
-    """What is known of an engine when a generation looks for one.
-
-    :param upstream: The engine.
-    :param failure_domain: Where it stands.
-    :param memory_tokens: All its memory.
-    :param held_tokens: Memory that generations hold, or will when their prompts are read.
-    :param copy_tokens: Memory of copies of what leaves another engine.
-    :param yielding_tokens: Memory of copies taken ahead, which yield to new work.
-    :param uncopied_tokens: Memory of long generations there that have no copy elsewhere.
-    :param running: Generations that have begun to answer.
-    :param waiting_tokens: Prompt tokens sent there that it has not finished reading.
-    :param waiting: Generations these belong to.
-    :param batch: Most generations decoded together.
-    :param cold_ms: How much longer it is slow after its start.
+    """State of an engine as seen by a placement decision.
+
+    :param upstream: Id of the engine.
+    :param failure_domain: Failure domain of the engine.
+    :param memory_tokens: Total key-value memory, in tokens.
+    :param held_tokens: Memory that generations hold, or will hold once their prompts are prefilled.
+    :param copy_tokens: Memory of copies of runs that leave another engine.
+    :param evictable_tokens: Memory of copies made ahead, which are evicted when new work needs it.
+    :param uncopied_tokens: Memory of long generations on the engine that have no copy elsewhere.
+    :param running: Number of generations that have begun to answer.
+    :param waiting_tokens: Prompt tokens sent to the engine that it has not prefilled yet.
+    :param waiting: Number of generations that these tokens belong to.
+    :param max_batch: Maximum number of generations decoded together.
+    :param warmup_ms: Remaining time until the engine runs at full speed after its start.
     """
 
     upstream: UpstreamId
@@ -85,31 +90,31 @@
     memory_tokens: int
     held_tokens: int
     copy_tokens: int
-    yielding_tokens: int
+    evictable_tokens: int
     uncopied_tokens: int
     running: int
     waiting_tokens: int
     waiting: int
-    batch: int
-    cold_ms: int
+    max_batch: int
+    warmup_ms: int
 
     def __str__(self) -> str:
-        """Return what a line of log says of it."""
+        """Return a one-line summary for the log."""
         return (
             f"{self.upstream} runs {self.running} waits {self.waiting} held {self.held_tokens} "
-            f"copies {self.copy_tokens}+{self.yielding_tokens} reads {self.waiting_tokens}"
+            f"copies {self.copy_tokens}+{self.evictable_tokens} reads {self.waiting_tokens}"
         )
 
     @property
     def planned_tokens(self) -> int:
-        """Memory that is taken or will be within seconds, but for what yields."""
-        growth = (self.running + self.waiting) * GROWTH_TOKENS
+        """Memory in use now or within seconds, without the copies that can be evicted."""
+        growth = (self.running + self.waiting) * GROWTH_RESERVE_TOKENS
         return self.held_tokens + self.copy_tokens + growth
 
 
 @unique
 class Verdict(Enum):
-    """What is to become of a generation that looks for an engine."""
+    """Outcome of a placement decision."""
 
     SEND = "send"
     WAIT = "wait"
@@ -117,12 +122,12 @@
 
 
 class PlacementQuery(Struct, frozen=True, kw_only=True):
-    """A generation that looks for an engine.
+    """Requirements of a generation that needs an engine.
 
     :param prompt_tokens: Length of its prompt.
-    :param is_long: Whether its answer may run on for seconds.
-    :param left_ms: Time left until its first event is late; negative when it is.
-    :param patience_ms: How long it may wait on once it is late.
+    :param is_long: Whether its answer may take seconds.
+    :param left_ms: Time left until its first event is late; negative once it is.
+    :param patience_ms: How much longer it may wait once it is late.
     """
 
     prompt_tokens: int
@@ -132,19 +137,23 @@
 
     @property
     def needed_tokens(self) -> int:
-        """Memory that an engine must have left for it."""
+        """Free memory that an engine must have for it."""
         is_late = self.left_ms <= 0
-        return self.prompt_tokens * LATE_ROOM if is_late and self.is_long else self.prompt_tokens
+        return (
+            self.prompt_tokens * LATE_RESERVATION_FACTOR
+            if is_late and self.is_long
+            else self.prompt_tokens
+        )
 
 
 class Placement(Struct, frozen=True, kw_only=True):
-    """A verdict with its grounds.
+    """Placement decision and the state it is based on.
 
-    :param verdict: What to do.
-    :param engine: Where to send it.
-    :param wait_ms: Forecast time to its first event there.
-    :param reason: What decided, in a few words.
-    :param views: What was known of the engines.
+    :param verdict: What to do with the generation.
+    :param engine: Engine to send it to; ``None`` unless the verdict is to send it.
+    :param wait_ms: Forecast time to its first event on that engine.
+    :param reason: Deciding condition, for the log.
+    :param views: Engines that were considered; empty when the generation is sent.
     """
 
     verdict: Verdict
@@ -155,65 +164,70 @@
 
 
 def first_event_ms(*, view: EngineView, prompt_tokens: int) -> float:
-    """Return how long a prompt would wait for its first event on an engine."""
+    """Return the forecast time to the first event of a prompt on an engine, in milliseconds."""
     return (view.waiting_tokens + prompt_tokens) / PREFILL_TOKENS_PER_MS
 
 
-def has_room(*, view: EngineView, tokens: int) -> bool:
-    """Return whether an engine can run a generation with so many tokens.
+def has_capacity(*, view: EngineView, tokens: int) -> bool:
+    """Return whether an engine has a batch slot and memory for one more generation.
 
     :param view: The engine.
-    :param tokens: Its prompt, or the memory it brings along.
+    :param tokens: Length of its prompt, or the memory that is copied with it.
     """
-    planned = view.planned_tokens + tokens + GROWTH_TOKENS
-    places = view.running + view.waiting < view.batch
-    return places and planned <= view.memory_tokens * MEMORY_MARGIN
+    planned_tokens_after = view.planned_tokens + tokens + GROWTH_RESERVE_TOKENS
+    has_batch_slot = view.running + view.waiting < view.max_batch
+    return has_batch_slot and planned_tokens_after <= view.memory_tokens * MAX_PLANNED_MEMORY_RATIO
 
 
-def has_room_at_once(*, view: EngineView, tokens: int) -> bool:
-    """Return whether an engine has room for a run before copies taken ahead have yielded.
+def has_capacity_without_eviction(*, view: EngineView, tokens: int) -> bool:
+    """Return whether an engine has capacity for a run without evicting copies made ahead.
 
     :param view: The engine.
-    :param tokens: Memory that the run brings along.
+    :param tokens: Memory of the run.
     """
-    return has_room(view=view, tokens=tokens + view.yielding_tokens)
+    return has_capacity(view=view, tokens=tokens + view.evictable_tokens)
 
 
 def free_tokens(views: Sequence[EngineView]) -> int:
-    """Return how much memory engines have left for new generations."""
+    """Return how much memory engines have left for new generations, in tokens."""
     return sum(
-        max(int(view.memory_tokens * MEMORY_MARGIN) - view.planned_tokens, 0) for view in views
+        max(int(view.memory_tokens * MAX_PLANNED_MEMORY_RATIO) - view.planned_tokens, 0)
+        for view in views
     )
 
 
-def has_room_for_copy(*, view: EngineView, tokens: int, margin: float) -> bool:
-    """Return whether an engine can hold a copy of what runs elsewhere.
+def has_capacity_for_copy(*, view: EngineView, tokens: int, max_ratio: float) -> bool:
+    """Return whether an engine has memory for a copy of a run on another engine.
 
     :param view: The engine.
     :param tokens: Size of the copy.
-    :param margin: Part of its memory that may be taken.
+    :param max_ratio: Maximum part of the engine's memory in use, including the copy.
     """
-    taken = view.held_tokens + view.copy_tokens + view.yielding_tokens
-    return taken + tokens <= view.memory_tokens * margin
+    used_tokens = view.held_tokens + view.copy_tokens + view.evictable_tokens
+    return used_tokens + tokens <= view.memory_tokens * max_ratio
 
 
-def tokens_to_yield(view: EngineView) -> int:
-    """Return how much memory of copies taken ahead an engine needs for its work."""
-    over = view.planned_tokens + view.yielding_tokens - int(view.memory_tokens * MEMORY_MARGIN)
-    return min(max(over, 0), view.yielding_tokens)
+def tokens_to_evict(view: EngineView) -> int:
+    """Return how much memory of copies made ahead an engine needs for its own work, in tokens."""
+    excess = (
+        view.planned_tokens
+        + view.evictable_tokens
+        - int(view.memory_tokens * MAX_PLANNED_MEMORY_RATIO)
+    )
+    return min(max(excess, 0), view.evictable_tokens)
 
 
-def is_uneven(*, full: EngineView, empty: EngineView, tokens: int) -> bool:
-    """Return whether moving a run brings two engines much closer to each other.
+def is_imbalanced(*, full: EngineView, empty: EngineView, tokens: int) -> bool:
+    """Return whether two engines differ enough in planned memory that moving a run balances them.
 
-    :param full: The engine it runs on.
-    :param empty: The engine it would go to.
-    :param tokens: Memory it holds.
+    :param full: The engine that the run is on.
+    :param empty: The engine that the run would move to.
+    :param tokens: Memory of the run.
     """
-    return full.planned_tokens - empty.planned_tokens > UNEVEN_FACTOR * tokens
+    return full.planned_tokens - empty.planned_tokens > MIN_IMBALANCE_FACTOR * tokens
 
 
-def cheapest(
+def select_engine(
     *,
     views: Sequence[EngineView],
     prompt_tokens: int,
@@ -221,21 +235,22 @@
     failure_domain: FailureDomainId,
     rng: Random,
 ) -> EngineView | None:
-    """Return the engine where a generation waits least and holds up others least.
+    """Return the engine with the lowest waiting time for a generation and delay to others.
 
     :param views: Engines to choose from.
-    :param prompt_tokens: Length of its prompt; 0 for one that brings its memory along.
-    :param is_long: Whether its answer may run on for seconds.
-    :param failure_domain: Where its bytes come from.
-    :param rng: Breaks ties.
+    :param prompt_tokens: Length of its prompt; 0 if its memory is copied to the engine.
+    :param is_long: Whether its answer may take seconds.
+    :param failure_domain: Failure domain that its traffic comes from.
+    :param rng: Random number generator used to break ties.
+    :returns: The engine, or ``None`` if there are none to choose from.
     """
 
     def cost(view: EngineView) -> tuple[float, float]:
-        total = first_event_ms(view=view, prompt_tokens=prompt_tokens)
-        total += view.running * NEIGHBOUR_MS + view.cold_ms * COLD_COST
-        total += view.uncopied_tokens * UNCOPIED_MS if is_long else 0.0
-        total += AWAY_MS if view.failure_domain != failure_domain else 0.0
-        return total, rng.random()
+        cost_ms = first_event_ms(view=view, prompt_tokens=prompt_tokens)
+        cost_ms += view.running * RUNNING_GENERATION_COST_MS + view.warmup_ms * WARMUP_COST_FACTOR
+        cost_ms += view.uncopied_tokens * UNCOPIED_TOKEN_COST_MS if is_long else 0.0
+        cost_ms += CROSS_DOMAIN_COST_MS if view.failure_domain != failure_domain else 0.0
+        return cost_ms, rng.random()
 
     return min(views, key=cost, default=None)
 
@@ -244,40 +259,40 @@
     *,
     query: PlacementQuery,
     views: Sequence[EngineView],
-    arriving_tokens: int = 0,
+    reserved_tokens: int = 0,
     failure_domain: FailureDomainId,
     rng: Random,
 ) -> Placement:
-    """Decide what becomes of a generation.
+    """Decide whether a generation is sent to an engine, waits or is refused.
 
-    :param query: What it needs.
-    :param views: Engines that take work.
-    :param arriving_tokens: Memory of long generations that have to leave another engine.
-    :param failure_domain: Where this host stands.
-    :param rng: Breaks ties.
+    :param query: Requirements of the generation.
+    :param views: Engines that accept work.
+    :param reserved_tokens: Memory reserved for long generations that must leave another engine.
+    :param failure_domain: Failure domain of this host.
+    :param rng: Random number generator used to break ties.
     """
     if not views:
-        return _later(query, views, "no engine takes work")
-    roomy = [view for view in views if has_room(view=view, tokens=query.needed_tokens)]
-    if not roomy:
-        return _later(query, views, "no engine has room")
-    if query.is_long and free_tokens(views) < query.prompt_tokens + arriving_tokens:
-        return _later(query, views, "what leaves an engine goes first")
-    chosen = cheapest(
-        views=roomy,
+        return _wait_or_refuse(query, views, "no engine takes work")
+    with_capacity = [view for view in views if has_capacity(view=view, tokens=query.needed_tokens)]
+    if not with_capacity:
+        return _wait_or_refuse(query, views, "no engine has room")
+    if query.is_long and free_tokens(views) < query.prompt_tokens + reserved_tokens:
+        return _wait_or_refuse(query, views, "what leaves an engine goes first")
+    selected = select_engine(
+        views=with_capacity,
         prompt_tokens=query.prompt_tokens,
         is_long=query.is_long,
         failure_domain=failure_domain,
         rng=rng,
     )
-    assert chosen is not None
-    wait_ms = first_event_ms(view=chosen, prompt_tokens=query.prompt_tokens)
-    alone_ms = query.prompt_tokens / PREFILL_TOKENS_PER_MS
-    if wait_ms > query.left_ms > alone_ms:
-        return _later(query, views, "prompts that wait would make it late")
-    return Placement(verdict=Verdict.SEND, engine=chosen, wait_ms=wait_ms, reason="room")
+    assert selected is not None
+    wait_ms = first_event_ms(view=selected, prompt_tokens=query.prompt_tokens)
+    unqueued_ms = query.prompt_tokens / PREFILL_TOKENS_PER_MS
+    if wait_ms > query.left_ms > unqueued_ms:
+        return _wait_or_refuse(query, views, "prompts that wait would make it late")
+    return Placement(verdict=Verdict.SEND, engine=selected, wait_ms=wait_ms, reason="room")
 
 
-def _later(query: PlacementQuery, views: Sequence[EngineView], reason: str) -> Placement:
+def _wait_or_refuse(query: PlacementQuery, views: Sequence[EngineView], reason: str) -> Placement:
     verdict = Verdict.WAIT if query.left_ms + query.patience_ms > 0 else Verdict.REFUSE
     return Placement(verdict=verdict, reason=reason, views=views)
--- a/src/tanagerscale/policy/_queue.py
+++ b/src/tanagerscale/policy/_queue.py
@@ -1,4 +1,4 @@
-"""The order in which waiting generations are taken."""
+"""Priority queue of waiting generations, fair between client accounts."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 from tanagerscale.policy._types import AccountSpec
 from tanagerscale.policy._types import PlacementRequest
 
-OUTPUT_COST = 2.0
-"""What an answer's token costs in prompt tokens when service is counted (Sheng et al., 2024)."""
+OUTPUT_TOKEN_COST = 2.0
+"""Cost of an output token relative to a prompt token in service accounting (Sheng et al., 2024)."""
 
 DEFAULT_ACCOUNT = AccountSpec()
 
 
 @dataclass(order=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued generation.
 
-    :param key: Place in its account's queue, in milliseconds; smaller goes first.
-    :param number: Breaks ties in the order of submission.
-    :param request: What was asked for.
-    :param curve: Its length distribution.
-    :param submitted: When it came here.
-    :param promised: Whether its caller was told to come back now.
-    :param withdrawn: Whether it was taken out of the queue.
+    :param key: Position in its account's queue, in milliseconds; the smallest is taken first.
+    :param number: Sequence number of its submission, used to break ties.
+    :param request: The request.
+    :param curve: Distribution of its answer length.
+    :param submitted: When it was submitted to this queue.
+    :param has_reservation: Whether its caller was shed earlier and told to retry now.
+    :param withdrawn: Whether it was removed from the queue; it stays in the heap until it is
+        popped.
     """
 
     key: float
@@ -40,7 +41,7 @@
     request: PlacementRequest = field(compare=False)
     curve: LengthCurve = field(compare=False)
     submitted: Millis = field(compare=False)
-    promised: bool = field(default=False, compare=False)
+    has_reservation: bool = field(default=False, compare=False)
     withdrawn: bool = field(default=False, compare=False)
 
 
@@ -48,10 +49,10 @@
 class _AccountQueue:
     weight: float
     served: float = 0.0
-    heap: list[Waiting] = field(default_factory=list)
+    heap: list[QueuedRequest] = field(default_factory=list)
 
-    def head(self) -> Waiting | None:
-        """Return the first that was not withdrawn."""
+    def head(self) -> QueuedRequest | None:
+        """Return the first request that was not withdrawn."""
         while self.heap and self.heap[0].withdrawn:
             heapq.heappop(self.heap)
         return self.heap[0] if self.heap else None
@@ -59,14 +60,14 @@
 
 @final
 class FairQueue:
-    """One queue for each account, merged by key and by how much each account was served.
+    """One queue for each account, merged by key and by the service each account has received.
 
-    A key is arrival time plus a charge for priority and for expected length. So short work
-    goes first, and waiting itself brings long work forward: no separate ageing is needed.
-    Work is linear in the accounts that have something waiting.
+    A key is the arrival time plus a delay for priority and for expected length. Short work
+    therefore goes first, and long work moves forward as it waits, so no separate ageing is needed.
+    Each operation is linear in the number of accounts with waiting requests.
 
     :param accounts: Declared accounts; others get a weight of 1.
-    :param tuning: The numbers to work with.
+    :param tuning: Scheduler settings.
     """
 
     def __init__(self, *, accounts: Mapping[ClientAccountId, AccountSpec], tuning: Tuning) -> None:
@@ -74,7 +75,7 @@
         self._tuning = tuning
         self._queues: dict[ClientAccountId, _AccountQueue] = {}
         self._active: dict[ClientAccountId, _AccountQueue] = {}
-        self._entries: dict[GenerationId, Waiting] = {}
+        self._entries: dict[GenerationId, QueuedRequest] = {}
         self._number = 0
         self._expected_tokens = 0.0
         self._expected_short_tokens = 0.0
@@ -82,10 +83,10 @@
     def reconfigure(
         self, *, accounts: Mapping[ClientAccountId, AccountSpec], tuning: Tuning
     ) -> None:
-        """Go by other declarations from now on; what waits keeps its place.
+        """Apply changed declarations; queued requests keep their position.
 
         :param accounts: Declared accounts.
-        :param tuning: Settings.
+        :param tuning: Scheduler settings.
         """
         self._accounts = accounts
         self._tuning = tuning
@@ -100,7 +101,7 @@
 
     @property
     def expected_tokens(self) -> float:
-        """Return the expected tokens of all answers that wait."""
+        """Return the expected number of tokens of all queued answers."""
         return self._expected_tokens
 
     def is_short(self, curve: LengthCurve) -> bool:
@@ -108,20 +109,25 @@
         return curve.mean <= self._tuning.short_tokens
 
     def expected_tokens_before(self, curve: LengthCurve) -> float:
-        """Return the expected tokens of the answers that go first: short work waits for short."""
+        """Return the expected tokens taken first; short work waits only for short work."""
         return self._expected_short_tokens if self.is_short(curve) else self._expected_tokens
 
-    def delay(self, account: ClientAccountId) -> float:
-        """Return by how much an account's requests stand back for what it was served, in ms."""
+    def fairness_delay_ms(self, account: ClientAccountId) -> float:
+        """Return the delay of an account's requests for the service it received, in ms."""
         if not self._active:
             return 0.0
-        least = min(queue.served for queue in self._active.values())
-        return self._tuning.fairness_ms_per_token * max(self._queue(account).served - least, 0.0)
+        min_served = min(queue.served for queue in self._active.values())
+        return self._tuning.fairness_ms_per_token * max(
+            self._get_queue(account).served - min_served, 0.0
+        )
 
     def push(
-        self, *, request: PlacementRequest, curve: LengthCurve, promised: bool, now: Millis
-    ) -> Waiting:
-        """Queue a generation."""
+        self, *, request: PlacementRequest, curve: LengthCurve, has_reservation: bool, now: Millis
+    ) -> QueuedRequest:
+        """Queue a generation.
+
+        :returns: Its queue entry.
+        """
         tuning = self._tuning
         key = (
             request.arrived
@@ -129,79 +135,90 @@
             + tuning.length_ms_per_token * curve.mean
         )
         self._number += 1
-        waiting = Waiting(key, self._number, request, curve, now, promised)
+        waiting = QueuedRequest(key, self._number, request, curve, now, has_reservation)
         queue = self._activate(request.account)
         heapq.heappush(queue.heap, waiting)
         self._entries[request.generation] = waiting
-        self._count(curve, sign=1.0)
+        self._count_expected(curve, sign=1.0)
         return waiting
 
-    def remove(self, generation: GenerationId) -> Waiting | None:
-        """Take a generation out."""
+    def remove(self, generation: GenerationId) -> QueuedRequest | None:
+        """Remove a generation from the queue.
+
+        :returns: Its queue entry, or ``None`` if it is not queued.
+        """
         waiting = self._entries.pop(generation, None)
         if waiting is None:
             return None
         waiting.withdrawn = True
-        self._count(waiting.curve, sign=-1.0)
+        self._count_expected(waiting.curve, sign=-1.0)
         account = waiting.request.account
         if self._queues[account].head() is None:
             self._active.pop(account, None)
         return waiting
 
     def charge(self, account: ClientAccountId, *, prompt: int = 0, output: int = 0) -> None:
-        """Count service given to an account."""
-        queue = self._queue(account)
-        queue.served += (prompt + OUTPUT_COST * output) / queue.weight
+        """Add the cost of prompt and output tokens to the service an account has received."""
+        queue = self._get_queue(account)
+        queue.served += (prompt + OUTPUT_TOKEN_COST * output) / queue.weight
 
-    def candidates(self, *, most: int) -> list[Waiting]:
-        """Return the first waiting generations of the merged order.
+    def candidates(self, *, limit: int) -> list[QueuedRequest]:
+        """Return the first queued generations in the merged order, without removing them.
 
-        :param most: How many to return at most.
+        :param limit: Maximum number of generations to return.
         """
         if not self._active:
             return []
-        least = min(queue.served for queue in self._active.values())
-        gain = self._tuning.fairness_ms_per_token
-        merged: list[Waiting] = []
-        heads: list[tuple[float, int, Waiting, float]] = []
+        min_served = min(queue.served for queue in self._active.values())
+        delay_per_token = self._tuning.fairness_ms_per_token
+        merged: list[QueuedRequest] = []
+        heads: list[tuple[float, int, QueuedRequest, float]] = []
         for queue in self._active.values():
             head = queue.head()
             if head is not None:
-                delay = gain * (queue.served - least)
-                heads.append((head.key + delay, head.number, head, delay))
+                delay_ms = delay_per_token * (queue.served - min_served)
+                heads.append((head.key + delay_ms, head.number, head, delay_ms))
         heapq.heapify(heads)
-        while heads and len(merged) < most:
-            _, _, head, delay = heapq.heappop(heads)
+        while heads and len(merged) < limit:
+            _, _, head, delay_ms = heapq.heappop(heads)
             merged.append(head)
-            following = self._next(head)
+            following = self._peek_next(head)
             if following is not None:
-                heapq.heappush(heads, (following.key + delay, following.number, following, delay))
+                heapq.heappush(
+                    heads,
+                    (
+                        following.key + delay_ms,
+                        following.number,
+                        following,
+                        delay_ms,
+                    ),
+                )
         for waiting in merged:
             heapq.heappush(self._queues[waiting.request.account].heap, waiting)
         return merged
 
-    def _count(self, curve: LengthCurve, *, sign: float) -> None:
+    def _count_expected(self, curve: LengthCurve, *, sign: float) -> None:
         self._expected_tokens += sign * curve.mean
         if self.is_short(curve):
             self._expected_short_tokens += sign * curve.mean
 
-    def _next(self, head: Waiting) -> Waiting | None:
-        """Take a head off its heap for a moment, to see what comes after it."""
+    def _peek_next(self, head: QueuedRequest) -> QueuedRequest | None:
+        """Pop a head and return the request after it; the caller pushes the head back."""
         queue = self._queues[head.request.account]
         heapq.heappop(queue.heap)
         return queue.head()
 
     def _activate(self, account: ClientAccountId) -> _AccountQueue:
-        queue = self._queue(account)
+        queue = self._get_queue(account)
         if account not in self._active:
-            # An account that was away must not come back with credit saved up (VTC's lift).
+            # An account without requests accumulates no credit (the counter lift of VTC).
             if self._active:
-                least = min(item.served for item in self._active.values())
-                queue.served = max(queue.served, least)
+                min_served = min(item.served for item in self._active.values())
+                queue.served = max(queue.served, min_served)
             self._active[account] = queue
         return queue
 
-    def _queue(self, account: ClientAccountId) -> _AccountQueue:
+    def _get_queue(self, account: ClientAccountId) -> _AccountQueue:
         queue = self._queues.get(account)
         if queue is None:
             weight = self._accounts.get(account, DEFAULT_ACCOUNT).weight
--- a/src/tanagerscale/policy/_retries.py
+++ b/src/tanagerscale/policy/_retries.py
@@ -1,4 +1,4 @@
-"""How much of the work may be retries."""
+"""Retry budget."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from tanagerscale.core import Millis
 
 RETRY_RATIO = 0.1
-"""Retries for each request that was sent."""
+"""Retries granted for each request that was sent."""
 
 RETRY_RESERVE = 10.0
-"""Most retries that quiet times may save up."""
+"""Maximum number of retries that can accumulate."""
 
 
 @final
 class RetryBudget:
-    """Keeps retries to a tenth of the work, so that failures don't multiply load.
+    """Limits retries to a tenth of the requests, so that failures don't multiply the load.
 
     :param ratio: Retries granted for each request.
-    :param reserve: Most retries saved up.
-    :param start: What a new budget starts with; ``None`` means the whole reserve.
-    :param refilled: Since when time alone grants retries; ``None`` means from the first refill on.
+    :param reserve: Maximum number of accumulated retries.
+    :param start: Initial number of retries; ``None`` means the whole reserve.
+    :param last_refill: Time of the last refill by time; ``None`` means that the first call of
+        ``refill`` grants nothing.
     """
 
     def __init__(
@@ -30,41 +31,41 @@
         ratio: float = RETRY_RATIO,
         reserve: float = RETRY_RESERVE,
         start: float | None = None,
-        refilled: Millis | None = None,
+        last_refill: Millis | None = None,
     ) -> None:
         self._ratio = ratio
         self._reserve = reserve
         self._tokens = reserve if start is None else start
-        self._refilled = refilled
+        self._last_refill = last_refill
 
     def set_reserve(self, *, reserve: float) -> None:
-        """Replace the most retries saved up."""
+        """Replace the maximum number of accumulated retries."""
         self._reserve = reserve
         self._tokens = min(self._tokens, reserve)
 
     def refill(self, *, now: Millis, per_s: float) -> None:
-        """Save up what time alone grants.
+        """Add the retries granted by elapsed time.
 
-        :param now: The present time.
-        :param per_s: Retries granted in a second.
+        :param now: Current time.
+        :param per_s: Retries granted per second.
         """
-        if self._refilled is not None:
-            gained = (now - self._refilled) * per_s / MS_PER_SECOND
-            self._tokens = min(self._tokens + gained, self._reserve)
-        self._refilled = now
+        if self._last_refill is not None:
+            granted = (now - self._last_refill) * per_s / MS_PER_SECOND
+            self._tokens = min(self._tokens + granted, self._reserve)
+        self._last_refill = now
 
     def on_request(self) -> None:
-        """Count a request's first attempt."""
+        """Count the first attempt of a request."""
         self.on_requests(1)
 
     def on_requests(self, number: int) -> None:
-        """Count the first attempts of some requests."""
+        """Count the first attempts of several requests."""
         self._tokens = min(self._tokens + self._ratio * number, self._reserve)
 
     def try_spend(self) -> bool:
         """Take one retry from the budget.
 
-        :returns: Whether there was one; without it the caller gets its error.
+        :returns: Whether a retry was left; otherwise the caller gets the error.
         """
         if self._tokens < 1.0:
             return False
--- a/src/tanagerscale/policy/_simple.py
+++ b/src/tanagerscale/policy/_simple.py
@@ -1,4 +1,4 @@
-"""Schedulers without a forecast: each request goes to an engine at once."""
+"""Schedulers without a forecast, which send each request to an engine immediately."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ImmediateScheduler:
-    """Sends each request on as soon as an engine takes work; engines do the queueing."""
+    """Sends each request as soon as any engine accepts work; the engines do the queueing."""
 
     def __init__(self) -> None:
         self._engines: dict[UpstreamId, EngineSpec] = {}
@@ -24,21 +24,21 @@
         self._running: dict[GenerationId, UpstreamId] = {}
         self._outstanding: dict[UpstreamId, int] = {}
         self.loads: dict[UpstreamId, EngineLoad] = {}
-        """Latest report of each engine."""
+        """Latest load report of each engine."""
 
     def choose(self, *, candidates: Sequence[UpstreamId]) -> UpstreamId:
         """Return the engine for the next request.
 
-        :param candidates: Engines that take work, never empty.
+        :param candidates: Engines that accept work, never empty.
         """
         raise NotImplementedError
 
     def outstanding(self, engine: UpstreamId) -> int:
-        """Return how many requests this scheduler has on an engine."""
+        """Return how many requests of this scheduler are on an engine."""
         return self._outstanding.get(engine, 0)
 
     def set_engines(self, *, engines: Sequence[EngineSpec], now: Millis) -> None:
-        """Replace the engines that take new work."""
+        """Replace the engines that accept new work."""
         self._engines = {spec.engine: spec for spec in engines}
 
     def submit(self, *, request: PlacementRequest, now: Millis) -> None:
@@ -46,7 +46,7 @@
         self._queue[request.generation] = request
 
     def withdraw(self, *, generation: GenerationId, now: Millis) -> None:
-        """Forget a queued generation."""
+        """Remove a queued generation."""
         self._queue.pop(generation, None)
 
     def on_progress(self, *, generation: GenerationId, tokens: int, now: Millis) -> None:
@@ -61,21 +61,23 @@
             self._outstanding[engine] -= 1
 
     def on_load(self, *, load: EngineLoad, now: Millis) -> None:
-        """Keep the latest report of each engine."""
+        """Store the latest load report of an engine."""
         self.loads[load.engine] = load
 
     def on_cache(self, *, engine: UpstreamId, prefix: str, stored: bool, now: Millis) -> None:
         """Ignore cache events."""
 
     def on_engine_lost(self, *, engine: UpstreamId, now: Millis) -> None:
-        """Forget an engine and all it ran."""
+        """Remove an engine and all generations on it."""
         self._engines.pop(engine, None)
         self._outstanding.pop(engine, None)
-        for generation in [item for item, where in self._running.items() if where == engine]:
+        for generation in [
+            item for item, running_on in self._running.items() if running_on == engine
+        ]:
             del self._running[generation]
 
     def decide(self, *, now: Millis) -> Sequence[Decision]:
-        """Admit everything that some engine may take."""
+        """Admit every generation that some engine may run."""
         decisions = []
         for generation, request in list(self._queue.items()):
             candidates = [item for item in self._engines if item not in request.excluded]
@@ -93,7 +95,7 @@
 
 @final
 class LeastOutstanding(ImmediateScheduler):
-    """Sends each request to the engine on which this scheduler has the fewest."""
+    """Sends each request to the engine with the fewest requests of this scheduler."""
 
     def choose(self, *, candidates: Sequence[UpstreamId]) -> UpstreamId:
         """Return the candidate with the fewest requests of this scheduler."""
--- a/src/tanagerscale/policy/_tuning.py
+++ b/src/tanagerscale/policy/_tuning.py
@@ -1,4 +1,4 @@
-"""The numbers a forecasting scheduler works with."""
+"""Settings of the forecasting scheduler."""
 
 from __future__ import annotations
 
@@ -10,28 +10,30 @@
 
 DEFAULT_DEVIATIONS = 1.75
 DEVIATIONS_GAIN = 0.6
-MOST_DEVIATIONS = 4.0
+MAX_DEVIATIONS = 4.0
 MEMORY_GAIN = 0.15
-LEAST_MEMORY_PART = 0.5
-LEAST_WEIGHT = 1e-3
-"""Keeps ratios finite when a weight is 0."""
+MIN_MEMORY_PART = 0.5
+MIN_WEIGHT = 1e-3
+"""Lower bound of a weight, which keeps the ratios of weights finite when one is 0."""
 
 
 class Tuning(Struct, frozen=True, kw_only=True):
-    """Settings of the scheduler, tuned by replay on seeds 1-5.
+    """Settings of the forecasting scheduler.
 
     :param deviations: Standard deviations of forecast memory kept free.
-    :param memory_part: Part of an engine's memory to fill; less of it makes steps faster.
+    :param memory_part: Part of an engine's memory to fill; a smaller part makes decoding steps
+        faster.
     :param short_tokens: Expected tokens up to which work counts as short.
-    :param length_ms_per_token: How much later in the queue each expected token puts a request.
-    :param priority_ms: How much later in the queue each step of priority puts a request.
-    :param fairness_ms_per_token: How much later each token served above the least served
-        waiting account, for its weight, puts an account's requests.
-    :param neighbour_tokens: Prompt tokens that one more generation in the batch costs as much as.
-    :param prompt_gain: How much more a prompt token to compute counts than one that waits.
-    :param fill_tokens: Prompt tokens that a full engine costs as much as, against an empty one.
+    :param length_ms_per_token: Delay in the queue for each expected token.
+    :param priority_ms: Delay in the queue for each step of priority.
+    :param fairness_ms_per_token: Delay in the queue of an account's requests for each token it was
+        served more than the least served waiting account, relative to its weight.
+    :param neighbour_tokens: Cost of each generation already in the batch, in prompt tokens.
+    :param prompt_gain: Cost of a prompt token to compute, relative to one already waiting for
+        prefill.
+    :param fill_tokens: Extra cost of a full engine over an empty one, in prompt tokens.
     :param use_prefixes: Whether cached prefixes count in placement.
-    :param shed_after_ms: Forecast time to empty the queue above which newcomers are shed.
+    :param shed_after_ms: Forecast time to empty the queue above which new requests are shed.
     """
 
     deviations: float = DEFAULT_DEVIATIONS
@@ -48,16 +50,16 @@
 
 
 def tuning_for(*, objective: Objective) -> Tuning:
-    """Return the settings for what the operators weigh.
+    """Return the settings for the declared objective.
 
-    :param objective: The declared weights; only their ratios count.
+    :param objective: Declared weights; only their ratios matter.
     """
-    stall = max(objective.stall_weight, LEAST_WEIGHT)
-    preemptions = max(objective.preemption_weight, LEAST_WEIGHT) / stall
-    tail = max(objective.tail_weight, LEAST_WEIGHT) / stall
-    deviations = DEFAULT_DEVIATIONS + DEVIATIONS_GAIN * math.log(preemptions)
-    memory_part = 1.0 - MEMORY_GAIN * max(math.log(tail), 0.0)
+    stall_weight = max(objective.stall_weight, MIN_WEIGHT)
+    preemption_ratio = max(objective.preemption_weight, MIN_WEIGHT) / stall_weight
+    tail_ratio = max(objective.tail_weight, MIN_WEIGHT) / stall_weight
+    deviations = DEFAULT_DEVIATIONS + DEVIATIONS_GAIN * math.log(preemption_ratio)
+    memory_part = 1.0 - MEMORY_GAIN * max(math.log(tail_ratio), 0.0)
     return Tuning(
-        deviations=min(max(deviations, 0.0), MOST_DEVIATIONS),
-        memory_part=max(memory_part, LEAST_MEMORY_PART),
+        deviations=min(max(deviations, 0.0), MAX_DEVIATIONS),
+        memory_part=max(memory_part, MIN_MEMORY_PART),
     )
--- a/src/tanagerscale/policy/_types.py
+++ b/src/tanagerscale/policy/_types.py
@@ -1,8 +1,8 @@
-"""What a scheduler is told and what it decides; no I/O.
+"""Input and output types of schedulers, without I/O.
 
-A scheduler holds the queue and the ledger of one pool of engines. The daemon and the replay
-drive it in the same way: they report events, then call ``decide`` and carry out what it returns.
-All times are milliseconds of one monotonic clock, handed in with each call.
+A scheduler holds the queue and the ledgers of one pool of engines. The daemon and the replay use it
+in the same way: they report events, then call ``decide`` and carry out the decisions it returns.
+All times are milliseconds of one monotonic clock, passed in with each call.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class EngineSpec(Struct, frozen=True, kw_only=True):
-    """What is declared of an engine.
+    """Declared properties of an engine.
 
-    :param engine: Its id.
-    :param memory_tokens: Tokens of key-value memory.
-    :param max_batch: Most generations decoded together.
+    :param engine: Id of the engine.
+    :param memory_tokens: Key-value memory, in tokens.
+    :param max_batch: Maximum number of generations decoded together.
     """
 
     engine: UpstreamId
@@ -35,21 +35,22 @@
 
 
 class PlacementRequest(Struct, frozen=True, kw_only=True):
-    """A generation that needs an engine. Its length is unknown.
-
-    :param generation: Its id.
-    :param model: Model asked for.
-    :param adapter: Adapter asked for, or the empty string.
-    :param account: Client account that asks.
-    :param request_class: Name the caller gives to its kind of request, or the empty string.
-    :param priority: 0 goes first.
+    """A generation that needs an engine; its answer length is unknown.
+
+    :param generation: Id of the generation.
+    :param model: Requested model.
+    :param adapter: Requested adapter, or the empty string.
+    :param account: Client account of the caller.
+    :param request_class: Name that the caller gives to this kind of request, or the empty string.
+    :param priority: Priority; 0 is served first.
     :param prompt_tokens: Length of the prompt.
-    :param max_tokens: Longest answer the caller accepts.
+    :param max_tokens: Maximum length of the answer, set by the caller.
     :param prefix: Hash of the shared part of the prompt, or the empty string.
     :param prefix_tokens: Length of that part.
-    :param movable: Whether nothing has been delivered, so that it may be started again elsewhere.
+    :param movable: Whether it may be restarted on another engine, as nothing has been delivered
+        yet.
     :param arrived: When it arrived at its entry host.
-    :param excluded: Engines not to choose.
+    :param excluded: Engines that must not be selected.
     :param sheddable: Whether it may be refused under overload; false once it has waited or run.
     """
 
@@ -70,14 +71,14 @@
 
 
 class EngineLoad(Struct, frozen=True, kw_only=True):
-    """What an engine said of itself, some time ago.
-
-    :param engine: Its id.
-    :param measured: When it was true.
-    :param running: Generations in its batch.
-    :param waiting: Generations in its own queue.
-    :param used_tokens: Tokens of memory in use.
-    :param preemptions: Preemptions since it started.
+    """Load report of an engine, which may be out of date.
+
+    :param engine: Id of the engine.
+    :param measured: When the load was measured.
+    :param running: Number of generations in its batch.
+    :param waiting: Number of generations in its own queue.
+    :param used_tokens: Memory in use, in tokens.
+    :param preemptions: Number of preemptions since it started.
     """
 
     engine: UpstreamId
@@ -89,7 +90,7 @@
 
 
 class AccountSpec(Struct, frozen=True, kw_only=True):
-    """What a scheduler and the limits need to know of a client account.
+    """Properties of a client account that schedulers and limits use.
 
     :param weight: Share of the engines under contention, relative to other accounts.
     :param requests_per_second: Limit over all hosts together; 0 means none.
@@ -105,21 +106,21 @@
 
 @unique
 class DecisionKind(Enum):
-    """What is to become of a generation."""
+    """Action to take on a generation."""
 
     ADMIT = "admit"
     SHED = "shed"
     MOVE = "move"
-    """Cancel it where it runs; it stands in the queue again."""
+    """Cancel it on its engine; it is queued again."""
 
 
 class Decision(Struct, frozen=True, kw_only=True):
-    """What a scheduler decided.
+    """Decision of a scheduler about a generation.
 
-    :param kind: What to do.
-    :param generation: For which generation.
+    :param kind: Action to take.
+    :param generation: Id of the generation.
     :param engine: Engine to send it to, or to cancel it on; ``None`` when it is shed.
-    :param retry_after_ms: When shed, how long the caller should stay away.
+    :param retry_after_ms: When it is shed, how long the caller should wait before it retries.
     """
 
     kind: DecisionKind
@@ -129,33 +130,33 @@
 
 
 class Scheduler(Protocol):
-    """Decides for one pool which generation runs where and when."""
+    """Decides when each generation of one pool runs and on which engine."""
 
     def set_engines(self, *, engines: Sequence[EngineSpec], now: Millis) -> None:
-        """Replace the engines that take new work; others only finish what they run."""
+        """Replace the engines that accept new work; others only finish what they run."""
 
     def submit(self, *, request: PlacementRequest, now: Millis) -> None:
         """Queue a generation."""
 
     def withdraw(self, *, generation: GenerationId, now: Millis) -> None:
-        """Forget a queued generation whose caller has left."""
+        """Remove a queued generation whose caller has disconnected."""
 
     def on_progress(self, *, generation: GenerationId, tokens: int, now: Millis) -> None:
-        """Record that a running generation has made ``tokens`` tokens so far."""
+        """Record that a running generation has generated ``tokens`` tokens so far."""
 
     def on_finished(
         self, *, generation: GenerationId, tokens: int, complete: bool, now: Millis
     ) -> None:
-        """Record that a generation left its engine; lengths are learnt from complete ones only."""
+        """Record that a generation left its engine; only complete answers count as lengths."""
 
     def on_load(self, *, load: EngineLoad, now: Millis) -> None:
-        """Take in a late report."""
+        """Apply a load report, which may be delayed."""
 
     def on_cache(self, *, engine: UpstreamId, prefix: str, stored: bool, now: Millis) -> None:
-        """Take in a cache event, which may be late or one of several that went missing."""
+        """Apply a cache event; events may be delayed or lost."""
 
     def on_engine_lost(self, *, engine: UpstreamId, now: Millis) -> None:
-        """Forget an engine and all it ran."""
+        """Remove an engine and all generations on it."""
 
     def decide(self, *, now: Millis) -> Sequence[Decision]:
-        """Return what to do now; called after events and at least every 100 ms."""
+        """Return the current decisions; called after events and at least every 100 ms."""
--- a/src/tanagerscale/replay/_layouts.py
+++ b/src/tanagerscale/replay/_layouts.py
@@ -121,7 +121,7 @@
 
     def on_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
         """Let each host learn from its own answers, so that it can take over."""
-        self._schedulers[host].learn(request=request, tokens=tokens)
+        self._schedulers[host].observe(request=request, tokens=tokens)
 
     def on_fault(self, world: World, *, case: Case, began: bool) -> None:
         """Have hosts fall back to their share, and return to the owner afterwards."""
@@ -223,7 +223,7 @@
         shares: list[dict[UpstreamId, float]] = [{} for _ in self._schedulers]
         for name in world.engines:
             memory = world.settings.model.memory_tokens
-            held = [scheduler.held(engine=name) / memory for scheduler in self._schedulers]
+            held = [scheduler.held_tokens(engine=name) / memory for scheduler in self._schedulers]
             free = max(1.0 - sum(held), 0.0)
             for index, part in enumerate(held):
                 shares[index][name] = part + free * wants[index] / total
--- a/testing/test_host_schedulers.py
+++ b/testing/test_host_schedulers.py
@@ -1,4 +1,4 @@
-"""The schedulers of one host follow the declarations and share what is known of lengths."""
+"""Schedulers of one host apply changed declarations and share their length estimates."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
     )
 
 
-def test_new_owner_knows_lengths_when_its_host_served_answers_that_others_placed() -> None:
+def test_new_owner_has_estimates_from_answers_that_other_hosts_placed() -> None:
     schedulers = HostSchedulers(rng=random.Random(1))
-    strange = schedulers.make()
+    earlier = schedulers.make()
     for number in range(50):
         schedulers.learn(_request(f"g{number}"), 20)
     owner = schedulers.make()
     assert isinstance(owner, ForecastScheduler)
-    assert isinstance(strange, ForecastScheduler)
-    for scheduler in (owner, strange):
+    assert isinstance(earlier, ForecastScheduler)
+    for scheduler in (owner, earlier):
         scheduler.submit(request=_request("next"), now=Millis(0))
         assert scheduler.expected_tokens < 100
 
 
-def _served_first(scheduler: ForecastScheduler) -> list[ClientAccountId]:
-    """Serve one answer after another to two accounts that always wait."""
+def _service_order(scheduler: ForecastScheduler) -> list[ClientAccountId]:
+    """Return the order in which two accounts with a constant backlog are served."""
     scheduler.set_engines(engines=[ENGINE], now=Millis(0))
     names = {GenerationId("early"): HEAVY, GenerationId("early-light"): LIGHT}
     for number in range(40):
@@ -71,5 +71,5 @@
     scheduler.submit(request=_request("early-light", LIGHT), now=Millis(0))
     specs = {HEAVY: AccountSpec(weight=4.0), LIGHT: AccountSpec(weight=1.0)}
     scheduler.reconfigure(objective=Objective(), accounts=specs)
-    order = _served_first(scheduler)
+    order = _service_order(scheduler)
     assert order.count(HEAVY) >= 2 * order.count(LIGHT)
--- a/testing/test_limits_processes.py
+++ b/testing/test_limits_processes.py
@@ -14,7 +14,7 @@
 from standins.launcher import ClusterPlan
 from tanagerscale.generated.callers import HostStatus
 from tanagerscale.generated.declarations import ClientAccount
-from tanagerscale.policy._limits import STALE_MS
+from tanagerscale.policy._limits import MAX_USAGE_AGE_MS
 from testing._callers import MODEL
 from testing._callers import headers
 from testing.conftest import StartServing
@@ -125,4 +125,4 @@
         await asyncio.sleep(ROUND_PAUSE_S)
         async with session.get(f"{cluster.caller_url('host-1')}/v1/status") as response:
             status = msgspec.json.decode(await response.read(), type=HostStatus)
-    await asyncio.sleep(STALE_MS / 1000)
+    await asyncio.sleep(MAX_USAGE_AGE_MS / 1000)
--- a/testing/test_policy.py
+++ b/testing/test_policy.py
@@ -1,4 +1,4 @@
-"""The forecasting scheduler: bookkeeping, learning and admission."""
+"""Forecasting scheduler: bookkeeping, length estimates and admission."""
 
 from __future__ import annotations
 
@@ -67,18 +67,18 @@
 
 
 def scheduler(*, tuning: Tuning | None = None, share: float = 1.0) -> ForecastScheduler:
-    made = ForecastScheduler(accounts={}, tuning=tuning or Tuning(), rng=Random(1), share=share)
-    made.set_engines(engines=[spec(engine) for engine in ENGINES], now=Millis(0))
-    return made
+    target = ForecastScheduler(accounts={}, tuning=tuning or Tuning(), rng=Random(1), share=share)
+    target.set_engines(engines=[spec(engine) for engine in ENGINES], now=Millis(0))
+    return target
 
 
-def teach(target: ForecastScheduler, *, kind: str, tokens: int, count: int = 60) -> None:
+def train_estimator(target: ForecastScheduler, *, kind: str, tokens: int, count: int = 60) -> None:
     for number in range(count):
-        target.learn(request=request(number, kind=kind), tokens=tokens)
+        target.observe(request=request(number, kind=kind), tokens=tokens)
 
 
 class SchedulerMachine(RuleBasedStateMachine):
-    """Compares the scheduler with sets of what is queued and what runs where."""
+    """Compares the scheduler with a model of the queued and running generations."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -121,9 +121,9 @@
         del self.queued[generation]
         self.scheduler.withdraw(generation=generation, now=self.now)
 
-    @rule(passed=st.integers(0, 2_000))
-    def decide(self, passed: int) -> None:
-        self.now = Millis(self.now + passed)
+    @rule(elapsed_ms=st.integers(0, 2_000))
+    def decide(self, elapsed_ms: int) -> None:
+        self.now = Millis(self.now + elapsed_ms)
         for decision in self.scheduler.decide(now=self.now):
             asked = self.queued.pop(decision.generation)
             if decision.kind is DecisionKind.SHED:
@@ -137,10 +137,10 @@
             self.tokens[decision.generation] = 0
 
     @precondition(lambda self: self.running)
-    @rule(data=st.data(), made=st.integers(0, 400))
-    def progress(self, data: st.DataObject, made: int) -> None:
+    @rule(data=st.data(), new_tokens=st.integers(0, 400))
+    def progress(self, data: st.DataObject, new_tokens: int) -> None:
         generation = data.draw(st.sampled_from(sorted(self.running)))
-        self.tokens[generation] += made
+        self.tokens[generation] += new_tokens
         self.scheduler.on_progress(
             generation=generation, tokens=self.tokens[generation], now=self.now
         )
@@ -167,7 +167,7 @@
         self.scheduler.set_engines(engines=[spec(item) for item in engines], now=self.now)
 
     @rule(engine=st.sampled_from(ENGINES))
-    def lose(self, engine: UpstreamId) -> None:
+    def lose_engine(self, engine: UpstreamId) -> None:
         self.open.discard(engine)
         self.scheduler.on_engine_lost(engine=engine, now=self.now)
         self.running = {name: where for name, where in self.running.items() if where != engine}
@@ -185,14 +185,14 @@
         self.scheduler.on_load(load=load, now=self.now)
 
     @invariant()
-    def agrees(self) -> None:
+    def check_counts(self) -> None:
         assert self.scheduler.queued == len(self.queued)
         assert self.scheduler.running == len(self.running)
 
     def teardown(self) -> None:
         for generation in list(self.running):
             self._finish(generation, complete=True)
-        assert [self.scheduler.held(engine=engine) for engine in ENGINES] == [0, 0, 0]
+        assert [self.scheduler.held_tokens(engine=engine) for engine in ENGINES] == [0, 0, 0]
         for generation in list(self.queued):
             self.scheduler.withdraw(generation=generation, now=self.now)
         assert self.scheduler.queued == 0
@@ -221,11 +221,11 @@
     for number in range(200):
         estimator.observe(request=request(number, kind="check"), tokens=20)
         estimator.observe(request=request(number, kind="plan"), tokens=2_000)
-    stranger = estimator.curve(request=request(1, account="stranger", kind="check"))
-    assert 15 < stranger.mean < 60
+    new_account = estimator.curve(request=request(1, account="stranger", kind="check"))
+    assert 15 < new_account.mean < 60
 
 
-def test_estimator_follows_when_lengths_change() -> None:
+def test_estimator_adapts_when_lengths_change() -> None:
     estimator = LengthEstimator()
     for tokens in (20, 2_000):
         for number in range(2_000):
@@ -233,7 +233,7 @@
     assert estimator.curve(request=request(1)).mean > 1_500
 
 
-def test_odds_to_go_on_grow_when_a_heavy_tailed_answer_goes_on() -> None:
+def test_survival_odds_grow_with_length_when_lengths_are_heavy_tailed() -> None:
     rng = Random(3)
     estimator = LengthEstimator()
     for number in range(2_000):
@@ -253,9 +253,9 @@
     assert limited.survival(60) == 0.0
 
 
-def test_quiet_night_does_not_have_the_first_burst_refused() -> None:
+def test_first_burst_is_not_shed_after_a_quiet_period() -> None:
     target = scheduler()
-    teach(target, kind="plan", tokens=2_000)
+    train_estimator(target, kind="plan", tokens=2_000)
     for number in range(100):
         now = Millis(number * 10_000)
         target.submit(request=request(number, kind="plan", arrived=now), now=now)
@@ -271,11 +271,11 @@
     assert target.queued > 0
 
 
-def test_admission_holds_back_when_forecast_memory_is_full() -> None:
+def test_admission_is_limited_when_forecast_memory_is_full() -> None:
     admitted = {}
     for tokens in (20, 3_000):
         target = scheduler()
-        teach(target, kind="check", tokens=tokens)
+        train_estimator(target, kind="check", tokens=tokens)
         for number in range(24):
             target.submit(request=request(number), now=Millis(0))
         admitted[tokens] = len(target.decide(now=Millis(0)))
@@ -285,8 +285,8 @@
 
 def test_short_work_goes_first_when_both_wait() -> None:
     target = scheduler(tuning=Tuning(shed_after_ms=1e9))
-    teach(target, kind="check", tokens=20)
-    teach(target, kind="plan", tokens=2_000)
+    train_estimator(target, kind="check", tokens=20)
+    train_estimator(target, kind="plan", tokens=2_000)
     for number in range(60):
         target.submit(request=request(number, kind="plan"), now=Millis(0))
     target.submit(request=request(99, kind="check", arrived=1), now=Millis(1))
@@ -295,12 +295,12 @@
 
 def test_long_work_goes_first_when_it_has_waited_long() -> None:
     target = scheduler(tuning=Tuning(shed_after_ms=1e9))
-    teach(target, kind="check", tokens=20)
-    teach(target, kind="plan", tokens=2_000)
-    late = 2_000 * int(Tuning().length_ms_per_token) + 60_000
-    target.submit(request=request(99, kind="check", arrived=late), now=Millis(late))
-    target.submit(request=request(1, kind="plan", arrived=0), now=Millis(late))
-    assert target.decide(now=Millis(late))[0].generation == GenerationId("generation-1")
+    train_estimator(target, kind="check", tokens=20)
+    train_estimator(target, kind="plan", tokens=2_000)
+    late_ms = 2_000 * int(Tuning().length_ms_per_token) + 60_000
+    target.submit(request=request(99, kind="check", arrived=late_ms), now=Millis(late_ms))
+    target.submit(request=request(1, kind="plan", arrived=0), now=Millis(late_ms))
+    assert target.decide(now=Millis(late_ms))[0].generation == GenerationId("generation-1")
 
 
 def test_prefix_decides_the_engine_when_loads_are_equal() -> None:
@@ -311,14 +311,14 @@
         assert target.decide(now=Millis(1))[0].engine == engine
 
 
-def test_share_bounds_memory_when_an_owner_is_out_of_reach() -> None:
+def test_share_bounds_memory_when_the_owner_is_unreachable() -> None:
     target = scheduler(share=0.25)
     target.set_engines(engines=[spec(engine, batch=64) for engine in ENGINES], now=Millis(0))
-    teach(target, kind="check", tokens=20)
+    train_estimator(target, kind="check", tokens=20)
     for number in range(60):
         target.submit(request=request(number, prompt=400), now=Millis(0))
     target.decide(now=Millis(0))
-    assert 0 < max(target.held(engine=engine) for engine in ENGINES) <= MEMORY / 4
+    assert 0 < max(target.held_tokens(engine=engine) for engine in ENGINES) <= MEMORY / 4
 
 
 def test_accounts_are_served_by_weight_when_both_wait() -> None:
@@ -327,7 +327,7 @@
         accounts=specs, tuning=Tuning(shed_after_ms=1e9, fairness_ms_per_token=5.0), rng=Random(1)
     )
     target.set_engines(engines=[spec(ENGINES[0], memory=2_000)], now=Millis(0))
-    teach(target, kind="check", tokens=100)
+    train_estimator(target, kind="check", tokens=100)
     for number in range(200):
         account = "a" if number % 2 else "b"
         target.submit(request=request(number, account=account), now=Millis(0))
@@ -342,9 +342,9 @@
 
 
 def test_only_sheddable_requests_are_shed_under_overload() -> None:
-    # Guards against shedding a request that has already waited or run.
+    # Guards against shedding a request that has already waited for or run on an engine.
     target = scheduler(tuning=Tuning(shed_after_ms=5_000.0))
-    teach(target, kind="plan", tokens=2_000)
+    train_estimator(target, kind="plan", tokens=2_000)
     shed: set[GenerationId] = set()
     for number in range(200):
         now = Millis(number * 100)
@@ -360,43 +360,43 @@
     assert not shed & {GenerationId(f"generation-{number}") for number in range(1, 200, 2)}
 
 
-def test_shed_callers_are_taken_when_they_come_back_as_told() -> None:
+def test_shed_callers_are_admitted_when_they_retry_as_told() -> None:
     target = scheduler(tuning=Tuning(shed_after_ms=5_000.0))
-    teach(target, kind="plan", tokens=2_000)
-    told: dict[GenerationId, int] = {}
+    train_estimator(target, kind="plan", tokens=2_000)
+    retry_times: dict[GenerationId, int] = {}
     number = 0
-    taken = refused = 0
+    retries = refused = 0
     for now in range(0, 600_000, 100):
-        returning = [key for key, when in told.items() if when <= now]
+        returning = [key for key, when in retry_times.items() if when <= now]
         for key in returning:
-            del told[key]
-        for again in [True] * len(returning) + [False] * (now % 500 == 0):
+            del retry_times[key]
+        for is_retry in [True] * len(returning) + [False] * (now % 500 == 0):
             number += 1
             target.submit(request=request(number, kind="plan", arrived=now), now=Millis(now))
             for decision in target.decide(now=Millis(now)):
                 shed = decision.kind is DecisionKind.SHED
                 if shed:
-                    told[decision.generation] = now + decision.retry_after_ms
+                    retry_times[decision.generation] = now + decision.retry_after_ms
                 else:
                     target.on_progress(generation=decision.generation, tokens=1, now=Millis(now))
-                if again and decision.generation == GenerationId(f"generation-{number}"):
+                if is_retry and decision.generation == GenerationId(f"generation-{number}"):
                     refused += shed
-            taken += again
+            retries += is_retry
         if now % 2_000 == 0 and target.running:
             oldest = next(iter(target.running_generations()))
             target.on_finished(generation=oldest, tokens=2_000, complete=True, now=Millis(now))
-    assert taken >= 5
-    assert refused <= taken / 10
+    assert retries >= 5
+    assert refused <= retries / 10
 
 
-def test_objective_moves_the_dial_when_weights_change() -> None:
+def test_deviations_follow_the_objective_when_weights_change() -> None:
     careful = tuning_for(objective=Objective(preemption_weight=10.0, stall_weight=1.0))
     eager = tuning_for(objective=Objective(preemption_weight=1.0, stall_weight=10.0))
     assert careful.deviations > tuning_for(objective=Objective()).deviations > eager.deviations
 
 
-def test_factory_takes_work_when_asked_for_the_daemon() -> None:
-    made = make_scheduler(objective=Objective(), accounts={}, rng=Random(1))
-    made.set_engines(engines=[spec(ENGINES[0])], now=Millis(0))
-    made.submit(request=request(1), now=Millis(0))
-    assert [decision.engine for decision in made.decide(now=Millis(0))] == [ENGINES[0]]
+def test_made_scheduler_admits_a_request() -> None:
+    target = make_scheduler(objective=Objective(), accounts={}, rng=Random(1))
+    target.set_engines(engines=[spec(ENGINES[0])], now=Millis(0))
+    target.submit(request=request(1), now=Millis(0))
+    assert [decision.engine for decision in target.decide(now=Millis(0))] == [ENGINES[0]]
--- a/testing/test_policy_limits.py
+++ b/testing/test_policy_limits.py
@@ -1,4 +1,4 @@
-"""Retry budget, circuit breaker and limits of accounts over all hosts."""
+"""Retry budget and limits of accounts over all hosts."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 @cases(examples=100)
 @given(st.lists(st.booleans(), max_size=400))
-def test_retries_stay_within_a_tenth_when_anything_fails(wants: list[bool]) -> None:
+def test_retries_stay_within_a_tenth_of_requests_when_any_fail(attempts: list[bool]) -> None:
     budget = RetryBudget()
     requests = retries = 0
-    for retry in wants:
-        if retry:
+    for is_retry in attempts:
+        if is_retry:
             retries += budget.try_spend()
         else:
             requests += 1
@@ -38,7 +38,7 @@
         assert retries <= 10 + requests / 10
 
 
-def test_retry_budget_grants_a_tenth_when_all_fail() -> None:
+def test_retry_budget_grants_a_tenth_of_requests_when_all_fail() -> None:
     budget = RetryBudget()
     granted = 0
     for _ in range(1_000):
@@ -47,108 +47,114 @@
     assert granted == pytest.approx(110, abs=2)
 
 
-def fleet(spec: AccountSpec) -> dict[HostId, AccountLimits]:
+def make_hosts(spec: AccountSpec) -> dict[HostId, AccountLimits]:
     hosts = {host: AccountLimits(accounts={ACCOUNT: spec}) for host in HOSTS}
     for host, limits in hosts.items():
         limits.set_peers(peers=frozenset(HOSTS) - {host})
     return hosts
 
 
-def gossip(
-    hosts: dict[HostId, AccountLimits], now: Millis, reach: Callable[[HostId, HostId], bool]
+def exchange_heartbeats(
+    hosts: dict[HostId, AccountLimits], now: Millis, is_reachable: Callable[[HostId, HostId], bool]
 ) -> None:
-    told = {host: limits.usage(now=now) for host, limits in hosts.items()}
-    for host, usage in told.items():
+    announced = {host: limits.usage(now=now) for host, limits in hosts.items()}
+    for host, usage in announced.items():
         for peer, limits in hosts.items():
-            if peer != host and reach(host, peer):
+            if peer != host and is_reachable(host, peer):
                 limits.on_peer(host=host, usage=usage, now=now)
 
 
-def drive(
+def offer_load(
     spec: AccountSpec,
     *,
     entries: Sequence[HostId],
-    reach: Callable[[HostId, HostId], bool] = lambda _one, _other: True,
+    is_reachable: Callable[[HostId, HostId], bool] = lambda _one, _other: True,
     seconds: int = 40,
     per_second: int = 100,
-    lasts_ms: int = 0,
+    duration_ms: int = 0,
     tokens: int = 0,
 ) -> tuple[int, int, int]:
-    """Offer load and return requests started, the most that ran together, and tokens."""
-    hosts = fleet(spec)
-    started = most = used = turn = 0
+    """Offer load and return the requests started, the maximum concurrency and the tokens."""
+    hosts = make_hosts(spec)
+    started = max_running = used = next_entry = 0
     ends: list[tuple[int, HostId]] = []
     for time in range(0, seconds * 1_000, STEP_MS):
         now = Millis(time)
         if time % HEARTBEAT_MS == 0:
-            gossip(hosts, now, reach)
+            exchange_heartbeats(hosts, now, is_reachable)
         for _ in range(per_second * STEP_MS // 1_000):
-            host = entries[turn % len(entries)]
-            turn += 1
+            host = entries[next_entry % len(entries)]
+            next_entry += 1
             if hosts[host].try_start(account=ACCOUNT, tokens=0, now=now) is None:
                 started += 1
-                ends.append((time + lasts_ms, host))
-        most = max(most, len(ends))
+                ends.append((time + duration_ms, host))
+        max_running = max(max_running, len(ends))
         for end, host in [item for item in ends if item[0] <= time]:
             ends.remove((end, host))
             hosts[host].on_finished(account=ACCOUNT, tokens=tokens, now=now)
             used += tokens
-    return started, most, used
+    return started, max_running, used
 
 
-def halves(one: HostId, other: HostId) -> bool:
+def in_same_half(one: HostId, other: HostId) -> bool:
     return (one in HOSTS[:4]) == (other in HOSTS[:4])
 
 
 @pytest.mark.parametrize("entries", [HOSTS, HOSTS[:1]], ids=["all", "one"])
-def test_rate_is_near_the_limit_when_hosts_hear_one_another(entries: Sequence[HostId]) -> None:
-    started, _, _ = drive(AccountSpec(requests_per_second=20.0), entries=entries)
+def test_rate_is_near_the_limit_when_heartbeats_arrive(entries: Sequence[HostId]) -> None:
+    started, _, _ = offer_load(AccountSpec(requests_per_second=20.0), entries=entries)
     assert 0.85 * 800 <= started <= 1.1 * 800
 
 
-def test_rate_is_under_the_limit_when_hosts_are_cut_apart() -> None:
-    started, _, _ = drive(AccountSpec(requests_per_second=20.0), entries=HOSTS, reach=halves)
+def test_rate_is_under_the_limit_when_hosts_are_partitioned() -> None:
+    started, _, _ = offer_load(
+        AccountSpec(requests_per_second=20.0), entries=HOSTS, is_reachable=in_same_half
+    )
     assert started <= 1.1 * 800
-    alone, _, _ = drive(
-        AccountSpec(requests_per_second=20.0), entries=HOSTS, reach=lambda _one, _other: False
+    isolated, _, _ = offer_load(
+        AccountSpec(requests_per_second=20.0),
+        entries=HOSTS,
+        is_reachable=lambda _one, _other: False,
     )
-    assert 0 < alone <= 1.1 * 800
+    assert 0 < isolated <= 1.1 * 800
 
 
 @pytest.mark.parametrize("entries", [HOSTS, HOSTS[:1]], ids=["all", "one"])
-def test_tokens_are_near_the_limit_when_hosts_hear_one_another(
+def test_tokens_are_near_the_limit_when_heartbeats_arrive(
     entries: Sequence[HostId],
 ) -> None:
     spec = AccountSpec(tokens_per_minute=60_000)
-    _, _, used = drive(spec, entries=entries, tokens=50, per_second=100)
+    _, _, used = offer_load(spec, entries=entries, tokens=50, per_second=100)
     assert 0.7 * 40_000 <= used <= 1.35 * 40_000
 
 
-def test_concurrency_is_reached_when_one_host_has_all_the_load() -> None:
+def test_concurrency_limit_is_reached_when_one_host_has_all_the_load() -> None:
     spec = AccountSpec(concurrent_requests=18)
-    _, most, _ = drive(spec, entries=HOSTS[:1], lasts_ms=2_000, seconds=10)
-    assert most == 18
+    _, max_running, _ = offer_load(spec, entries=HOSTS[:1], duration_ms=2_000, seconds=10)
+    assert max_running == 18
 
 
-def test_concurrency_is_held_when_all_hosts_start_work_at_once() -> None:
+def test_concurrency_limit_holds_when_all_hosts_start_requests_at_once() -> None:
     spec = AccountSpec(concurrent_requests=18)
-    _, most, _ = drive(spec, entries=HOSTS, lasts_ms=2_000, seconds=20, per_second=1_800)
-    assert 16 <= most <= 20
+    _, max_running, _ = offer_load(
+        spec, entries=HOSTS, duration_ms=2_000, seconds=20, per_second=1_800
+    )
+    assert 16 <= max_running <= 20
 
 
-def test_concurrency_is_held_when_a_lone_host_hears_nobody() -> None:
+def test_concurrency_limit_holds_when_no_heartbeats_arrive() -> None:
     spec = AccountSpec(concurrent_requests=18)
-    _, most, _ = drive(
+    _, max_running, _ = offer_load(
         spec,
         entries=HOSTS,
-        lasts_ms=2_000,
+        duration_ms=2_000,
         seconds=10,
-        reach=lambda _one, _other: False,
+        is_reachable=lambda _one, _other: False,
     )
-    assert 0 < most <= 18
+    assert 0 < max_running <= 18
 
 
-def test_host_with_little_demand_may_start_work_while_few_of_all_places_are_taken() -> None:
+def test_host_with_little_demand_may_start_requests_while_few_slots_are_used() -> None:
     spec = {ACCOUNT: AccountSpec(concurrent_requests=64)}
     first, second = (AccountLimits(accounts=spec) for _ in range(2))
     first.set_peers(peers=frozenset({HostId("second")}))
@@ -159,14 +165,14 @@
             second.on_peer(host=HostId("first"), usage=first.usage(now=now), now=now)
         if now % 1000 == 500:
             first.on_peer(host=HostId("second"), usage=second.usage(now=now), now=now)
-        busy = [first] if now % 3000 else [first, second]
-        for limits in busy:
+        active = [first] if now % 3000 else [first, second]
+        for limits in active:
             refused += limits.try_start(account=ACCOUNT, tokens=0, now=now) is not None
             limits.on_finished(account=ACCOUNT, tokens=0, now=now)
     assert refused == 0
 
 
-def test_refusal_names_the_limit_and_a_time_that_helps() -> None:
+def test_refusal_names_the_limit_and_a_retry_time_that_succeeds() -> None:
     limits = AccountLimits(accounts={ACCOUNT: AccountSpec(requests_per_second=2.0)})
     now = Millis(0)
     assert limits.try_start(account=ACCOUNT, tokens=0, now=now) is None
--- a/testing/test_policy_outliers.py
+++ b/testing/test_policy_outliers.py
@@ -1,4 +1,4 @@
-"""Which upstreams rest, for each load the rule answers."""
+"""Detection and ejection of outlier upstreams."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.policy import Tally
 from tanagerscale.policy import is_outlier
-from tanagerscale.policy import may_eject
+from tanagerscale.policy import select_ejections
 
 
 @pytest.mark.parametrize(
-    ("own", "others", "rests"),
+    ("own", "others", "is_ejected"),
     [
         (Tally(good=15, bad=10), Tally(good=48, bad=2), True),
         (Tally(good=0, bad=3), Tally(), True),
@@ -24,24 +24,24 @@
     ],
     ids=[
         "fails four in ten",
-        "fails all it got",
-        "fails three of the few an engine gets",
-        "too few to tell",
-        "fails hardly more than sound ones",
-        "fails a little more than sound ones by chance",
+        "fails every request",
+        "fails three of four requests",
+        "too few answers",
+        "fails slightly more than healthy ones",
+        "fails more than healthy ones by chance",
         "siblings fail as well",
         "all fail",
     ],
 )
-def test_upstream_rests_when_it_does_much_worse_than_its_siblings(
-    own: Tally, others: Tally, rests: bool
+def test_upstream_is_ejected_when_it_fails_much_more_than_its_siblings(
+    own: Tally, others: Tally, is_ejected: bool
 ) -> None:
-    assert is_outlier(own=own, others=others) is rests
+    assert is_outlier(own=own, others=others) is is_ejected
 
 
-@pytest.mark.parametrize(("siblings", "resting"), [(2, set()), (3, {"b"}), (6, {"a", "b"})])
-def test_at_most_a_third_of_a_service_rests_the_worst_first(
-    siblings: int, resting: set[str]
+@pytest.mark.parametrize(("siblings", "ejected"), [(2, set()), (3, {"b"}), (6, {"a", "b"})])
+def test_at_most_a_third_of_a_service_is_ejected_worst_first(
+    siblings: int, ejected: set[str]
 ) -> None:
     rates = {UpstreamId("a"): 0.5, UpstreamId("b"): 0.9, UpstreamId("c"): 0.4}
-    assert may_eject(rates, siblings=siblings) == resting
+    assert select_ejections(rates, siblings=siblings) == ejected
--- a/testing/test_policy_placement.py
+++ b/testing/test_policy_placement.py
@@ -1,4 +1,4 @@
-"""Where generations go and when they wait, for each load the policy answers."""
+"""Selection of an engine for a generation, and when a generation waits or is refused."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import UpstreamId
-from tanagerscale.policy import COPY_MARGIN
-from tanagerscale.policy import SPARE_MARGIN
+from tanagerscale.policy import MAX_COPY_MEMORY_RATIO
+from tanagerscale.policy import MAX_SPARE_COPY_MEMORY_RATIO
 from tanagerscale.policy import EngineView
 from tanagerscale.policy import PlacementQuery
 from tanagerscale.policy import Verdict
-from tanagerscale.policy import has_room
-from tanagerscale.policy import has_room_for_copy
-from tanagerscale.policy import is_uneven
+from tanagerscale.policy import has_capacity
+from tanagerscale.policy import has_capacity_for_copy
+from tanagerscale.policy import is_imbalanced
 from tanagerscale.policy import place
-from tanagerscale.policy import tokens_to_yield
+from tanagerscale.policy import tokens_to_evict
 
 HERE = FailureDomainId("here")
 THERE = FailureDomainId("there")
 
 
 def _view(name: str = "x", **changes: object) -> EngineView:
-    usual: dict[str, object] = {
+    defaults: dict[str, object] = {
         "upstream": UpstreamId(name),
         "failure_domain": HERE,
         "memory_tokens": 34_000,
         "held_tokens": 0,
         "copy_tokens": 0,
-        "yielding_tokens": 0,
+        "evictable_tokens": 0,
         "uncopied_tokens": 0,
         "running": 0,
         "waiting_tokens": 0,
         "waiting": 0,
-        "batch": 24,
-        "cold_ms": 0,
+        "max_batch": 24,
+        "warmup_ms": 0,
     }
-    return EngineView(**{**usual, **changes})  # type: ignore[arg-type]
+    return EngineView(**{**defaults, **changes})  # type: ignore[arg-type]
 
 
 def _place(query: PlacementQuery, *views: EngineView) -> tuple[Verdict, str | None]:
@@ -50,43 +50,43 @@
     return PlacementQuery(prompt_tokens=prompt, is_long=is_long, left_ms=left_ms)
 
 
-def test_prompt_goes_where_fewest_prompts_wait_when_many_arrive_at_once() -> None:
+def test_engine_with_fewest_waiting_prompts_is_selected_when_many_arrive() -> None:
     busy = _view("busy", waiting_tokens=6000, waiting=2, held_tokens=6000)
     assert _place(_query(), busy, _view("idle")) == (Verdict.SEND, "idle")
 
 
-def test_prompt_goes_where_fewer_generations_run_when_nothing_waits() -> None:
-    crowd = _view("crowd", running=6, held_tokens=20_000)
-    assert _place(_query(), crowd, _view("few", running=1, held_tokens=20_000))[1] == "few"
+def test_engine_with_fewer_generations_is_selected_when_no_prompts_wait() -> None:
+    crowded = _view("crowd", running=6, held_tokens=20_000)
+    assert _place(_query(), crowded, _view("few", running=1, held_tokens=20_000))[1] == "few"
 
 
-def test_prompt_stays_in_its_failure_domain_when_engines_are_alike() -> None:
+def test_same_failure_domain_is_selected_when_engines_are_equal() -> None:
     assert _place(_query(), _view("far", failure_domain=THERE), _view("near"))[1] == "near"
 
 
-def test_prompt_leaves_its_failure_domain_when_that_is_quicker() -> None:
+def test_other_failure_domain_is_selected_when_it_is_faster() -> None:
     near = _view("near", waiting_tokens=3000, waiting=1, held_tokens=3000)
     assert _place(_query(), near, _view("far", failure_domain=THERE))[1] == "far"
 
 
-def test_long_generation_goes_where_less_has_no_copy() -> None:
+def test_engine_with_fewer_uncopied_tokens_is_selected_for_a_long_generation() -> None:
     exposed = _view("exposed", running=3, held_tokens=12_000, uncopied_tokens=12_000)
     copied = _view("copied", running=3, held_tokens=12_000, uncopied_tokens=0)
     assert _place(_query(), exposed, copied)[1] == "copied"
 
 
-def test_new_engine_is_used_once_it_is_quicker_than_the_others_in_spite_of_its_slow_start() -> None:
+def test_engine_in_warmup_is_selected_only_when_it_is_faster() -> None:
     old = _view("old", waiting_tokens=9000, waiting=3, held_tokens=9000, running=1)
-    assert _place(_query(), old, _view("new", cold_ms=900))[1] == "new"
-    assert _place(_query(), _view("old"), _view("new", cold_ms=900))[1] == "old"
+    assert _place(_query(), old, _view("new", warmup_ms=900))[1] == "new"
+    assert _place(_query(), _view("old"), _view("new", warmup_ms=900))[1] == "old"
 
 
-def test_generation_waits_when_memory_is_full_and_there_is_time() -> None:
+def test_generation_waits_when_memory_is_full_before_its_deadline() -> None:
     full = _view(held_tokens=31_000, running=8)
     assert _place(_query(), full) == (Verdict.WAIT, None)
 
 
-def test_generation_is_refused_when_memory_is_full_and_it_would_be_late() -> None:
+def test_generation_is_refused_when_memory_is_full_at_its_deadline() -> None:
     full = _view(held_tokens=31_000, running=8)
     assert _place(_query(left_ms=0), full) == (Verdict.REFUSE, None)
 
@@ -96,12 +96,12 @@
     assert _place(_query(left_ms=1500), queue)[0] is Verdict.WAIT
 
 
-def test_late_generation_is_served_when_there_is_room() -> None:
+def test_late_generation_is_sent_when_there_is_capacity() -> None:
     assert _place(_query(left_ms=-5000), _view())[0] is Verdict.SEND
 
 
-def test_late_long_generation_leaves_room_for_one_that_may_be_in_time() -> None:
-    # There is room for 4,000 tokens and their growth.
+def test_late_long_generation_leaves_memory_for_one_that_may_be_in_time() -> None:
+    # The engine has memory for a prompt of 4,000 tokens and its growth.
     view = _view(held_tokens=27_800)
     assert _place(_query(left_ms=1), view)[0] is Verdict.SEND
     late = PlacementQuery(prompt_tokens=3000, is_long=True, left_ms=-1, patience_ms=1000)
@@ -110,7 +110,7 @@
     assert _place(short, view)[0] is Verdict.SEND
 
 
-def test_late_generation_waits_for_room_only_as_long_as_it_may() -> None:
+def test_late_generation_waits_until_its_patience_ends() -> None:
     full = _view(held_tokens=33_000)
     for patience_ms, verdict in ((3000, Verdict.WAIT), (2000, Verdict.REFUSE)):
         late = PlacementQuery(
@@ -119,71 +119,72 @@
         assert _place(late, full)[0] is verdict
 
 
-def test_generation_waits_when_no_engine_takes_work() -> None:
+def test_generation_waits_when_no_engine_accepts_work() -> None:
     assert _place(_query()) == (Verdict.WAIT, None)
     assert _place(_query(left_ms=0)) == (Verdict.REFUSE, None)
 
 
-def test_engine_has_no_room_when_all_places_are_taken() -> None:
-    assert not has_room(view=_view(running=20, waiting=4), tokens=100)
+def test_engine_has_no_capacity_when_all_batch_slots_are_taken() -> None:
+    assert not has_capacity(view=_view(running=20, waiting=4), tokens=100)
 
 
 @pytest.mark.parametrize(
-    ("held", "margin", "fits"),
+    ("held_tokens", "max_ratio", "has_memory"),
     [
-        (25_000, COPY_MARGIN, True),
-        (29_000, COPY_MARGIN, False),
-        (15_000, SPARE_MARGIN, True),
-        (25_000, SPARE_MARGIN, False),
+        (25_000, MAX_COPY_MEMORY_RATIO, True),
+        (29_000, MAX_COPY_MEMORY_RATIO, False),
+        (15_000, MAX_SPARE_COPY_MEMORY_RATIO, True),
+        (25_000, MAX_SPARE_COPY_MEMORY_RATIO, False),
     ],
 )
-def test_copies_leave_room_for_a_prompt_and_spare_ones_for_more(
-    held: int, margin: float, fits: bool
+def test_copies_leave_memory_for_a_prompt_and_spare_copies_leave_more(
+    held_tokens: int, max_ratio: float, has_memory: bool
 ) -> None:
-    view = _view(held_tokens=held)
-    assert has_room_for_copy(view=view, tokens=3000, margin=margin) is fits
+    view = _view(held_tokens=held_tokens)
+    assert has_capacity_for_copy(view=view, tokens=3000, max_ratio=max_ratio) is has_memory
 
 
 def test_prompt_is_sent_at_once_when_it_is_late_on_any_engine() -> None:
     assert _place(_query(prompt=20_000, left_ms=1500), _view())[0] is Verdict.SEND
 
 
-def test_long_generation_waits_while_what_leaves_an_engine_needs_the_room() -> None:
+def test_long_generation_waits_while_evacuated_runs_need_the_memory() -> None:
     views = [_view("x", held_tokens=26_000, running=6), _view("y", held_tokens=24_000, running=6)]
     free = place(query=_query(), views=views, failure_domain=HERE, rng=Random(1))
     assert free.verdict is Verdict.SEND
-    kept = place(
-        query=_query(), views=views, arriving_tokens=9000, failure_domain=HERE, rng=Random(1)
+    reserved = place(
+        query=_query(), views=views, reserved_tokens=9000, failure_domain=HERE, rng=Random(1)
     )
-    assert (kept.verdict, kept.engine) == (Verdict.WAIT, None)
+    assert (reserved.verdict, reserved.engine) == (Verdict.WAIT, None)
 
 
-def test_short_generation_goes_ahead_of_what_leaves_an_engine() -> None:
+def test_short_generation_is_sent_before_evacuated_runs() -> None:
     view = _view(held_tokens=24_000, running=6)
     query = _query(prompt=2000, is_long=False)
     placement = place(
-        query=query, views=[view], arriving_tokens=20_000, failure_domain=HERE, rng=Random(1)
+        query=query, views=[view], reserved_tokens=20_000, failure_domain=HERE, rng=Random(1)
     )
     assert placement.verdict is Verdict.SEND
 
 
-def test_copies_taken_ahead_leave_their_room_to_prompts_but_not_to_other_copies() -> None:
-    view = _view(held_tokens=20_000, yielding_tokens=9000, running=5)
-    assert has_room(view=view, tokens=3000)
-    assert not has_room_for_copy(view=view, tokens=3000, margin=COPY_MARGIN)
+def test_copies_made_ahead_give_way_to_prompts_but_not_to_other_copies() -> None:
+    view = _view(held_tokens=20_000, evictable_tokens=9000, running=5)
+    assert has_capacity(view=view, tokens=3000)
+    assert not has_capacity_for_copy(view=view, tokens=3000, max_ratio=MAX_COPY_MEMORY_RATIO)
 
 
-def test_copies_yield_only_what_the_engine_is_short_of() -> None:
-    # Of 34,000 tokens 32,300 are planned for, and each of five generations grows by 250.
-    assert tokens_to_yield(_view(held_tokens=20_000, yielding_tokens=9000, running=5)) == 0
-    assert tokens_to_yield(_view(held_tokens=25_000, yielding_tokens=9000, running=5)) == 2950
-    assert tokens_to_yield(_view(held_tokens=33_000, yielding_tokens=900, running=5)) == 900
+def test_only_the_memory_that_an_engine_lacks_is_evicted() -> None:
+    # 32,300 of 34,000 tokens may be planned for, and each of the five generations reserves 250
+    # for its growth.
+    assert tokens_to_evict(_view(held_tokens=20_000, evictable_tokens=9000, running=5)) == 0
+    assert tokens_to_evict(_view(held_tokens=25_000, evictable_tokens=9000, running=5)) == 2950
+    assert tokens_to_evict(_view(held_tokens=33_000, evictable_tokens=900, running=5)) == 900
 
 
-@pytest.mark.parametrize(("difference", "moves"), [(9000, False), (11_000, True)])
-def test_run_moves_only_when_its_new_engine_stays_the_emptier_one(
-    difference: int, moves: bool
+@pytest.mark.parametrize(("difference_tokens", "imbalanced"), [(9000, False), (11_000, True)])
+def test_engines_are_imbalanced_only_when_the_target_stays_the_emptier_one(
+    difference_tokens: int, imbalanced: bool
 ) -> None:
-    full = _view("full", held_tokens=10_000 + difference, running=1)
+    full = _view("full", held_tokens=10_000 + difference_tokens, running=1)
     empty = _view("empty", held_tokens=10_000, running=1)
-    assert is_uneven(full=full, empty=empty, tokens=4000) is moves
+    assert is_imbalanced(full=full, empty=empty, tokens=4000) is imbalanced
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -57,7 +57,7 @@
     scheduler.set_engines(engines=specs, now=Millis(0))
     for number in range(400):
         request = _request(number, rng)
-        scheduler.learn(request=request, tokens=30 if request.request_class == "check" else 700)
+        scheduler.observe(request=request, tokens=30 if request.request_class == "check" else 700)
     for index in range(engines * RUNNING_PER_ENGINE):
         request = _request(-index - 1, rng)
         engine = specs[index % engines].engine
