--- a/src/tanagerscale/claims/__init__.py
+++ b/src/tanagerscale/claims/__init__.py
@@ -1,8 +1,8 @@
-"""At most one dispatch for each call that may not be repeated.
+"""At-most-once dispatch of calls that are not idempotent.
 
-A caller's key is claimed in the store before its call is sent, and the outcome is recorded there.
-A call without a key has nothing by which a repeat could be told from a new call: it is sent once
-by one host, without a claim, and never again after it was sent.
+The caller's idempotency key is claimed in the store before the call is sent, and the outcome is
+recorded there. Without a key, a repeated call cannot be distinguished from a new one, so a call
+without a key is sent by one host without a claim, and never resent.
 """
 
 from __future__ import annotations
--- a/src/tanagerscale/claims/_attempt.py
+++ b/src/tanagerscale/claims/_attempt.py
@@ -1,4 +1,4 @@
-"""One trial to claim a key."""
+"""An attempt to claim a key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from tanagerscale.claims._recorder import Pending
+from tanagerscale.claims._recorder import PendingRecord
 from tanagerscale.claims._records import to_record
 from tanagerscale.claims._types import ClaimKey
 from tanagerscale.claims._types import ClaimOutcome
@@ -20,18 +20,19 @@
 from tanagerscale.store import StoreRevision
 
 DISPATCH_WINDOW_MS: Final = 10_000
-"""How old a claim may be when its call is sent; far below the least time a claim stands."""
+"""Maximum age of a claim when its call is sent; well below the minimum lifetime of a claim."""
 
 
-class Attempt(Struct, kw_only=True):
-    """One trial to claim a key.
+class ClaimAttempt(Struct, kw_only=True):
+    """An attempt to claim a key.
 
-    :param key: The key.
-    :param store_key: Where its claim is to stand.
-    :param record: The claim.
-    :param ttl_s: How long it is to stand, in seconds.
-    :param started: When the trial began.
-    :param last_put: The write that may have taken effect, or may still do so.
+    :param key: Key to claim.
+    :param store_key: Store key of the claim.
+    :param record: Record to write.
+    :param ttl_s: Lifetime of the claim, in seconds.
+    :param started: When the attempt began, on the monotonic clock.
+    :param last_put: Last submitted write, which may have taken effect or may still do so; ``None``
+        if nothing was submitted.
     """
 
     key: ClaimKey
@@ -43,11 +44,15 @@
 
     @property
     def expires(self) -> Millis:
-        """Until when the claim is sure to stand."""
+        """Time until which the claim is guaranteed to exist, on the monotonic clock."""
         return Millis(self.started + self.ttl_s * MS_PER_SECOND)
 
     def to_granted(self, *, revision: StoreRevision, lease: LeaseId) -> Granted:
-        """Return the permission that a claim which stands gives."""
+        """Return the grant for a claim that has been written.
+
+        :param revision: Revision of the claim in the store.
+        :param lease: Lease that the claim was written under.
+        """
         window = min(DISPATCH_WINDOW_MS, self.ttl_s * MS_PER_SECOND // 2)
         return Granted(
             key=self.key,
@@ -60,12 +65,12 @@
             expires=self.expires,
         )
 
-    def to_released(self) -> Pending | None:
-        """Return the record that makes the claim free; ``None`` when nothing was written."""
+    def to_release(self) -> PendingRecord | None:
+        """Return the record that releases the claim; ``None`` if nothing was submitted."""
         if self.last_put is None:
             return None
         outcome = ClaimOutcome(state=ClaimState.NOT_EXECUTED)
-        return Pending(
+        return PendingRecord(
             store_key=self.store_key,
             record=to_record(claimed=self.record, outcome=outcome),
             expected=self.last_put.expected_mod_revision,
--- a/src/tanagerscale/claims/_batcher.py
+++ b/src/tanagerscale/claims/_batcher.py
@@ -1,4 +1,4 @@
-"""Gathering the conditional writes of one moment into one store call."""
+"""Batching of concurrent conditional writes into one store call."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 from tanagerscale.store import StoreError
 from tanagerscale.store import StoreErrorKind
 
-MIN_INTERVAL_MS: Final = 25
-"""Least time between the starts of two commits, which bounds a host's share of the store's
-writes. The first write after a pause does not wait."""
+MIN_COMMIT_INTERVAL_MS: Final = 25
+"""Minimum time between the starts of two commits, which limits the share of one host in the writes
+of the store. The first write after a pause does not wait."""
 
-LINGER_MS: Final = 100
-"""How long a write that nobody waits for may wait for others to go with."""
+MAX_LINGER_MS: Final = 100
+"""Maximum time that a write without a waiting caller is delayed to share a commit with others."""
 
-RETRY_MS: Final = 1000
-"""After a failure, how long until the store is tried again."""
+RETRY_DELAY_MS: Final = 1000
+"""Delay after a failure before the store is tried again."""
 
 MAX_COMMIT_BYTES: Final = 900_000
-"""Most bytes of values in one commit; etcd takes a megabyte and a half in all."""
+"""Maximum total size of the values in one commit; etcd limits a whole request to 1.5 megabytes."""
 
-FAILURES_THAT_FAIL_THE_QUEUE: Final = 2
+MIN_FAILURES_TO_REJECT_QUEUE: Final = 2
+"""Number of consecutive failures after which the queued writes fail without being sent."""
 
 log = get_logger(part="store")
 
@@ -54,15 +55,17 @@
 
 @final
 class CommitBatcher:
-    """At most one commit in flight; what arrives meanwhile goes with the next one.
+    """Commits writes in batches, with at most one commit in flight.
 
-    :param store: Where to commit.
-    :param clock: Paces the commits.
-    :param min_interval_ms: Least time between the starts of two commits, in milliseconds.
+    Writes that are submitted during a commit are part of the next one.
+
+    :param store: Store to commit to.
+    :param clock: Clock that times the commits.
+    :param min_interval_ms: Minimum time between the starts of two commits, in milliseconds.
     """
 
     def __init__(
-        self, *, store: Store, clock: Clock, min_interval_ms: int = MIN_INTERVAL_MS
+        self, *, store: Store, clock: Clock, min_interval_ms: int = MIN_COMMIT_INTERVAL_MS
     ) -> None:
         self._store = store
         self._clock = clock
@@ -75,36 +78,37 @@
         self._next_start = Millis(0)
         self._in_flight = False
 
-    def admits(self) -> bool:
-        """Tell whether it makes sense to submit now.
+    def accepts_writes(self) -> bool:
+        """Return whether a write may be submitted now.
 
-        While the store is failing, one caller in each ``RETRY_MS`` is let through to try it, and
-        the others need not wait for a timeout.
+        While the store is failing, one caller per ``RETRY_DELAY_MS`` may probe it, so that the
+        others do not have to wait for a timeout.
         """
         if self._failures == 0:
             return True
         if self._in_flight or self._queue or self._clock.now() < self._retry_at:
             return False
-        self._retry_at = Millis(self._clock.now() + RETRY_MS)
+        self._retry_at = Millis(self._clock.now() + RETRY_DELAY_MS)
         return True
 
     def note_failure(self, *, error: StoreError) -> None:
-        """Take in that a call to the store has failed, also one that was not a commit."""
+        """Record the failure of any call to the store, including calls that are not commits."""
         if error.kind is StoreErrorKind.REFUSED:
             return
         self._failures += 1
-        self._retry_at = Millis(self._clock.now() + RETRY_MS)
-        log.warning("The store failed.", kind=error.kind.value, failures=self._failures)
-        if self._failures >= FAILURES_THAT_FAIL_THE_QUEUE:
-            self._fail_queue()
+        self._retry_at = Millis(self._clock.now() + RETRY_DELAY_MS)
+        log.warning("A store call failed.", kind=error.kind.value, failures=self._failures)
+        if self._failures >= MIN_FAILURES_TO_REJECT_QUEUE:
+            self._reject_queue()
 
     async def submit(self, *, put: PutIf, urgent: bool) -> PutResult:
         """Commit one write together with others.
 
-        :param put: The write.
-        :param urgent: Whether somebody waits; otherwise it may linger to save a call.
+        :param put: Write to commit.
+        :param urgent: Whether a caller waits for it; otherwise it may be delayed by
+            ``MAX_LINGER_MS`` to save a store call.
         """
-        wait = 0 if urgent else LINGER_MS
+        wait = 0 if urgent else MAX_LINGER_MS
         queued = _Queued(put=put, due=Millis(self._clock.now() + wait))
         self._queue.append(queued)
         if self._task is None:
@@ -113,34 +117,34 @@
         return await queued.result
 
     async def close(self) -> None:
-        """Stop; writes not yet sent fail as unreachable."""
+        """Stop the batcher; writes that were not sent fail with ``UNREACHABLE``."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
             self._task = None
-        self._fail_queue()
+        self._reject_queue()
 
     async def _run(self) -> None:
         while True:
             await self._arrived.wait()
-            await self._await_turn()
+            await self._wait_until_due()
             batch = self._take_batch()
             if batch:
                 await self._commit(batch)
             if not self._queue:
                 self._arrived.clear()
 
-    async def _await_turn(self) -> None:
-        """Wait until the earliest queued write is due and the pace allows a commit."""
+    async def _wait_until_due(self) -> None:
+        """Wait until the earliest queued write is due and the minimum interval has elapsed."""
         while self._queue:
             due = min(queued.due for queued in self._queue)
-            left = max(due, self._next_start) - self._clock.now()
-            if left <= 0:
+            remaining_ms = max(due, self._next_start) - self._clock.now()
+            if remaining_ms <= 0:
                 return
             self._arrived.clear()
             try:
-                # A write that arrives meanwhile may be due earlier.
-                async with asyncio.timeout(left / MS_PER_SECOND):
+                # A write that arrives during the wait may be due earlier.
+                async with asyncio.timeout(remaining_ms / MS_PER_SECOND):
                     await self._arrived.wait()
             except TimeoutError:
                 pass
@@ -171,12 +175,12 @@
         try:
             result = await self._store.commit(puts=[queued.put for queued in batch])
         except asyncio.CancelledError:
-            self._resolve(batch, Failure(_interrupted()))
+            self._resolve(batch, Failure(_build_interrupted_error()))
             raise
         except Exception as error:
-            # Claims of other callers must not wait for ever because one write met a defect.
-            log.exception("A commit met a defect.", error=repr(error))
-            result = Failure(_interrupted())
+            # An unexpected error in one commit must not block the claims of other callers.
+            log.exception("A commit raised an unexpected exception.", error=repr(error))
+            result = Failure(_build_interrupted_error())
         finally:
             self._in_flight = False
         if isinstance(result, Failure):
@@ -187,10 +191,10 @@
         for queued, outcome in zip(batch, result.unwrap(), strict=True):
             self._resolve([queued], Success(outcome))
 
-    def _fail_queue(self) -> None:
+    def _reject_queue(self) -> None:
         waiting = list(self._queue)
         self._queue.clear()
-        self._resolve(waiting, Failure(_never_sent()))
+        self._resolve(waiting, Failure(_build_not_sent_error()))
 
     @staticmethod
     def _resolve(batch: list[_Queued], result: PutResult) -> None:
@@ -199,14 +203,14 @@
                 queued.result.set_result(result)
 
 
-def _never_sent() -> StoreError:
+def _build_not_sent_error() -> StoreError:
     return StoreError(
         kind=StoreErrorKind.UNREACHABLE,
         detail="The write was not sent, since the store is failing; try again later.",
     )
 
 
-def _interrupted() -> StoreError:
+def _build_interrupted_error() -> StoreError:
     return StoreError(
         kind=StoreErrorKind.UNCERTAIN,
         detail="The write was interrupted; read back before repeating it.",
--- a/src/tanagerscale/claims/_problems.py
+++ b/src/tanagerscale/claims/_problems.py
@@ -1,4 +1,4 @@
-"""The final answers that claims give instead of a permission."""
+"""Problems that are returned when a claim is not granted."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def store_unavailable(*, retry_after_ms: int) -> Problem:
-    """Nothing was sent, since the claim could not be made sure."""
+    """Build the problem for a call that was not sent because the claim could not be written."""
     return Problem(
         kind=ProblemKind.STORE_UNAVAILABLE,
         detail="This attempt was not run, since it could not be claimed; repeat it with the same "
@@ -19,7 +19,7 @@
 
 
 def withdrawn(*, retry_after_ms: int) -> Problem:
-    """The attempt that this one joined was not run."""
+    """Build the problem for a repeated call that waited for a call that was not run."""
     return Problem(
         kind=ProblemKind.UPSTREAM_FAILED,
         detail="The call with this Idempotency-Key was not run; repeat it with the same key.",
@@ -29,7 +29,7 @@
 
 
 def too_late(*, retry_after_ms: int) -> Problem:
-    """The claim came through when it was too old to be used."""
+    """Build the problem for a claim that was too old to be used when it was granted."""
     return Problem(
         kind=ProblemKind.TIMEOUT,
         detail="The call was not run, since claiming it took too long; repeat it with the same "
@@ -40,7 +40,7 @@
 
 
 def key_reused() -> Problem:
-    """The key belongs to another request."""
+    """Build the problem for a key that was claimed by a different request."""
     return Problem(
         kind=ProblemKind.KEY_REUSED,
         detail="This Idempotency-Key was used for a different request; send a new key.",
@@ -49,7 +49,7 @@
 
 
 def outcome_unknown() -> Problem:
-    """The call was claimed and its outcome will not be known."""
+    """Build the problem for a claimed call whose outcome will not become known."""
     return Problem(
         kind=ProblemKind.OUTCOME_UNKNOWN,
         detail="Whether the call with this Idempotency-Key ran is not known and it will not be "
@@ -58,8 +58,8 @@
     )
 
 
-def answer_not_kept() -> Problem:
-    """The call ran and its answer was too large to record."""
+def answer_not_recorded() -> Problem:
+    """Build the problem for a completed call whose answer was too large to record."""
     return Problem(
         kind=ProblemKind.OUTCOME_UNKNOWN,
         detail="The call with this Idempotency-Key ran, but its answer was too large to keep; "
--- a/src/tanagerscale/claims/_recorder.py
+++ b/src/tanagerscale/claims/_recorder.py
@@ -1,4 +1,4 @@
-"""Recording outcomes in the background, through outages of the store."""
+"""Recording of outcomes in the background, with retries during store outages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from tanagerscale.claims._batcher import RETRY_MS
+from tanagerscale.claims._batcher import RETRY_DELAY_MS
 from tanagerscale.claims._batcher import CommitBatcher
 from tanagerscale.claims._records import decode_record
 from tanagerscale.claims._records import is_final
@@ -30,19 +30,19 @@
 from tanagerscale.store import StoreRevision
 
 MAX_REFUSALS: Final = 5
-"""After so many refusals the record itself is at fault."""
+"""Number of refusals after which the record itself is considered invalid."""
 
 log = get_logger(part="claims")
 
 
-class Pending(Struct, frozen=True, kw_only=True):
-    """A final record that is to replace a claim of our own.
+class PendingRecord(Struct, frozen=True, kw_only=True):
+    """A final record that must replace a claim of this host.
 
-    :param store_key: Where the claim stands, or may come to stand.
-    :param record: The final record, with the claim's nonce.
-    :param expected: Revision of the claim when last seen; 0 when it may not exist.
-    :param lease: Lease to write it under.
-    :param expires: When the claim lapses, so that there is nothing left to record.
+    :param store_key: Store key of the claim, which may not exist yet.
+    :param record: Final record, with the nonce of the claim.
+    :param expected: Last known revision of the claim; 0 if it may not exist.
+    :param lease: Lease to write the record under.
+    :param expires: When the claim expires, after which there is nothing to record.
     """
 
     store_key: str
@@ -54,15 +54,15 @@
 
 @final
 class Recorder:
-    """Writes final records until each stands in the store or its claim has lapsed.
+    """Writes final records, with retries until they are stored or their claims have expired.
 
-    There are no more of them than calls that were claimed when an outage began, since nothing is
-    claimed during it.
+    During an outage the number of pending records is bounded by the number of calls that were
+    claimed when it began, because no call is claimed while the store is down.
 
-    :param store: Where to look after a refusal.
-    :param batcher: Commits the records together with new claims.
-    :param clock: Paces the retries.
-    :param rng: Spreads them.
+    :param store: Store to read the lease of a claim from after a refusal.
+    :param batcher: Batcher that commits the records together with new claims.
+    :param clock: Clock that times the retries.
+    :param rng: Random number generator for the jitter of the retry delays.
     """
 
     def __init__(
@@ -76,35 +76,35 @@
 
     @property
     def pending(self) -> int:
-        """Number of records that do not yet stand in the store."""
+        """Number of records that have not been stored yet."""
         return len(self._tasks)
 
-    def start(self, *, pending: Pending) -> asyncio.Future[Result[None, StoreError]]:
-        """Begin to write a record.
+    def start(self, *, pending: PendingRecord) -> asyncio.Future[Result[None, StoreError]]:
+        """Start writing a record in the background.
 
-        :returns: The result of the first trial; the others go on in the background.
+        :returns: The result of the first attempt; retries follow in the background.
         """
         loop = asyncio.get_running_loop()
-        first: asyncio.Future[Result[None, StoreError]] = loop.create_future()
-        task = loop.create_task(self._write(pending, first))
+        first_result: asyncio.Future[Result[None, StoreError]] = loop.create_future()
+        task = loop.create_task(self._write(pending, first_result))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return first
+        return first_result
 
     async def drain(self) -> None:
-        """Wait until all records stand in the store."""
+        """Wait until no record is pending."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
     async def close(self) -> None:
-        """Give up what is not yet recorded."""
+        """Cancel the pending records."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _write(
-        self, pending: Pending, first: asyncio.Future[Result[None, StoreError]]
+        self, pending: PendingRecord, first_result: asyncio.Future[Result[None, StoreError]]
     ) -> None:
         value = msgspec.json.encode(pending.record)
         expected = pending.expected
@@ -116,30 +116,35 @@
             )
             result = await self._batcher.submit(put=put, urgent=False)
             if isinstance(result, Success):
-                _tell(first, Success(None))
-                claim = _own_claim(result.unwrap(), nonce=pending.record.nonce)
+                _set_result(first_result, Success(None))
+                claim = _get_unsettled_revision(result.unwrap(), nonce=pending.record.nonce)
                 if claim is None:
                     return
                 expected = claim
                 continue
             error = result.failure()
-            _tell(first, Failure(error))
-            await self._clock.sleep(RETRY_MS + self._rng.randrange(RETRY_MS))
+            _set_result(first_result, Failure(error))
+            await self._clock.sleep(RETRY_DELAY_MS + self._rng.randrange(RETRY_DELAY_MS))
             if error.kind is StoreErrorKind.REFUSED:
                 refusals += 1
-                lease = await self._present_lease(pending.store_key, otherwise=lease)
-        log.error("An outcome was not recorded.", refusals=refusals)
-        _tell(first, Success(None))
+                lease = await self._read_lease(pending.store_key, default=lease)
+        log.error("Failed to record the outcome of a claim.", refusals=refusals)
+        _set_result(first_result, Success(None))
 
-    async def _present_lease(self, store_key: str, *, otherwise: LeaseId) -> LeaseId:
-        """A refusal may mean that the lease has ended, alone or in the same commit."""
+    async def _read_lease(self, store_key: str, *, default: LeaseId) -> LeaseId:
+        """Return the current lease of a claim, for a retry after a refusal.
+
+        The refusal may mean that the lease, or that of another write in the commit, has ended.
+
+        :param default: Lease to return if the claim cannot be read.
+        """
         found = await self._store.get(key=store_key)
         entry = found.value_or(None)
-        return entry.lease if entry is not None else otherwise
+        return entry.lease if entry is not None else default
 
 
-def _own_claim(outcome: PutOutcome, *, nonce: str) -> StoreRevision | None:
-    """Return the revision of a claim of ours that still lacks its outcome."""
+def _get_unsettled_revision(outcome: PutOutcome, *, nonce: str) -> StoreRevision | None:
+    """Return the revision of the claim with this nonce if its outcome is not recorded yet."""
     if outcome.written or outcome.present is None:
         return None
     record = decode_record(outcome.present.value)
@@ -148,8 +153,8 @@
     return outcome.present.mod_revision
 
 
-def _tell(
-    first: asyncio.Future[Result[None, StoreError]], result: Result[None, StoreError]
+def _set_result(
+    first_result: asyncio.Future[Result[None, StoreError]], result: Result[None, StoreError]
 ) -> None:
-    if not first.done():
-        first.set_result(result)
+    if not first_result.done():
+        first_result.set_result(result)
--- a/src/tanagerscale/claims/_records.py
+++ b/src/tanagerscale/claims/_records.py
@@ -1,4 +1,4 @@
-"""Claims as they stand in the store."""
+"""Encoding and decoding of claim records."""
 
 from __future__ import annotations
 
@@ -13,14 +13,17 @@
 from tanagerscale.generated.records import ClaimState
 
 MAX_BODY_BYTES: Final = 256 * 1024
-"""Longest answer that is recorded; in base64 it stays well inside one value of the store."""
+"""Maximum size of a recorded answer; its base64 form is well below the size limit of the store."""
 
-NOT_KEPT_STATUS: Final = 0
-"""Status of a call that is done while its answer was too large to keep."""
+BODY_NOT_RECORDED_STATUS: Final = 0
+"""Status in the record of a completed call whose answer was too large to record."""
 
 
 def decode_record(value: bytes) -> ClaimRecord | None:
-    """Decode a claim; ``None`` when it is malformed."""
+    """Decode a claim.
+
+    :returns: The claim; ``None`` if it is malformed.
+    """
     try:
         return msgspec.json.decode(value, type=ClaimRecord)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -28,9 +31,11 @@
 
 
 def to_record(*, claimed: ClaimRecord, outcome: ClaimOutcome) -> ClaimRecord:
-    """Add an outcome to a claim; an answer that is too large is left out."""
+    """Return a claim with an outcome; an answer above ``MAX_BODY_BYTES`` is omitted."""
     if len(outcome.body) > MAX_BODY_BYTES:
-        return msgspec.structs.replace(claimed, state=outcome.state, status=NOT_KEPT_STATUS)
+        return msgspec.structs.replace(
+            claimed, state=outcome.state, status=BODY_NOT_RECORDED_STATUS
+        )
     return msgspec.structs.replace(
         claimed,
         state=outcome.state,
@@ -41,8 +46,11 @@
 
 
 def to_outcome(record: ClaimRecord) -> ClaimOutcome | None:
-    """Return the outcome of a claim that is done; ``None`` when its answer was not kept."""
-    if record.status == NOT_KEPT_STATUS:
+    """Return the outcome of a completed claim.
+
+    :returns: The outcome; ``None`` if its answer was not recorded or is malformed.
+    """
+    if record.status == BODY_NOT_RECORDED_STATUS:
         return None
     try:
         body = base64.b64decode(record.body, validate=True)
@@ -54,5 +62,5 @@
 
 
 def is_final(record: ClaimRecord) -> bool:
-    """Tell whether the claim's outcome has been recorded."""
+    """Return whether the outcome of a claim has been recorded."""
     return record.state is not ClaimState.CLAIMED
--- a/src/tanagerscale/claims/_types.py
+++ b/src/tanagerscale/claims/_types.py
@@ -1,4 +1,4 @@
-"""What claims are asked and what they answer."""
+"""Keys, outcomes and results of claims."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from tanagerscale.store import LeaseId
 from tanagerscale.store import StoreRevision
 
-LENGTH_BYTES = 4
+LENGTH_PREFIX_BYTES = 4
 
 
 class ClaimKey(Struct, frozen=True, kw_only=True):
-    """What names one call that may not be repeated.
+    """Identifies one call that is not idempotent.
 
-    :param account: The client account that makes it.
-    :param service: The service that runs it.
-    :param idempotency_key: The caller's own key.
+    :param account: Client account of the caller.
+    :param service: Service that runs the call.
+    :param idempotency_key: Idempotency key that the caller sent.
     """
 
     account: ClientAccountId
@@ -32,22 +32,22 @@
     idempotency_key: str
 
     def digest(self) -> str:
-        """Return a name of bounded length that no other key has."""
+        """Return a digest of fixed length; each part is length-prefixed to avoid ambiguity."""
         digest = hashlib.sha256()
         for part in (self.account, self.service, self.idempotency_key):
             content = part.encode("utf-8", "surrogatepass")
-            digest.update(len(content).to_bytes(LENGTH_BYTES, "big"))
+            digest.update(len(content).to_bytes(LENGTH_PREFIX_BYTES, "big"))
             digest.update(content)
         return digest.hexdigest()
 
 
 class ClaimOutcome(Struct, frozen=True, kw_only=True):
-    """How a claimed call ended.
+    """Outcome of a claimed call.
 
     :param state: ``DONE``, ``NOT_EXECUTED`` or ``UNKNOWN``.
-    :param status: HTTP status of the answer when done.
-    :param content_type: Its content type.
-    :param body: Its body.
+    :param status: HTTP status of the answer if ``DONE``.
+    :param content_type: Content type of the answer.
+    :param body: Body of the answer.
     """
 
     state: ClaimState
@@ -57,16 +57,17 @@
 
 
 class Granted(Struct, frozen=True, kw_only=True):
-    """The one permission to dispatch a call; settle it whatever happens.
+    """The only permission to dispatch a call; it must be settled in every case.
 
-    :param key: The claimed key.
+    :param key: Claimed key.
     :param request_digest: Digest of the request that claimed it.
-    :param nonce: Tells this attempt from all others.
+    :param nonce: Unique id of the attempt to claim it.
     :param mod_revision: Revision of the claim in the store.
-    :param lease: Lease that the claim lives under.
-    :param claimed_wall_ms: When it was claimed, milliseconds since 1970.
-    :param deadline: From when on the call must not be dispatched, on the monotonic clock.
-    :param expires: Until when the claim is sure to stand in the store, on the monotonic clock.
+    :param lease: Lease that the claim was written under.
+    :param claimed_wall_ms: When it was claimed, in milliseconds since 1970.
+    :param deadline: Time from which the call must not be dispatched, on the monotonic clock.
+    :param expires: Time until which the claim is guaranteed to exist in the store, on the
+        monotonic clock.
     """
 
     key: ClaimKey
@@ -79,33 +80,33 @@
     expires: Millis
 
     def may_dispatch(self, *, now: Millis) -> bool:
-        """Tell whether the call may still be sent; ask immediately before sending it.
+        """Return whether the call may still be sent; to be checked immediately before sending.
 
-        :param now: The monotonic clock's present time.
+        :param now: Current time on the monotonic clock.
         """
         return now < self.deadline
 
 
 class Recorded(Struct, frozen=True, kw_only=True):
-    """The call has run before, and this is its answer.
+    """Recorded answer of a call that has already run.
 
-    :param outcome: A ``DONE`` outcome.
+    :param outcome: Outcome with the state ``DONE``.
     """
 
     outcome: ClaimOutcome
 
 
 class InProgress(Struct, frozen=True, kw_only=True):
-    """The call is running, so it must not be sent again.
+    """The call is still running and must not be sent again.
 
-    :param retry_after_ms: When to ask again, in milliseconds.
+    :param retry_after_ms: Delay before the caller should retry, in milliseconds.
     """
 
     retry_after_ms: int
 
     @property
     def problem(self) -> Problem:
-        """The answer to the caller."""
+        """Problem to return to the caller."""
         return Problem(
             kind=ProblemKind.IN_PROGRESS,
             detail="A call with this Idempotency-Key is still running; repeat it later to get "
--- a/src/tanagerscale/daemon/_control.py
+++ b/src/tanagerscale/daemon/_control.py
@@ -106,8 +106,8 @@
             clock=self._clock,
             rng=self._rng,
             declarations=self._declarations.pipe(operators.map(of_cell)),
-            connect=self._connect,
-            max_loads=MAX_LOADS,
+            get_client=self._connect,
+            max_concurrent_loads=MAX_LOADS,
         )
         return _Running(controller=controller, task=asyncio.create_task(controller.run()))
 
--- a/src/tanagerscale/daemon/_crashes.py
+++ b/src/tanagerscale/daemon/_crashes.py
@@ -70,7 +70,7 @@
 
     def excluded_engines(self, *, fingerprint: str, model: ModelId) -> frozenset[UpstreamId]:
         """Return the engines of a model where the request may not run now."""
-        if self._quarantine.runs_anywhere(fingerprint=Fingerprint(fingerprint)):
+        if self._quarantine.is_unrestricted(fingerprint=Fingerprint(fingerprint)):
             return frozenset()
         engines = self._declarations().engines
         return self._quarantine.excluded_engines(
--- a/src/tanagerscale/daemon/_host.py
+++ b/src/tanagerscale/daemon/_host.py
@@ -54,8 +54,8 @@
 from tanagerscale.policy import RetryBudget
 from tanagerscale.quarantine import Quarantine
 from tanagerscale.routing import PoolRouter
+from tanagerscale.services import ServiceDependencies
 from tanagerscale.services import ServiceDispatch
-from tanagerscale.services import ServiceParts
 from tanagerscale.store import EtcdStore
 from tanagerscale.upstreams import HttpServiceClient
 from tanagerscale.usage import HostCollector
@@ -284,7 +284,7 @@
             rng=self._rng,
         )
         self._services = ServiceDispatch(
-            parts=ServiceParts(
+            dependencies=ServiceDependencies(
                 client=HttpServiceClient(session=self._service_session),
                 claims=self._claims,
                 notes=notes,
--- a/src/tanagerscale/fleet/_controller.py
+++ b/src/tanagerscale/fleet/_controller.py
@@ -1,4 +1,4 @@
-"""One controller for each group of engines."""
+"""Controller that brings a group of engines to the declared state."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import get_logger
 from tanagerscale.fleet._lease import ControlLease
-from tanagerscale.fleet._lease import Hold
+from tanagerscale.fleet._lease import HeldLease
 from tanagerscale.fleet._lease import cancel_and_wait
-from tanagerscale.fleet._plan import Holding
+from tanagerscale.fleet._plan import LoadedModel
 from tanagerscale.fleet._plan import PlannedOrder
 from tanagerscale.fleet._plan import plan_orders
 from tanagerscale.generated.declarations import DeclarationSet
@@ -40,46 +40,47 @@
 from tanagerscale.upstreams import EngineClient
 from tanagerscale.upstreams import UpstreamError
 
-TICK_MS: Final = 1000
-ACQUIRE_INTERVAL_MS: Final = 5000
+RECONCILE_INTERVAL_MS: Final = 1000
+MEAN_ACQUIRE_INTERVAL_MS: Final = 5000
 CALL_TIMEOUT_MS: Final = 2000
-"""Longest call to an engine; shorter than the guard before the lease's end."""
+"""Timeout of a call to an engine; shorter than the guard time before the lease expires."""
 
-CONFIRM_MS: Final = 30_000
-"""A model counts as held for good only after so long, since an unload ordered earlier, perhaps by
-another controller, may still be under way."""
+MIN_LOADED_MS: Final = 30_000
+"""Time for which a model must be loaded before it counts as confirmed, because an unload that was
+ordered earlier, possibly by another controller, may still be in progress."""
 
 MAX_BACKOFF_MS: Final = 60_000
 
-LOADS_REMEMBERED_MS: Final = 60_000
-"""How long the loads of an engine that doesn't answer count against the limit."""
+LOAD_COUNT_TTL_MS: Final = 60_000
+"""Time for which the last known loads of an engine that does not answer count towards the limit."""
 
-Connect = Callable[[Engine], EngineClient]
+GetClient = Callable[[Engine], EngineClient]
 
 log = get_logger(part="fleet")
 
 
-class _Loads(Struct, frozen=True, kw_only=True):
+class _LoadCount(Struct, frozen=True, kw_only=True):
     count: int
     seen: Millis
 
 
 @final
 class FleetController:
-    """Brings the engines of one group to what is declared, while this host holds their lease.
-
-    Engines are left as they are while the store is down for longer than the lease lasts.
-
-    :param store: Where the lease stands.
-    :param prefix: First part of all keys of this installation.
-    :param group: Name of the group.
-    :param host: This host.
-    :param incarnation: Which life of the host this is.
-    :param clock: Paces it and judges the lease.
-    :param rng: Spreads the hosts' trials to take the lease.
-    :param declarations: The declarations in force, cut down to the engines of the group.
-    :param connect: Returns the client of an engine, the same one each time.
-    :param max_loads: Most loads at once; the groups share the weight store's rate between them.
+    """Brings the engines of one group to the declared state while this host holds their lease.
+
+    Engines are not changed while the store is down for longer than the lifetime of the lease.
+
+    :param store: Store that holds the lease.
+    :param prefix: Prefix of all store keys of this installation.
+    :param group: Name of the group of engines.
+    :param host: Id of this host.
+    :param incarnation: Incarnation number of this host; a restarted host has a higher one.
+    :param clock: Clock that times the reconciliation and the expiry of the lease.
+    :param rng: Random number generator for the jitter of the attempts to acquire the lease.
+    :param declarations: Declarations in force, restricted to the engines of the group.
+    :param get_client: Returns the client of an engine, the same one for each call.
+    :param max_concurrent_loads: Maximum number of concurrent loads in the group; all groups share
+        the bandwidth of the weight store.
     """
 
     def __init__(
@@ -93,8 +94,8 @@
         clock: Clock,
         rng: random.Random,
         declarations: Observable[DeclarationSet],
-        connect: Connect,
-        max_loads: int,
+        get_client: GetClient,
+        max_concurrent_loads: int,
     ) -> None:
         self._lease = ControlLease(
             store=store,
@@ -105,120 +106,129 @@
         )
         self._clock = clock
         self._rng = rng
-        self._connect = connect
-        self._max_loads = max_loads
+        self._get_client = get_client
+        self._max_concurrent_loads = max_concurrent_loads
         self._declared: DeclarationSet | None = None
         self._changed = asyncio.Event()
-        self._leading: BehaviorSubject[bool] = BehaviorSubject(False)
+        self._is_controller: BehaviorSubject[bool] = BehaviorSubject(False)
         self._subscription = declarations.subscribe(self._on_declarations)
-        self._hold: Hold | None = None
-        self._last_loads: dict[UpstreamId, _Loads] = {}
-        self._held_since: dict[Holding, Millis] = {}
+        self._held_lease: HeldLease | None = None
+        self._load_counts: dict[UpstreamId, _LoadCount] = {}
+        self._loaded_since: dict[LoadedModel, Millis] = {}
         self._backoff: dict[PlannedOrder, int] = {}
         self._backoff_until: dict[PlannedOrder, Millis] = {}
         self._next_order = 1
 
     @property
-    def leading(self) -> Observable[bool]:
-        """Whether this host controls the group."""
-        return self._leading
+    def is_controller(self) -> Observable[bool]:
+        """Whether this host is the controller of the group."""
+        return self._is_controller
 
     async def run(self) -> None:
-        """Take the lease whenever it is free and order what differs, until cancelled."""
+        """Acquire the lease whenever it is free and reconcile the engines, until cancelled."""
         while True:
-            hold = await self._lease.acquire()
-            if hold is None:
-                spread = self._rng.randrange(ACQUIRE_INTERVAL_MS)
-                await self._clock.sleep(ACQUIRE_INTERVAL_MS // 2 + spread)
+            held_lease = await self._lease.acquire()
+            if held_lease is None:
+                jitter_ms = self._rng.randrange(MEAN_ACQUIRE_INTERVAL_MS)
+                await self._clock.sleep(MEAN_ACQUIRE_INTERVAL_MS // 2 + jitter_ms)
                 continue
-            log.info("This host controls the engines.", fence=hold.fence)
-            self._hold = hold
-            self._leading.on_next(True)
+            log.info("Acquired the control lease.", fence=held_lease.fence)
+            self._held_lease = held_lease
+            self._is_controller.on_next(True)
             try:
-                await self._lead(hold)
+                await self._control_engines(held_lease)
             finally:
-                self._hold = None
-                self._leading.on_next(False)
-            await self._lease.release(hold=hold)
+                self._held_lease = None
+                self._is_controller.on_next(False)
+            await self._lease.release(held_lease=held_lease)
 
     async def stop(self) -> None:
-        """Give the lease back, as a planned stop does; ``run`` is to be cancelled after it."""
+        """Release the lease for a graceful shutdown; the caller must cancel ``run`` afterwards."""
         self._subscription.dispose()
-        if self._hold is not None:
-            await self._lease.release(hold=self._hold)
+        if self._held_lease is not None:
+            await self._lease.release(held_lease=self._held_lease)
 
-    async def _lead(self, hold: Hold) -> None:
-        self._forget_engines()
-        renewal = asyncio.get_running_loop().create_task(self._lease.keep(hold=hold))
+    async def _control_engines(self, held_lease: HeldLease) -> None:
+        self._reset_engine_state()
+        renewal = asyncio.get_running_loop().create_task(
+            self._lease.renew_until_lost(held_lease=held_lease)
+        )
         try:
-            while hold.may_act():
+            while held_lease.can_send_orders():
                 self._changed.clear()
                 if self._declared is not None:
-                    await self._tick(hold, self._declared)
+                    await self._reconcile(held_lease, self._declared)
                 await self._wait_for_change()
         finally:
             await cancel_and_wait(renewal)
 
-    async def _tick(self, hold: Hold, declared: DeclarationSet) -> None:
+    async def _reconcile(self, held_lease: HeldLease, declared: DeclarationSet) -> None:
         states = await self._read_states(declared.engines)
         orders = plan_orders(
             declared=declared,
             states=states,
-            confirmed=self._confirm(states),
-            deferred=self._deferred(),
-            loads_allowed=self._max_loads - self._count_loads(),
+            confirmed=self._find_confirmed(states),
+            deferred=self._find_deferred(),
+            max_new_loads=self._max_concurrent_loads - self._count_loads(),
         )
         engines = {UpstreamId(engine.name): engine for engine in declared.engines}
         by_engine: dict[UpstreamId, list[PlannedOrder]] = {}
         for order in orders:
             by_engine.setdefault(order.engine, []).append(order)
         await asyncio.gather(
-            *(self._give_all(hold, engines[name], given) for name, given in by_engine.items())
+            *(
+                self._send_orders(held_lease, engines[name], engine_orders)
+                for name, engine_orders in by_engine.items()
+            )
         )
 
     async def _read_states(self, engines: Iterable[Engine]) -> Mapping[UpstreamId, EngineState]:
-        listed = list(engines)
-        read = await asyncio.gather(*(self._read_state(engine) for engine in listed))
+        engine_list = list(engines)
+        results = await asyncio.gather(*(self._read_state(engine) for engine in engine_list))
         states = {
             UpstreamId(engine.name): state
-            for engine, state in zip(listed, read, strict=True)
+            for engine, state in zip(engine_list, results, strict=True)
             if state is not None
         }
         now = self._clock.now()
         for name, state in states.items():
-            self._last_loads[name] = _Loads(count=len(state.loading), seen=now)
+            self._load_counts[name] = _LoadCount(count=len(state.loading), seen=now)
         return states
 
     async def _read_state(self, engine: Engine) -> EngineState | None:
         try:
             async with asyncio.timeout(CALL_TIMEOUT_MS / MS_PER_SECOND):
-                state = await self._connect(engine).state()
+                state = await self._get_client(engine).state()
         except TimeoutError:
             return None
         return state.value_or(None)
 
-    async def _give_all(self, hold: Hold, engine: Engine, orders: Sequence[PlannedOrder]) -> None:
-        """Give an engine its orders one after the other, and leave it at the first failure."""
+    async def _send_orders(
+        self, held_lease: HeldLease, engine: Engine, orders: Sequence[PlannedOrder]
+    ) -> None:
+        """Send orders to an engine one after the other, up to the first failure."""
         for order in orders:
-            if not await self._give(hold, engine, order):
+            if not await self._send_order(held_lease, engine, order):
                 return
 
-    async def _give(self, hold: Hold, engine: Engine, order: PlannedOrder) -> bool:
-        checked = engine.fencing is Fencing.CHECKED
+    async def _send_order(self, held_lease: HeldLease, engine: Engine, order: PlannedOrder) -> bool:
+        checks_fence = engine.fencing is Fencing.CHECKED
         message = EngineOrder(
-            order_id=f"{hold.fence}-{self._next_order}",
-            fence=hold.fence,
+            order_id=f"{held_lease.fence}-{self._next_order}",
+            fence=held_lease.fence,
             kind=order.kind,
             name=order.name,
             version=order.version,
         )
         self._next_order += 1
         if order.kind is OrderKind.UNLOAD_MODEL:
-            # Until it is done the engine still shows the model.
-            self._held_since[(order.engine, ModelId(order.name))] = self._clock.now()
-        client = self._connect(engine)
-        # The last look at the clock before the order leaves: the host may have been frozen.
-        if not (hold.may_act() if checked else hold.may_act_unfenced()):
+            # The engine reports the model until the unload is complete.
+            self._loaded_since[(order.engine, ModelId(order.name))] = self._clock.now()
+        client = self._get_client(engine)
+        # Check the lease immediately before sending: the process may have been suspended.
+        if not (
+            held_lease.can_send_orders() if checks_fence else held_lease.can_send_unfenced_orders()
+        ):
             return False
         try:
             async with asyncio.timeout(CALL_TIMEOUT_MS / MS_PER_SECOND):
@@ -226,50 +236,65 @@
         except TimeoutError:
             return False
         if isinstance(result, Failure):
-            self._on_failure(hold, order, result.failure())
+            self._on_failure(held_lease, order, result.failure())
             return False
-        log.info("An order was given.", engine=engine.name, kind=order.kind.value, name=order.name)
+        log.info(
+            "Sent an order to an engine.",
+            engine=engine.name,
+            kind=order.kind.value,
+            name=order.name,
+        )
         self._backoff.pop(order, None)
         return True
 
-    def _on_failure(self, hold: Hold, order: PlannedOrder, error: UpstreamError) -> None:
+    def _on_failure(self, held_lease: HeldLease, order: PlannedOrder, error: UpstreamError) -> None:
         if error.refusal is not None and error.refusal.kind is RefusalKind.STALE_FENCE:
-            log.warning("Another host controls the engines.", fence=hold.fence)
-            hold.lose()
+            log.warning(
+                "Lost the control lease: an engine has seen a newer fence.", fence=held_lease.fence
+            )
+            held_lease.mark_lost()
             return
-        wait = min(self._backoff.get(order, TICK_MS // 2) * 2, MAX_BACKOFF_MS)
-        self._backoff[order] = wait
-        self._backoff_until[order] = Millis(self._clock.now() + wait)
+        delay_ms = min(self._backoff.get(order, RECONCILE_INTERVAL_MS // 2) * 2, MAX_BACKOFF_MS)
+        self._backoff[order] = delay_ms
+        self._backoff_until[order] = Millis(self._clock.now() + delay_ms)
 
-    def _confirm(self, states: Mapping[UpstreamId, EngineState]) -> set[Holding]:
-        """Return what engines have held at each look for long enough."""
+    def _find_confirmed(self, states: Mapping[UpstreamId, EngineState]) -> set[LoadedModel]:
+        """Return the models that have been loaded in each read state for ``MIN_LOADED_MS``."""
         now = self._clock.now()
-        held = {
+        loaded = {
             (engine, ModelId(model))
             for engine, state in states.items()
             for model in state.models
             if model not in state.loading
         }
-        self._held_since = {holding: self._held_since.get(holding, now) for holding in held}
-        return {holding for holding, since in self._held_since.items() if now - since >= CONFIRM_MS}
+        self._loaded_since = {
+            loaded_model: self._loaded_since.get(loaded_model, now) for loaded_model in loaded
+        }
+        return {
+            loaded_model
+            for loaded_model, since in self._loaded_since.items()
+            if now - since >= MIN_LOADED_MS
+        }
 
     def _count_loads(self) -> int:
-        """Count the loads under way; a silent engine counts for a while as it last did."""
+        """Return the number of loads in progress, including recent ones of silent engines."""
         now = self._clock.now()
         return sum(
             loads.count
-            for loads in self._last_loads.values()
-            if now - loads.seen <= LOADS_REMEMBERED_MS
+            for loads in self._load_counts.values()
+            if now - loads.seen <= LOAD_COUNT_TTL_MS
         )
 
-    def _deferred(self) -> set[PlannedOrder]:
+    def _find_deferred(self) -> set[PlannedOrder]:
         now = self._clock.now()
-        return {order for order, until in self._backoff_until.items() if until > now}
+        return {
+            order for order, deferred_until in self._backoff_until.items() if deferred_until > now
+        }
 
-    def _forget_engines(self) -> None:
-        """Start anew, since another controller may have changed everything."""
-        self._last_loads.clear()
-        self._held_since.clear()
+    def _reset_engine_state(self) -> None:
+        """Discard all known state of the engines, which another controller may have changed."""
+        self._load_counts.clear()
+        self._loaded_since.clear()
         self._backoff.clear()
         self._backoff_until.clear()
         self._next_order = 1
@@ -280,7 +305,7 @@
 
     async def _wait_for_change(self) -> None:
         try:
-            async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
+            async with asyncio.timeout(RECONCILE_INTERVAL_MS / MS_PER_SECOND):
                 await self._changed.wait()
         except TimeoutError:
             pass
--- a/src/tanagerscale/fleet/_lease.py
+++ b/src/tanagerscale/fleet/_lease.py
@@ -1,4 +1,4 @@
-"""The right to control a group of engines, held under a lease of the store."""
+"""Store lease that gives one host the right to control a group of engines."""
 
 from __future__ import annotations
 
@@ -22,77 +22,84 @@
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 
-TTL_S: Final = 15
-GUARD_MS: Final = 5000
-"""Orders stop so long before the lease may end: longer than an order takes."""
+LEASE_TTL_S: Final = 15
+EXPIRY_GUARD_MS: Final = 5000
+"""Time before the earliest expiry of the lease at which orders stop; longer than an order takes."""
 
 RENEWALS_PER_TTL: Final = 5
 
-TAKEOVER_MARGIN_MS: Final = 5000
-"""A new holder waits so long before it orders engines that ignore fencing, for orders of the one
-before that are still on their way."""
+TAKEOVER_DELAY_MS: Final = 5000
+"""Delay before a new controller sends orders to engines that ignore fencing, because orders of the
+previous controller may still be in transit."""
 
 log = get_logger(part="fleet")
 
 
 @final
-class Hold:
-    """The lease while it is held.
-
-    :param fence: Fencing number: the revision that created the lease's key.
-    :param lease: The lease.
-    :param clock: Judges how long it lasts.
-    :param asked: When it was asked for; it can't have begun to run before.
+class HeldLease:
+    """Control lease that this host has acquired.
+
+    :param fence: Fencing number: the revision that created the key of the lease.
+    :param lease: Id of the lease in the store.
+    :param clock: Clock that times the expiry of the lease.
+    :param requested: When the lease was requested, on the monotonic clock; its lifetime cannot
+        have started earlier.
     """
 
-    def __init__(self, *, fence: int, lease: LeaseId, clock: Clock, asked: Millis) -> None:
+    def __init__(self, *, fence: int, lease: LeaseId, clock: Clock, requested: Millis) -> None:
         self._fence = fence
         self._lease = lease
         self._clock = clock
-        self._began = clock.now()
-        self._until = Millis(0)
+        self._acquired = clock.now()
+        self._valid_until = Millis(0)
         self._lost = False
-        self.extend(asked=asked, ttl_s=TTL_S)
+        self.extend(requested=requested, ttl_s=LEASE_TTL_S)
 
     @property
     def fence(self) -> int:
-        """The fencing number of all orders under it."""
+        """Fencing number of all orders that are sent under the lease."""
         return self._fence
 
     @property
     def lease(self) -> LeaseId:
-        """The lease in the store."""
+        """Id of the lease in the store."""
         return self._lease
 
-    def extend(self, *, asked: Millis, ttl_s: int) -> None:
-        """Take in that the lease was renewed by a call that began at ``asked``."""
-        self._until = Millis(max(self._until, asked + ttl_s * MS_PER_SECOND - GUARD_MS))
+    def extend(self, *, requested: Millis, ttl_s: int) -> None:
+        """Extend the lease after a renewal.
+
+        :param requested: When the call that renewed it began, on the monotonic clock.
+        :param ttl_s: Lifetime after the renewal, in seconds.
+        """
+        self._valid_until = Millis(
+            max(self._valid_until, requested + ttl_s * MS_PER_SECOND - EXPIRY_GUARD_MS)
+        )
 
-    def lose(self) -> None:
-        """Never act under it again."""
+    def mark_lost(self) -> None:
+        """Mark the lease as lost, so that no further orders are sent under it."""
         self._lost = True
 
-    def may_act(self) -> bool:
-        """Tell whether the lease surely stands; ask immediately before each order."""
-        if self._clock.now() >= self._until:
+    def can_send_orders(self) -> bool:
+        """Return whether the lease is certainly valid; to be checked before each order."""
+        if self._clock.now() >= self._valid_until:
             self._lost = True
         return not self._lost
 
-    def may_act_unfenced(self) -> bool:
-        """Tell the same for an engine that ignores fencing numbers."""
-        waited = self._clock.now() - self._began >= TAKEOVER_MARGIN_MS
-        return waited and self.may_act()
+    def can_send_unfenced_orders(self) -> bool:
+        """Return whether orders may be sent to an engine that ignores fencing numbers."""
+        waited = self._clock.now() - self._acquired >= TAKEOVER_DELAY_MS
+        return waited and self.can_send_orders()
 
 
 @final
 class ControlLease:
-    """Takes, renews and gives back the lease of one group of engines.
+    """Acquires, renews and releases the control lease of one group of engines.
 
-    :param store: Where it stands.
-    :param key: Its key.
-    :param host: This host.
-    :param incarnation: Which life of the host this is.
-    :param clock: Judges how long it lasts.
+    :param store: Store that holds the lease.
+    :param key: Store key of the lease.
+    :param host: Id of this host.
+    :param incarnation: Incarnation number of this host; a restarted host has a higher one.
+    :param clock: Clock that times the expiry of the lease.
     """
 
     def __init__(
@@ -104,13 +111,16 @@
         record = ControlLeaseRecord(host=host, incarnation=incarnation)
         self._value = msgspec.json.encode(record)
 
-    async def acquire(self) -> Hold | None:
-        """Take the lease if nobody holds it."""
+    async def acquire(self) -> HeldLease | None:
+        """Acquire the lease if no host holds it.
+
+        :returns: The lease; ``None`` if another host holds it or the store failed.
+        """
         present = await self._store.get(key=self._key)
         if isinstance(present, Failure) or present.unwrap() is not None:
             return None
-        asked = self._clock.now()
-        granted = await self._store.grant_lease(ttl_s=TTL_S)
+        requested = self._clock.now()
+        granted = await self._store.grant_lease(ttl_s=LEASE_TTL_S)
         if isinstance(granted, Failure):
             return None
         lease = granted.unwrap()
@@ -118,28 +128,31 @@
         if fence is None:
             await self._store.revoke(lease=lease)
             return None
-        return Hold(fence=fence, lease=lease, clock=self._clock, asked=asked)
-
-    async def keep(self, *, hold: Hold) -> None:
-        """Renew the lease until it is lost."""
-        while hold.may_act():
-            await self._clock.sleep(TTL_S * MS_PER_SECOND // RENEWALS_PER_TTL)
-            asked = self._clock.now()
-            renewed = await self._store.keep_alive(lease=hold.lease)
+        return HeldLease(fence=fence, lease=lease, clock=self._clock, requested=requested)
+
+    async def renew_until_lost(self, *, held_lease: HeldLease) -> None:
+        """Renew the lease periodically until it is lost."""
+        while held_lease.can_send_orders():
+            await self._clock.sleep(LEASE_TTL_S * MS_PER_SECOND // RENEWALS_PER_TTL)
+            requested = self._clock.now()
+            renewed = await self._store.keep_alive(lease=held_lease.lease)
             if isinstance(renewed, Failure):
-                log.warning("The control lease was not renewed.")
+                log.warning("Failed to renew the control lease.")
             elif renewed.unwrap() <= 0:
-                hold.lose()
+                held_lease.mark_lost()
             else:
-                hold.extend(asked=asked, ttl_s=min(renewed.unwrap(), TTL_S))
+                held_lease.extend(requested=requested, ttl_s=min(renewed.unwrap(), LEASE_TTL_S))
 
-    async def release(self, *, hold: Hold) -> None:
-        """Give the lease back, so that another host need not wait for its end."""
-        hold.lose()
-        await self._store.revoke(lease=hold.lease)
+    async def release(self, *, held_lease: HeldLease) -> None:
+        """Revoke the lease, so that another host does not have to wait until it expires."""
+        held_lease.mark_lost()
+        await self._store.revoke(lease=held_lease.lease)
 
     async def _create(self, lease: LeaseId) -> int | None:
-        """Create the key and return the revision that did so; ``None`` when another stands."""
+        """Create the key of the lease.
+
+        :returns: The revision that created it; ``None`` if the key exists or the store failed.
+        """
         put = PutIf(
             key=self._key,
             value=self._value,
@@ -152,13 +165,13 @@
             return int(outcome.revision) if outcome.written else None
         if result.failure().kind is not StoreErrorKind.UNCERTAIN:
             return None
-        # The reply was lost; the key under our new lease proves that the write took effect.
+        # The reply was lost. If the key is attached to the new lease, the write has succeeded.
         found = await self._store.get(key=self._key)
         entry = found.value_or(None)
         return int(entry.create_revision) if entry is not None and entry.lease == lease else None
 
 
 async def cancel_and_wait(task: asyncio.Task[None]) -> None:
-    """End a task."""
+    """Cancel a task and wait until it has ended."""
     task.cancel()
     await asyncio.wait([task])
--- a/src/tanagerscale/fleet/_plan.py
+++ b/src/tanagerscale/fleet/_plan.py
@@ -1,4 +1,4 @@
-"""What to order, given what is declared and what the engines hold; no I/O."""
+"""Planning of orders from the declarations and the states of the engines; no I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,13 @@
 
 
 class PlannedOrder(Struct, frozen=True, kw_only=True):
-    """One difference between what is declared and what an engine holds."""
+    """Order that removes one difference between the declarations and the state of an engine.
+
+    :param engine: Engine to send the order to.
+    :param kind: Kind of the order.
+    :param name: Name of the model, adapter or role.
+    :param version: Version to load; empty for other orders.
+    """
 
     engine: UpstreamId
     kind: OrderKind
@@ -28,31 +34,33 @@
     version: str = ""
 
 
-Holding = tuple[UpstreamId, ModelId]
+LoadedModel = tuple[UpstreamId, ModelId]
 
 
 def plan_orders(
     *,
     declared: DeclarationSet,
     states: Mapping[UpstreamId, EngineState],
-    confirmed: Set[Holding],
+    confirmed: Set[LoadedModel],
     deferred: Set[PlannedOrder],
-    loads_allowed: int,
+    max_new_loads: int,
 ) -> Sequence[PlannedOrder]:
-    """Return the orders to give now; each is safe to give twice.
-
-    :param declared: The declarations in force.
-    :param states: What the engines said of themselves just now; engines without an entry get no
-        orders and don't count as holders.
-    :param confirmed: Models that engines have held for long enough to be relied on.
-    :param deferred: Orders that failed lately and wait for their next trial.
-    :param loads_allowed: Most loads to order.
+    """Return the orders to send now; each of them is idempotent.
+
+    :param declared: Declarations in force.
+    :param states: Current states of the engines; engines without an entry get no orders and do not
+        count as having a model loaded.
+    :param confirmed: Models that have been loaded for long enough to be relied on.
+    :param deferred: Orders that failed recently and wait for their next attempt.
+    :param max_new_loads: Maximum number of loads to order.
     """
     planner = _Planner(declared=declared, states=states, confirmed=confirmed)
-    wanted = [order for order in planner.loads() if order not in deferred]
-    loads = sorted(wanted, key=planner.urgency)[: max(loads_allowed, 0)]
-    others = [order for order in (*planner.roles(), *planner.unloads()) if order not in deferred]
-    return [*others, *loads]
+    wanted = [order for order in planner.plan_loads() if order not in deferred]
+    new_loads = sorted(wanted, key=planner.get_load_priority)[: max(max_new_loads, 0)]
+    others = [
+        order for order in (*planner.plan_roles(), *planner.plan_unloads()) if order not in deferred
+    ]
+    return [*others, *new_loads]
 
 
 @final
@@ -62,7 +70,7 @@
         *,
         declared: DeclarationSet,
         states: Mapping[UpstreamId, EngineState],
-        confirmed: Set[Holding],
+        confirmed: Set[LoadedModel],
     ) -> None:
         self._engines = [
             (engine, states[UpstreamId(engine.name)])
@@ -71,63 +79,67 @@
         ]
         self._models = {model.name: model.version for model in declared.models}
         self._adapters = {adapter.name: adapter for adapter in declared.adapters}
-        self._demanded = {model for engine in declared.engines for model in engine.models}
+        self._required_models = {model for engine in declared.engines for model in engine.models}
         self._confirmed = confirmed
 
-    def roles(self) -> Iterator[PlannedOrder]:
-        """An engine that is declared serves."""
+    def plan_roles(self) -> Iterator[PlannedOrder]:
+        """Plan orders that set every declared engine to the serving role."""
         for engine, state in self._engines:
             if state.role is not Role.SERVING:
-                yield _order(engine, OrderKind.SET_ROLE, Role.SERVING.value)
+                yield _build_order(engine, OrderKind.SET_ROLE, Role.SERVING.value)
 
-    def loads(self) -> Iterator[PlannedOrder]:
-        """What is missing or of another version."""
-        swapping: set[str] = set()
+    def plan_loads(self) -> Iterator[PlannedOrder]:
+        """Plan loads of declared models and adapters that are missing or of another version."""
+        updating: set[str] = set()
         for engine, state in self._engines:
             for model in engine.models:
                 version = self._models.get(model)
-                held = state.models.get(model)
-                if version is None or held == version or model in state.loading:
+                current = state.models.get(model)
+                if version is None or current == version or model in state.loading:
                     continue
-                if held is not None:
-                    # A new version replaces the old one engine by engine.
-                    if model in swapping or self._loading_elsewhere(model, engine):
+                if current is not None:
+                    # A new version replaces the old one on one engine at a time.
+                    if model in updating or self._is_loading_elsewhere(model, engine):
                         continue
-                    swapping.add(model)
-                yield _order(engine, OrderKind.LOAD_MODEL, model, version)
-            yield from self._adapter_loads(engine, state)
+                    updating.add(model)
+                yield _build_order(engine, OrderKind.LOAD_MODEL, model, version)
+            yield from self._plan_adapter_loads(engine, state)
+
+    def plan_unloads(self) -> Iterator[PlannedOrder]:
+        """Plan unloads of models and adapters that are not declared for the engine.
 
-    def unloads(self) -> Iterator[PlannedOrder]:
-        """What is held and not declared, unless the declarations need it there still."""
+        A model that the declarations require is kept until an engine that is declared for it has
+        it loaded and confirmed.
+        """
         for engine, state in self._engines:
             for model in state.models:
                 if model in engine.models or model in state.loading:
                     continue
-                if model not in self._demanded or self._held_where_declared(model):
-                    yield _order(engine, OrderKind.UNLOAD_MODEL, model)
+                if model not in self._required_models or self._is_confirmed_where_declared(model):
+                    yield _build_order(engine, OrderKind.UNLOAD_MODEL, model)
             for adapter in state.adapters:
                 if adapter not in engine.adapters and adapter not in state.loading:
-                    yield _order(engine, OrderKind.UNLOAD_ADAPTER, adapter)
+                    yield _build_order(engine, OrderKind.UNLOAD_ADAPTER, adapter)
 
-    def urgency(self, order: PlannedOrder) -> tuple[int, int]:
-        """Order first what no engine holds, then what fewest do."""
-        holders = sum(order.name in state.models for _, state in self._engines)
-        return (0 if order.kind is OrderKind.LOAD_MODEL else 1, holders)
+    def get_load_priority(self, order: PlannedOrder) -> tuple[int, int]:
+        """Return the sort key of a load: models first, those on the fewest engines first."""
+        loaded_count = sum(order.name in state.models for _, state in self._engines)
+        return (0 if order.kind is OrderKind.LOAD_MODEL else 1, loaded_count)
 
-    def _adapter_loads(self, engine: Engine, state: EngineState) -> Iterator[PlannedOrder]:
+    def _plan_adapter_loads(self, engine: Engine, state: EngineState) -> Iterator[PlannedOrder]:
         for name in engine.adapters:
             adapter = self._adapters.get(name)
             if adapter is None or adapter.model not in state.models:
                 continue
             if state.adapters.get(name) != adapter.version and name not in state.loading:
-                yield _order(engine, OrderKind.LOAD_ADAPTER, name, adapter.version)
+                yield _build_order(engine, OrderKind.LOAD_ADAPTER, name, adapter.version)
 
-    def _loading_elsewhere(self, model: str, engine: Engine) -> bool:
+    def _is_loading_elsewhere(self, model: str, engine: Engine) -> bool:
         return any(
             model in state.loading for other, state in self._engines if other.name != engine.name
         )
 
-    def _held_where_declared(self, model: str) -> bool:
+    def _is_confirmed_where_declared(self, model: str) -> bool:
         version = self._models.get(model)
         return any(
             state.models.get(model) == version
@@ -138,5 +150,5 @@
         )
 
 
-def _order(engine: Engine, kind: OrderKind, name: str, version: str = "") -> PlannedOrder:
+def _build_order(engine: Engine, kind: OrderKind, name: str, version: str = "") -> PlannedOrder:
     return PlannedOrder(engine=UpstreamId(engine.name), kind=kind, name=name, version=version)
--- a/src/tanagerscale/forwarding/_parts.py
+++ b/src/tanagerscale/forwarding/_parts.py
@@ -20,7 +20,7 @@
 from tanagerscale.forwarding._types import EngineControl
 from tanagerscale.forwarding._types import UpstreamCaller
 from tanagerscale.forwarding._work import OwnWork
-from tanagerscale.quarantine import Suspects
+from tanagerscale.quarantine import SuspectTracker
 
 
 class Repeats(Protocol):
@@ -64,7 +64,7 @@
     upstreams: Upstreams
     gate: Gate
     health: UpstreamHealth
-    suspects: Suspects
+    suspects: SuspectTracker
     caller: UpstreamCaller
     engines: EngineControl
     work: OwnWork
--- a/src/tanagerscale/forwarding/_suspicion.py
+++ b/src/tanagerscale/forwarding/_suspicion.py
@@ -13,7 +13,7 @@
 def is_refused(routed: RoutedRequest, parts: ForwardingParts) -> bool:
     """Return whether a request has crashed too many upstreams to be run again."""
     suspects = parts.suspects
-    return suspects.known > 0 and suspects.is_refused(routed.fingerprint)
+    return suspects.suspect_count > 0 and suspects.is_refused(routed.fingerprint)
 
 
 def note_broken(routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry) -> None:
@@ -24,5 +24,5 @@
 
 def note_whole(routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry) -> None:
     """Record a whole answer."""
-    if parts.suspects.known:
+    if parts.suspects.suspect_count:
         parts.suspects.note_whole(fingerprint=routed.fingerprint, upstream=entry.upstream)
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -49,7 +49,7 @@
 from tanagerscale.membership import Transport
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.membership import UpstreamRoster
-from tanagerscale.quarantine import Suspects
+from tanagerscale.quarantine import SuspectTracker
 from tanagerscale.routes import RouteTable
 
 PATIENCE_MS: Final = 150
@@ -101,7 +101,7 @@
         self.incarnation = clock.wall()
         self.directory = Directory(host=self._host, seeds=settings.host.seeds, clock=clock)
         self.keeper = ConfigurationKeeper(decode=edges.decode_configuration)
-        self.suspects = Suspects(clock=clock)
+        self.suspects = SuspectTracker(clock=clock)
         self.health = UpstreamHealth(
             service_of=self._service_of,
             may_judge=lambda: self.directory.is_first,
--- a/src/tanagerscale/gateway/_peers.py
+++ b/src/tanagerscale/gateway/_peers.py
@@ -34,7 +34,7 @@
 from tanagerscale.membership import PeerInfo
 from tanagerscale.membership import Received
 from tanagerscale.membership import UpstreamGate
-from tanagerscale.quarantine import Suspects
+from tanagerscale.quarantine import SuspectTracker
 
 _log = get_logger(part="peers")
 
@@ -61,7 +61,7 @@
     relay: NewsRelay
     gate: UpstreamGate
     health: UpstreamHealth
-    suspects: Suspects
+    suspects: SuspectTracker
 
 
 @final
--- a/src/tanagerscale/quarantine/__init__.py
+++ b/src/tanagerscale/quarantine/__init__.py
@@ -1,16 +1,21 @@
-"""Requests that may crash the upstreams that run them.
+"""Quarantine for requests that may crash the upstreams that run them.
 
-What is covered: once one host has seen a crash, its suspects run again only one at a time, on one
-engine, away from other suspects of that crash, at whatever host their callers repeat them; a
-second crash at about the same token convicts, for the same request makes the same tokens. So two
-engines are lost to a request that crashes them at one place of its answer, and three to one that
-crashes them anywhere. An innocent request that runs on two engines which die for other causes is
-at different places, and gets a third chance. What is not: copies of one request that several
-hosts had already sent to different engines before the first of them crashed, if they crash within
-the few milliseconds that the word takes to spread. Copies that live longer are reported by
-``Quarantine.stops``. A request whose body changes between repeats has a new fingerprint each
-time. A suspect that shares its retry's engine with another request that crashes engines, and was
-no suspect yet, is convicted in its place.
+Every request that was running on an engine when the engine crashed is a suspect. After one host
+has detected a crash, each suspect of it runs on one engine at a time, apart from other suspects,
+on whichever host its caller repeats it. The same request generates the same tokens, so a second
+crash at about the same token convicts it. A request that crashes engines at one position of its
+answer therefore costs two engines, and one that crashes them at arbitrary positions costs three.
+A harmless request that runs on two engines that crash for other reasons is at different positions,
+so it may run a third time.
+
+Limits:
+
+* Copies of one request that several hosts sent to different engines before the first crash are
+  not stopped if they crash within the few milliseconds that the verdict takes to reach the peers.
+  ``Quarantine.stops`` reports copies that run longer.
+* A request whose body changes between repeats has a new fingerprint each time.
+* A suspect that is retried on the same engine as another request that crashes engines, and that is
+  not yet a suspect, is convicted in place of that request.
 """
 
 from __future__ import annotations
@@ -21,7 +26,7 @@
 from tanagerscale.quarantine._rules import StopRequest
 from tanagerscale.quarantine._rules import fingerprint_of
 from tanagerscale.quarantine._runs import RunEnd
-from tanagerscale.quarantine._suspects import Suspects
+from tanagerscale.quarantine._suspects import SuspectTracker
 
 __all__ = [
     "Crash",
@@ -29,6 +34,6 @@
     "Quarantine",
     "RunEnd",
     "StopRequest",
-    "Suspects",
+    "SuspectTracker",
     "fingerprint_of",
 ]
--- a/src/tanagerscale/quarantine/_announcements.py
+++ b/src/tanagerscale/quarantine/_announcements.py
@@ -1,4 +1,4 @@
-"""Announces verdicts, and the runs of suspects on this host, to its peers."""
+"""Publication of verdicts, and of the runs of suspects on this host, to the peers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class Announcements:
     """Publishes verdicts and tracks which requests the peers consider running on this host.
 
-    :param runs: The runs of this host.
+    :param runs: Runs known to this host.
     """
 
     def __init__(self, *, runs: Runs) -> None:
@@ -26,15 +26,15 @@
 
     @property
     def verdicts(self) -> Observable[Verdict]:
-        """Verdicts to broadcast to all peers immediately."""
+        """Verdicts that must be broadcast to all peers immediately."""
         return self._verdicts
 
     def send(self, *, verdict: Verdict) -> None:
         """Send a verdict to all peers."""
-        self.note_sent(verdict=verdict)
+        self.record_sent(verdict=verdict)
         self._verdicts.on_next(verdict)
 
-    def note_sent(self, *, verdict: Verdict) -> None:
+    def record_sent(self, *, verdict: Verdict) -> None:
         """Record a verdict that is sent to a peer without being published in ``verdicts``."""
         fingerprint = Fingerprint(verdict.fingerprint)
         if verdict.engine:
@@ -43,14 +43,14 @@
             self._announced_runs.discard(fingerprint)
 
     def announce_run_end(self, *, fingerprint: Fingerprint) -> bool:
-        """Announce the end of a run that peers were told of, unless another copy still runs here.
+        """Announce the end of an announced run, unless another copy still runs on this host.
 
-        Otherwise the peers would keep excluding all other engines for the request, and its engine
-        for other suspects.
+        Without the announcement the peers would continue to exclude all other engines for the
+        request, and its engine for other suspects.
 
         :returns: Whether the end was announced.
         """
-        still_running = bool(self._runs.own_engines(fingerprint=fingerprint))
+        still_running = bool(self._runs.get_local_engines(fingerprint=fingerprint))
         if still_running or fingerprint not in self._announced_runs:
             return False
         # An expired verdict without an engine only removes the run from the peers' state.
--- a/src/tanagerscale/quarantine/_persistence.py
+++ b/src/tanagerscale/quarantine/_persistence.py
@@ -1,4 +1,4 @@
-"""Keeping convictions in the store for hosts that start later."""
+"""Storage of convictions for hosts that start later."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 
-RETRY_MS: Final = 2000
-MAX_PENDING: Final = 1000
+RETRY_DELAY_MS: Final = 2000
+MAX_PENDING_WRITES: Final = 1000
 
 
 @final
-class VerdictKeeper:
-    """Writes convictions under leases that end with them, through outages of the store.
+class ConvictionStore:
+    """Writes convictions under leases with the same expiry, and retries during store outages.
 
-    :param store: Where they stand.
-    :param prefix: First part of their keys.
-    :param clock: Paces the retries.
-    :param rng: Spreads them.
+    :param store: Store that holds the convictions.
+    :param prefix: Prefix of their keys.
+    :param clock: Clock that times the expiry and the retry delays.
+    :param rng: Random number generator for the jitter of the retry delays.
     """
 
     def __init__(self, *, store: Store, prefix: str, clock: Clock, rng: random.Random) -> None:
@@ -43,16 +43,22 @@
         self._rng = rng
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def keep(self, *, verdict: Verdict, expires: Millis) -> None:
-        """Write a conviction in the background."""
-        if len(self._tasks) >= MAX_PENDING:
+    def save(self, *, verdict: Verdict, expires: Millis) -> None:
+        """Write a conviction in the background.
+
+        It is dropped when ``MAX_PENDING_WRITES`` writes are pending.
+
+        :param verdict: Conviction to write.
+        :param expires: When it expires, on the monotonic clock.
+        """
+        if len(self._tasks) >= MAX_PENDING_WRITES:
             return
         task = asyncio.get_running_loop().create_task(self._write(verdict, expires))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def load(self) -> Result[list[Verdict], StoreError]:
-        """Read the convictions that stand; malformed ones are left out."""
+        """Read the stored convictions, without malformed ones."""
         listed = await self._store.list(prefix=self._prefix)
         return listed.map(
             lambda found: [
@@ -63,7 +69,7 @@
         )
 
     async def close(self) -> None:
-        """Give up what is not yet written."""
+        """Cancel the pending writes."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -76,7 +82,7 @@
                 return
             if result.failure().kind is StoreErrorKind.REFUSED:
                 return
-            await self._clock.sleep(RETRY_MS + self._rng.randrange(RETRY_MS))
+            await self._clock.sleep(RETRY_DELAY_MS + self._rng.randrange(RETRY_DELAY_MS))
 
     async def _write_once(self, verdict: Verdict, *, ttl_s: int) -> Result[None, StoreError]:
         granted = await self._store.grant_lease(ttl_s=ttl_s)
@@ -88,13 +94,16 @@
             expected_mod_revision=StoreRevision(0),
             lease=granted.unwrap(),
         )
-        # Another host may have written it before; all hosts mean the same.
+        # The key may exist already: another host wrote the same conviction.
         committed = await self._store.commit(puts=[put])
         return committed.map(lambda _: None)
 
 
 def decode_verdict(value: bytes) -> Verdict | None:
-    """Decode a stored verdict; ``None`` when it is malformed."""
+    """Decode a stored verdict.
+
+    :returns: The verdict; ``None`` if it is malformed.
+    """
     try:
         return msgspec.json.decode(value, type=Verdict)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
--- a/src/tanagerscale/quarantine/_quarantine.py
+++ b/src/tanagerscale/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""What a host knows of requests that crash upstreams, shared with its peers."""
+"""Quarantine state of one host, synchronized with its peers."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from tanagerscale.core import get_logger
 from tanagerscale.generated.messages import Verdict
 from tanagerscale.quarantine._announcements import Announcements
-from tanagerscale.quarantine._persistence import RETRY_MS
-from tanagerscale.quarantine._persistence import VerdictKeeper
-from tanagerscale.quarantine._rules import MAX_SETTLE_MS
-from tanagerscale.quarantine._rules import MERGE_MS
-from tanagerscale.quarantine._rules import SETTLE_MS
+from tanagerscale.quarantine._persistence import RETRY_DELAY_MS
+from tanagerscale.quarantine._persistence import ConvictionStore
+from tanagerscale.quarantine._rules import ANNOUNCEMENT_DELAY_MS
+from tanagerscale.quarantine._rules import CRASH_MERGE_WINDOW_MS
+from tanagerscale.quarantine._rules import MAX_ANNOUNCEMENT_DELAY_MS
 from tanagerscale.quarantine._rules import Crash
 from tanagerscale.quarantine._rules import Fingerprint
 from tanagerscale.quarantine._rules import StopRequest
 from tanagerscale.quarantine._rules import Suspicion
-from tanagerscale.quarantine._rules import Suspicions
+from tanagerscale.quarantine._rules import SuspicionTable
 from tanagerscale.quarantine._rules import parse_crash
 from tanagerscale.quarantine._runs import Progress
 from tanagerscale.quarantine._runs import Run
@@ -46,18 +46,18 @@
 
 @final
 class Quarantine:
-    """Keeps requests that crash upstreams from more than two of them.
-
-    For each attempt dispatch calls ``check``, leaves out ``excluded_engines``, awaits ``admit``
-    for the engine it chose, and at the end calls ``on_finished``. When ``admit`` says no, it
-    chooses again; when all engines are excluded, it waits for ``changes``.
-
-    :param store: Where convictions stand.
-    :param prefix: First part of all keys of this installation.
-    :param host: This host.
-    :param clock: Measures how long a verdict stands.
-    :param rng: Spreads retries.
-    :param verdict_ttl_ms: How long a verdict stands, in milliseconds.
+    """Prevents requests that crash engines at the same token from crashing more than two of them.
+
+    For each attempt, dispatch calls ``check``, skips ``excluded_engines``, awaits ``admit`` for
+    the selected engine, and calls ``on_finished`` at the end. If ``admit`` returns ``False``, it
+    selects another engine; if all engines are excluded, it waits for ``changes``.
+
+    :param store: Store that holds the convictions.
+    :param prefix: Prefix of all store keys of this installation.
+    :param host: Id of this host.
+    :param clock: Clock that times the expiry of verdicts.
+    :param rng: Random number generator for the jitter of retry delays.
+    :param verdict_ttl_ms: Lifetime of a verdict, in milliseconds.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         self._host = host
         self._clock = clock
         self._ttl_ms = verdict_ttl_ms
-        self._suspicions = Suspicions()
+        self._suspicions = SuspicionTable()
         self._runs = Runs(host=host)
         self._announcements = Announcements(runs=self._runs)
-        self._keeper = VerdictKeeper(
+        self._conviction_store = ConvictionStore(
             store=store, prefix=f"{prefix}/quarantine/", clock=clock, rng=rng
         )
         self._stops: Subject[StopRequest] = Subject()
@@ -84,48 +84,51 @@
 
     @property
     def verdicts(self) -> Observable[Verdict]:
-        """What is to be sent to all peers at once."""
+        """Verdicts that must be sent to all peers immediately."""
         return self._announcements.verdicts
 
     @property
     def stops(self) -> Observable[StopRequest]:
-        """Copies to cancel and start again, where nothing has been delivered."""
+        """Runs on this host to cancel; they may be restarted if nothing has been delivered."""
         return self._stops
 
     @property
     def changes(self) -> Observable[None]:
-        """Fires when an excluded engine may have become free, or a request convicted."""
+        """Emits when an excluded engine may be available or a request may be convicted."""
         return self._changes
 
     def check(self, *, fingerprint: Fingerprint) -> Problem | None:
-        """Return the final answer to a request that is quarantined."""
-        known = self._known(fingerprint)
-        if known is None or not known.convicted:
+        """Return the problem to answer a convicted request with.
+
+        :returns: The problem; ``None`` if the request is not convicted.
+        """
+        suspicion = self._get_suspicion(fingerprint)
+        if suspicion is None or not suspicion.convicted:
             return None
         return Problem(
             kind=ProblemKind.QUARANTINED,
             detail="This request has crashed engines and was not run again; change it, or send "
             "it after the time given.",
             execution=Execution.NOT_EXECUTED,
-            retry_after_ms=max(known.expires - self._clock.now(), 1),
+            retry_after_ms=max(suspicion.expires - self._clock.now(), 1),
         )
 
     def is_suspect(self, *, fingerprint: Fingerprint) -> bool:
-        """Tell whether a request ran in a crash that is not explained."""
-        return self._known(fingerprint) is not None
+        """Return whether a request is a suspect of an unexplained crash, or convicted."""
+        return self._get_suspicion(fingerprint) is not None
 
-    def runs_anywhere(self, *, fingerprint: Fingerprint) -> bool:
-        """Tell whether no engine is excluded for a request, as for nearly all of them."""
-        runs = self._runs.own_engines(fingerprint=fingerprint)
-        return not runs and self._known(fingerprint) is None
+    def is_unrestricted(self, *, fingerprint: Fingerprint) -> bool:
+        """Return whether no engine is excluded for a request, which holds for nearly all."""
+        runs = self._runs.get_local_engines(fingerprint=fingerprint)
+        return not runs and self._get_suspicion(fingerprint) is None
 
     def excluded_engines(
         self, *, fingerprint: Fingerprint, engines: Iterable[UpstreamId]
     ) -> frozenset[UpstreamId]:
-        """Return the engines that a request must not be sent to now.
+        """Return the engines that a request must not be sent to at present.
 
-        :param fingerprint: The request.
-        :param engines: Engines to choose from.
+        :param fingerprint: Fingerprint of the request.
+        :param engines: Candidate engines.
         """
         return frozenset(engine for engine in engines if not self._may_run(fingerprint, engine))
 
@@ -136,13 +139,15 @@
         engine: UpstreamId,
         progress: Progress = lambda: 0,
     ) -> bool:
-        """Ask, immediately before sending, to run a request on an engine.
+        """Register a run of a request on an engine; to be called immediately before sending.
 
-        A suspect's run is announced to the peers first, so that two hosts that choose at the
-        same moment see each other.
+        The run of a suspect is announced to the peers first, so that two hosts that select an
+        engine concurrently detect the conflict.
 
-        :param progress: Returns how many tokens the run has made.
-        :returns: Whether it may run; it is then counted as running until ``on_finished``.
+        :param fingerprint: Fingerprint of the request.
+        :param engine: Selected engine.
+        :param progress: Returns the number of tokens that the run has generated.
+        :returns: Whether the request may run; if so, it counts as running until ``on_finished``.
         """
         if not self._may_run(fingerprint, engine):
             return False
@@ -159,21 +164,23 @@
             return True
         self._announce(fingerprint)
         try:
-            await self._clock.sleep(SETTLE_MS)
+            await self._clock.sleep(ANNOUNCEMENT_DELAY_MS)
         except asyncio.CancelledError:
             self._withdraw(fingerprint, engine)
             raise
-        on_time = self._clock.now() - announced <= MAX_SETTLE_MS
+        on_time = self._clock.now() - announced <= MAX_ANNOUNCEMENT_DELAY_MS
         if on_time and self._may_run(fingerprint, engine, announced=announced):
-            self._runs.settle(fingerprint=fingerprint, engine=engine)
+            self._runs.mark_settled(fingerprint=fingerprint, engine=engine)
             return True
         self._withdraw(fingerprint, engine)
         return False
 
     def on_finished(self, *, fingerprint: Fingerprint, engine: UpstreamId, end: RunEnd) -> None:
-        """Tell that a request no longer runs on an engine, for any reason but a crash.
+        """Record that a request no longer runs on an engine, for any reason but a crash.
 
-        :param end: How it ended.
+        :param fingerprint: Fingerprint of the request.
+        :param engine: Engine that ran it.
+        :param end: How the run ended.
         """
         self._runs.finish(
             fingerprint=fingerprint,
@@ -181,38 +188,40 @@
             now=self._clock.now(),
             end=end,
         )
-        known = self._known(fingerprint)
-        if known is None or known.convicted:
+        suspicion = self._get_suspicion(fingerprint)
+        if suspicion is None or suspicion.convicted:
             self._announce_run_end(fingerprint)
             return
         complete = end is RunEnd.COMPLETE
         if complete:
             self._suspicions.clear(fingerprint=fingerprint)
-        self._announcements.send(verdict=self._to_verdict(fingerprint, known, cleared=complete))
+        self._announcements.send(verdict=self._to_verdict(fingerprint, suspicion, cleared=complete))
         self._changes.on_next(None)
 
     def on_engine_crash(self, *, engine: UpstreamId) -> None:
-        """Take in that an engine has died; all that ran there are suspects.
+        """Record that an engine crashed, which makes every request that ran on it a suspect.
 
-        To be called before anything that ran there is sent again, and only when the engine
-        itself has died: a broken link proves nothing against a request.
+        To be called before any of these requests is sent again, and only if the engine itself has
+        crashed: a broken connection is no evidence against a request.
         """
         wall_ms = self._clock.wall()
-        victims = self._runs.take_victims(
-            engine=engine, now=self._clock.now(), settled_after_ms=SETTLE_MS
+        crashed_runs = self._runs.take_crashed_runs(
+            engine=engine, now=self._clock.now(), settled_after_ms=ANNOUNCEMENT_DELAY_MS
         )
-        # Those with crashes behind them go first: a conviction explains the crash for the rest.
-        for fingerprint in sorted(victims, key=lambda one: (self._known(one) is None, one)):
-            crash = Crash(engine=engine, wall_ms=wall_ms, tokens=victims[fingerprint])
-            self._blame(fingerprint, (crash,))
+        # Existing suspects are processed first: a conviction explains the crash for all others.
+        for fingerprint in sorted(
+            crashed_runs, key=lambda one: (self._get_suspicion(one) is None, one)
+        ):
+            crash = Crash(engine=engine, wall_ms=wall_ms, tokens=crashed_runs[fingerprint])
+            self._add_crash(fingerprint, (crash,))
             self._announce_run_end(fingerprint)
         self._changes.on_next(None)
 
     def on_peer_verdict(self, *, verdict: Verdict, peer: HostId) -> None:
-        """Take in what a peer knows.
+        """Apply a verdict from a peer.
 
-        :param verdict: Its message.
-        :param peer: The peer.
+        :param verdict: Message of the peer.
+        :param peer: Host that sent it.
         """
         fingerprint = Fingerprint(verdict.fingerprint)
         crashes = [crash for text in verdict.crashes if (crash := parse_crash(text)) is not None]
@@ -227,150 +236,150 @@
         if verdict.cleared:
             self._suspicions.clear(fingerprint=fingerprint)
         else:
-            self._take_in(fingerprint, verdict, tuple(crashes))
+            self._apply_verdict(fingerprint, verdict, tuple(crashes))
         self._changes.on_next(None)
 
     def on_peer_gone(self, *, peer: HostId) -> None:
-        """Forget what a dead peer ran."""
-        self._runs.forget_peer(host=peer)
+        """Remove the runs of a peer that has disconnected or crashed."""
+        self._runs.remove_peer(host=peer)
         self._changes.on_next(None)
 
     def snapshot(self) -> Sequence[Verdict]:
-        """Return all that is known, for a peer that has just connected."""
+        """Return all current verdicts, for a peer that has just connected."""
         verdicts = [
-            self._to_verdict(fingerprint, known)
-            for fingerprint in list(self._suspicions.known)
-            if (known := self._known(fingerprint)) is not None
+            self._to_verdict(fingerprint, suspicion)
+            for fingerprint in list(self._suspicions.entries)
+            if (suspicion := self._get_suspicion(fingerprint)) is not None
         ]
         for verdict in verdicts:
-            self._announcements.note_sent(verdict=verdict)
+            self._announcements.record_sent(verdict=verdict)
         return verdicts
 
     async def load(self) -> None:
-        """Read the convictions from the store, trying until it answers."""
+        """Load the convictions from the store, retrying until it answers."""
         while True:
-            loaded = await self._keeper.load()
+            loaded = await self._conviction_store.load()
             if isinstance(loaded, Success):
                 break
-            await self._clock.sleep(RETRY_MS)
+            await self._clock.sleep(RETRY_DELAY_MS)
         for verdict in loaded.unwrap():
             if verdict.convicted:
-                self._take_in(Fingerprint(verdict.fingerprint), verdict, ())
+                self._apply_verdict(Fingerprint(verdict.fingerprint), verdict, ())
 
     async def close(self) -> None:
-        """Stop background work."""
-        await self._keeper.close()
+        """Cancel the background writes."""
+        await self._conviction_store.close()
 
-    def _known(self, fingerprint: Fingerprint) -> Suspicion | None:
+    def _get_suspicion(self, fingerprint: Fingerprint) -> Suspicion | None:
         return self._suspicions.get(fingerprint=fingerprint, now=self._clock.now())
 
     def _may_run(
         self, fingerprint: Fingerprint, engine: UpstreamId, *, announced: Millis | None = None
     ) -> bool:
-        """Tell whether no other run speaks against this one.
+        """Return whether a request may run on an engine, given all other runs.
 
-        :param announced: When this run was announced, if it was.
+        :param announced: When this run was announced; ``None`` if it was not.
         """
-        known = self._known(fingerprint)
-        if known is None:
-            # Copies run side by side on one engine, so that they can crash only that one, and so
-            # that peers can be told in one word where a suspect runs.
-            return self._runs.own_engines(fingerprint=fingerprint) <= {engine}
-        if known.convicted or self._crashed_lately(known, engine):
+        suspicion = self._get_suspicion(fingerprint)
+        if suspicion is None:
+            # All copies share one engine, so that they can crash only that one, and so that one
+            # engine name in a verdict is enough to report where a suspect runs.
+            return self._runs.get_local_engines(fingerprint=fingerprint) <= {engine}
+        if suspicion.convicted or self._crashed_recently(suspicion, engine):
             return False
-        for run in self._runs.all(now=self._clock.now()):
-            if not self._conflicts(run, fingerprint, engine, known):
+        for run in self._runs.get_runs(now=self._clock.now()):
+            if not self._conflicts(run, fingerprint, engine, suspicion):
                 continue
-            # Of two runs announced at the same moment the lower one goes ahead.
+            # Of two runs announced concurrently, the one with the lower key takes precedence.
             later = announced is not None and run.since >= announced and not run.settled
             if not later or (run.fingerprint, run.host) < (fingerprint, self._host):
                 return False
         return True
 
     def _conflicts(
-        self, run: Run, fingerprint: Fingerprint, engine: UpstreamId, known: Suspicion | None
+        self, run: Run, fingerprint: Fingerprint, engine: UpstreamId, suspicion: Suspicion | None
     ) -> bool:
         if run.fingerprint == fingerprint:
-            # A suspect's copies share one engine, so that they can crash only that one.
+            # All copies of a suspect share one engine, so that they can crash only that one.
             return run.engine != engine
-        # Suspects of different crashes are kept apart too: if one of them crashed the engine, the
-        # other would have two crashes behind it as well.
-        both = known is not None and self._known(run.fingerprint) is not None
+        # Suspects of different crashes must not share an engine either: if one of them crashed
+        # it, the other would have a second crash recorded against it as well.
+        both = suspicion is not None and self._get_suspicion(run.fingerprint) is not None
         return both and run.engine == engine
 
-    def _crashed_lately(self, known: Suspicion, engine: UpstreamId) -> bool:
+    def _crashed_recently(self, suspicion: Suspicion, engine: UpstreamId) -> bool:
         now = self._clock.wall()
         return any(
-            crash.engine == engine and now - crash.wall_ms <= 2 * MERGE_MS
-            for crash in known.crashes
+            crash.engine == engine and now - crash.wall_ms <= 2 * CRASH_MERGE_WINDOW_MS
+            for crash in suspicion.crashes
         )
 
-    def _blame(self, fingerprint: Fingerprint, crashes: tuple[Crash, ...]) -> None:
-        suspicion = Suspicion(
+    def _add_crash(self, fingerprint: Fingerprint, crashes: tuple[Crash, ...]) -> None:
+        reported = Suspicion(
             crashes=crashes,
             expires=Millis(self._clock.now() + self._ttl_ms),
             expires_wall_ms=self._clock.wall() + self._ttl_ms,
             convicted=False,
         )
-        known = self._suspicions.blame(fingerprint=fingerprint, suspicion=suspicion)
-        if known is None:
+        suspicion = self._suspicions.add_crashes(fingerprint=fingerprint, suspicion=reported)
+        if suspicion is None:
             return
         self._announce(fingerprint)
-        self._stop_copies(fingerprint, known)
-        if known.convicted:
-            log.warning("A request was convicted.", fingerprint=fingerprint)
-            self._keep(fingerprint, known)
+        self._stop_copies(fingerprint, suspicion)
+        if suspicion.convicted:
+            log.warning("Request quarantined for crashing engines.", fingerprint=fingerprint)
+            self._persist(fingerprint, suspicion)
 
-    def _take_in(
+    def _apply_verdict(
         self, fingerprint: Fingerprint, verdict: Verdict, crashes: tuple[Crash, ...]
     ) -> None:
-        # A peer's clock may be wrong, so its verdict stands no longer than one of ours.
-        left = min(verdict.expires_wall_ms - self._clock.wall(), self._ttl_ms)
-        if left <= 0:
+        # The clock of a peer may be wrong, so its verdict lasts no longer than a local one.
+        remaining_ms = min(verdict.expires_wall_ms - self._clock.wall(), self._ttl_ms)
+        if remaining_ms <= 0:
             return
-        before = self._known(fingerprint)
-        suspicion = Suspicion(
+        before = self._get_suspicion(fingerprint)
+        reported = Suspicion(
             crashes=crashes,
-            expires=Millis(self._clock.now() + left),
+            expires=Millis(self._clock.now() + remaining_ms),
             expires_wall_ms=verdict.expires_wall_ms,
             convicted=verdict.convicted,
         )
-        known = self._suspicions.blame(fingerprint=fingerprint, suspicion=suspicion)
-        if known is None:
+        suspicion = self._suspicions.add_crashes(fingerprint=fingerprint, suspicion=reported)
+        if suspicion is None:
             return
-        self._stop_copies(fingerprint, known)
-        # Peers need to know of a run that began before the request was a suspect.
-        if before is None and self._runs.own_run(fingerprint=fingerprint) is not None:
+        self._stop_copies(fingerprint, suspicion)
+        # Peers do not know about a run that began before the request became a suspect.
+        if before is None and self._runs.find_local_run(fingerprint=fingerprint) is not None:
             self._announce(fingerprint)
-        # Two peers' sights of two crashes may convict here first.
-        if known.convicted and not verdict.convicted and not (before and before.convicted):
+        # Crashes reported by two different peers may lead to a conviction on this host first.
+        if suspicion.convicted and not verdict.convicted and not (before and before.convicted):
             self._announce(fingerprint)
-            self._keep(fingerprint, known)
+            self._persist(fingerprint, suspicion)
 
-    def _keep(self, fingerprint: Fingerprint, known: Suspicion) -> None:
-        verdict = self._to_verdict(fingerprint, known)
-        self._keeper.keep(verdict=verdict, expires=known.expires)
+    def _persist(self, fingerprint: Fingerprint, suspicion: Suspicion) -> None:
+        verdict = self._to_verdict(fingerprint, suspicion)
+        self._conviction_store.save(verdict=verdict, expires=suspicion.expires)
 
-    def _stop_copies(self, fingerprint: Fingerprint, known: Suspicion) -> None:
-        """Ask to cancel this host's run of a convict, or one that a peer's run speaks against."""
-        runs = [run for run in self._runs.own_runs(fingerprint=fingerprint) if run.settled]
-        others = [run for run in self._runs.all(now=self._clock.now()) if run.settled]
-        for place, own in enumerate(runs):
+    def _stop_copies(self, fingerprint: Fingerprint, suspicion: Suspicion) -> None:
+        """Request the cancellation of local runs that are convicted or conflict with other runs."""
+        runs = [run for run in self._runs.local_runs_of(fingerprint=fingerprint) if run.settled]
+        others = [run for run in self._runs.get_runs(now=self._clock.now()) if run.settled]
+        for index, local_run in enumerate(runs):
             if (
-                place > 0
-                or known.convicted
+                index > 0
+                or suspicion.convicted
                 or any(
-                    self._conflicts(run, fingerprint, own.engine, known)
+                    self._conflicts(run, fingerprint, local_run.engine, suspicion)
                     and (run.fingerprint, run.host) < (fingerprint, self._host)
                     for run in others
                 )
             ):
-                self._stops.on_next(StopRequest(fingerprint=fingerprint, engine=own.engine))
+                self._stops.on_next(StopRequest(fingerprint=fingerprint, engine=local_run.engine))
 
     def _announce(self, fingerprint: Fingerprint) -> None:
-        known = self._known(fingerprint)
-        if known is not None:
-            self._announcements.send(verdict=self._to_verdict(fingerprint, known))
+        suspicion = self._get_suspicion(fingerprint)
+        if suspicion is not None:
+            self._announcements.send(verdict=self._to_verdict(fingerprint, suspicion))
 
     def _announce_run_end(self, fingerprint: Fingerprint) -> None:
         if self._announcements.announce_run_end(fingerprint=fingerprint):
@@ -385,15 +394,15 @@
         self._changes.on_next(None)
 
     def _to_verdict(
-        self, fingerprint: Fingerprint, known: Suspicion, *, cleared: bool = False
+        self, fingerprint: Fingerprint, suspicion: Suspicion, *, cleared: bool = False
     ) -> Verdict:
-        own = self._runs.own_run(fingerprint=fingerprint)
+        local_run = self._runs.find_local_run(fingerprint=fingerprint)
         return Verdict(
             fingerprint=fingerprint,
-            crashes=[crash.id for crash in known.crashes],
-            expires_wall_ms=known.expires_wall_ms,
-            convicted=known.convicted,
+            crashes=[crash.id for crash in suspicion.crashes],
+            expires_wall_ms=suspicion.expires_wall_ms,
+            convicted=suspicion.convicted,
             cleared=cleared,
-            engine=own.engine if own is not None else "",
-            settled=own is not None and own.settled,
+            engine=local_run.engine if local_run is not None else "",
+            settled=local_run is not None and local_run.settled,
         )
--- a/src/tanagerscale/quarantine/_rules.py
+++ b/src/tanagerscale/quarantine/_rules.py
@@ -1,4 +1,4 @@
-"""Rules that tell from crashes which request causes them; no I/O."""
+"""Rules that attribute engine crashes to requests; no I/O."""
 
 from __future__ import annotations
 
@@ -19,42 +19,45 @@
 from tanagerscale.core import UpstreamId
 
 Fingerprint = NewType("Fingerprint", str)
-"""Names all copies of one request of one client account."""
+"""Identifies all copies of one request of one client account."""
 
 FINGERPRINT_BYTES: Final = 16
-CRASHES_TO_CONVICT: Final = 2
-"""Crashes at about the same token that convict a request."""
+MIN_SIMILAR_CRASHES_TO_CONVICT: Final = 2
+"""Number of crashes at about the same token that convict a request."""
 
-MOST_CRASHES: Final = 3
-"""Crashes that convict a request wherever in its answer they came."""
+MIN_CRASHES_TO_CONVICT: Final = 3
+"""Number of crashes at any tokens that convict a request."""
 
 UNKNOWN_TOKENS: Final = -1
+"""Token count of a crash that was reported by a host that did not run the request."""
 
-NEAR_TOKENS: Final = 16
-NEAR_PART: Final = 0.1
-"""Two crashes are alike when the answers' lengths differ by no more than these."""
+MAX_TOKEN_DISTANCE: Final = 16
+MAX_RELATIVE_TOKEN_DISTANCE: Final = 0.1
+"""Crashes are similar if the token counts differ by no more than the larger of these limits. The
+relative limit is a fraction of the larger token count."""
 
-MERGE_MS: Final = 10_000
-"""Hosts see one crash at different times; two of one engine within this time are the same one. A
-suspect stays away from the engine for as long, so that its own next crash is told apart."""
+CRASH_MERGE_WINDOW_MS: Final = 10_000
+"""Hosts detect one crash at different times, so two reports for one engine within this time are
+the same crash. For twice this time a suspect is excluded from the engine, so that a second crash
+that it causes there is not merged with the first."""
 
-SETTLE_MS: Final = 50
-"""Delay between announcing and starting a suspect's run; far longer than a message takes."""
+ANNOUNCEMENT_DELAY_MS: Final = 50
+"""Delay between announcing and starting the run of a suspect; much longer than a message takes."""
 
-MAX_SETTLE_MS: Final = 2 * SETTLE_MS
-"""After a longer delay the run is not admitted: the host stalled, so its state is stale."""
+MAX_ANNOUNCEMENT_DELAY_MS: Final = 2 * ANNOUNCEMENT_DELAY_MS
+"""After a longer delay the run is not admitted: the host stalled, so its state is outdated."""
 
-SEPARATOR: Final = "@"
+CRASH_ID_SEPARATOR: Final = "@"
 MAX_CRASHES: Final = 8
 MAX_CRASH_CHARS: Final = 512
 
 
 def fingerprint_of(*, key: bytes, account: ClientAccountId, body: bytes) -> Fingerprint:
-    """Return a request's fingerprint, from which the request can't be guessed.
+    """Return the fingerprint of a request, a keyed hash that does not disclose the request.
 
-    :param key: Secret that all hosts share, at most 64 bytes.
-    :param account: Client account that sent it.
-    :param body: All of the body that decides what the engine runs.
+    :param key: Secret shared by all hosts, at most 64 bytes.
+    :param account: Client account that sent the request.
+    :param body: All parts of the body that affect what the engine runs.
     """
     digest = hashlib.blake2b(key=key, digest_size=FINGERPRINT_BYTES)
     name = account.encode()
@@ -65,12 +68,12 @@
 
 
 class Crash(Struct, frozen=True, kw_only=True):
-    """The death of an engine, as one host saw it.
+    """A crash of an engine, as detected by one host.
 
-    :param engine: The engine.
-    :param wall_ms: When, in milliseconds since 1970.
-    :param tokens: How far the suspect's answer was then; ``UNKNOWN_TOKENS`` at hosts that did
-        not run it.
+    :param engine: Engine that crashed.
+    :param wall_ms: Time of detection, in milliseconds since 1970.
+    :param tokens: Number of tokens that the suspect had generated; ``UNKNOWN_TOKENS`` on hosts
+        that did not run it.
     """
 
     engine: UpstreamId
@@ -79,29 +82,35 @@
 
     @property
     def id(self) -> str:
-        """Its form in messages."""
-        return SEPARATOR.join((self.engine, str(self.wall_ms), str(self.tokens)))
+        """Text form of the crash in messages."""
+        return CRASH_ID_SEPARATOR.join((self.engine, str(self.wall_ms), str(self.tokens)))
 
-    def like(self, other: Crash) -> bool:
-        """Tell whether a suspect crashed two engines at about the same token.
+    def is_similar_to(self, other: Crash) -> bool:
+        """Return whether a suspect was at about the same token in both crashes.
 
-        The same request makes the same tokens with the same seed, so one that crashes engines
-        does so at the same place; one that only was there when engines died does not.
+        The same request generates the same tokens with the same seed, so a request that causes
+        crashes does so at the same token. A request that only happened to run on the crashed
+        engines does not.
         """
         if UNKNOWN_TOKENS in (self.tokens, other.tokens):
             return False
-        near = max(NEAR_TOKENS, NEAR_PART * max(self.tokens, other.tokens))
-        return abs(self.tokens - other.tokens) <= near
+        max_distance = max(
+            MAX_TOKEN_DISTANCE, MAX_RELATIVE_TOKEN_DISTANCE * max(self.tokens, other.tokens)
+        )
+        return abs(self.tokens - other.tokens) <= max_distance
 
-    def same(self, other: Crash) -> bool:
-        """Tell whether two hosts mean the same death."""
-        close = abs(self.wall_ms - other.wall_ms) <= MERGE_MS
+    def is_same_event(self, other: Crash) -> bool:
+        """Return whether two reports describe the same crash."""
+        close = abs(self.wall_ms - other.wall_ms) <= CRASH_MERGE_WINDOW_MS
         return self.engine == other.engine and close
 
 
 def parse_crash(text: str) -> Crash | None:
-    """Read a crash from a message; ``None`` when it is malformed."""
-    parts = text.rsplit(SEPARATOR, 2)
+    """Parse the text form of a crash.
+
+    :returns: The crash; ``None`` if the text is malformed.
+    """
+    parts = text.rsplit(CRASH_ID_SEPARATOR, 2)
     if len(parts) != 3 or not parts[0] or len(text) > MAX_CRASH_CHARS:
         return None
     try:
@@ -113,38 +122,43 @@
     return Crash(engine=UpstreamId(parts[0]), wall_ms=wall_ms, tokens=tokens)
 
 
-def merge_crashes(known: Iterable[Crash], new: Iterable[Crash]) -> tuple[Crash, ...]:
-    """Return all distinct crashes, the earliest sight of each."""
+def merge_crashes(existing: Iterable[Crash], new: Iterable[Crash]) -> tuple[Crash, ...]:
+    """Return all distinct crashes, the earliest ``MAX_CRASHES``.
+
+    Reports of the same crash are merged: the earliest time and the largest token count are kept.
+    """
     merged: list[Crash] = []
-    for crash in sorted((*known, *new), key=lambda one: (one.wall_ms, one.engine)):
-        place = next((place for place, other in enumerate(merged) if crash.same(other)), None)
-        if place is None:
+    for crash in sorted((*existing, *new), key=lambda one: (one.wall_ms, one.engine)):
+        index = next(
+            (index for index, other in enumerate(merged) if crash.is_same_event(other)), None
+        )
+        if index is None:
             merged.append(crash)
         else:
-            tokens = max(merged[place].tokens, crash.tokens)
-            merged[place] = replace(merged[place], tokens=tokens)
+            tokens = max(merged[index].tokens, crash.tokens)
+            merged[index] = replace(merged[index], tokens=tokens)
     return tuple(merged[:MAX_CRASHES])
 
 
-def convicts(crashes: Sequence[Crash]) -> bool:
-    """Tell whether a request's crashes suffice to refuse it."""
-    alike = any(first.like(second) for first, second in combinations(crashes, 2))
-    return alike or len(crashes) >= MOST_CRASHES
+def justifies_conviction(crashes: Sequence[Crash]) -> bool:
+    """Return whether the crashes of a request are sufficient to convict it."""
+    similar = any(first.is_similar_to(second) for first, second in combinations(crashes, 2))
+    return similar or len(crashes) >= MIN_CRASHES_TO_CONVICT
 
 
-def share_crash(first: Iterable[Crash], second: Iterable[Crash]) -> bool:
-    """Tell whether two suspects may not run together."""
+def have_common_crash(first: Iterable[Crash], second: Iterable[Crash]) -> bool:
+    """Return whether two sets of crashes have a crash in common."""
     others = tuple(second)
-    return any(crash.same(other) for crash in first for other in others)
+    return any(crash.is_same_event(other) for crash in first for other in others)
 
 
 class Suspicion(Struct, frozen=True, kw_only=True):
-    """What is known of one request.
+    """Evidence against one request.
 
-    :param crashes: Distinct crashes that it ran in.
-    :param expires: When it is forgotten, on the monotonic clock.
-    :param expires_wall_ms: The same in milliseconds since 1970, for messages.
-    :param convicted: Whether it is refused until then.
+    :param crashes: Distinct crashes of engines that were running the request.
+    :param expires: When the entry expires, on the monotonic clock.
+    :param expires_wall_ms: The same time in milliseconds since 1970, for messages.
+    :param convicted: Whether the request is refused until then.
     """
 
     crashes: tuple[Crash, ...]
@@ -154,76 +168,79 @@
 
 
 @final
-class Suspicions:
-    """All suspects and convicts that a host knows of."""
+class SuspicionTable:
+    """Table of all suspected and convicted requests that a host knows of."""
 
     def __init__(self) -> None:
-        self._known: dict[Fingerprint, Suspicion] = {}
+        self._entries: dict[Fingerprint, Suspicion] = {}
         self._explained: tuple[Crash, ...] = ()
 
     @property
-    def known(self) -> Mapping[Fingerprint, Suspicion]:
-        """All of them, by fingerprint."""
-        return self._known
+    def entries(self) -> Mapping[Fingerprint, Suspicion]:
+        """All entries by fingerprint; expired ones may be included."""
+        return self._entries
 
     def get(self, *, fingerprint: Fingerprint, now: Millis) -> Suspicion | None:
-        """Return what is known of a request, unless its time is over."""
-        found = self._known.get(fingerprint)
+        """Return the entry of a request; ``None`` if there is none or it has expired."""
+        found = self._entries.get(fingerprint)
         if found is not None and found.expires <= now:
-            del self._known[fingerprint]
+            del self._entries[fingerprint]
             return None
         return found
 
-    def blame(self, *, fingerprint: Fingerprint, suspicion: Suspicion) -> Suspicion | None:
-        """Add crashes to what is known; a second one like the first convicts, and clears others.
+    def add_crashes(self, *, fingerprint: Fingerprint, suspicion: Suspicion) -> Suspicion | None:
+        """Add crashes to the entry of a request and convict it if they are sufficient.
+
+        A conviction explains the crashes, which clears other suspects of them.
 
-        :returns: What is known now; ``None`` when all of it had been explained before.
+        :returns: The resulting entry; ``None`` if there was none and earlier convictions explain
+            all of the added crashes.
         """
-        known = self._known.get(fingerprint)
-        if known is not None and known.convicted:
-            self._explain(suspicion.crashes)
-            return known
+        existing = self._entries.get(fingerprint)
+        if existing is not None and existing.convicted:
+            self._mark_explained(suspicion.crashes)
+            return existing
         unexplained = self._unexplained(suspicion.crashes)
-        crashes = merge_crashes(known.crashes if known else (), unexplained)
-        convicted = suspicion.convicted or convicts(crashes)
+        crashes = merge_crashes(existing.crashes if existing else (), unexplained)
+        convicted = suspicion.convicted or justifies_conviction(crashes)
         if not crashes and not convicted:
-            return known
+            return existing
         merged = Suspicion(
             crashes=crashes,
             expires=suspicion.expires,
             expires_wall_ms=suspicion.expires_wall_ms,
             convicted=convicted,
         )
-        self._known[fingerprint] = merged
+        self._entries[fingerprint] = merged
         if convicted:
-            self._explain(merge_crashes(crashes, suspicion.crashes))
+            self._mark_explained(merge_crashes(crashes, suspicion.crashes))
         return merged
 
     def clear(self, *, fingerprint: Fingerprint) -> bool:
-        """Forget a suspect that has run to its end; a conviction stands.
+        """Remove a suspect that has run to completion; a convicted request is not removed.
 
-        :returns: Whether there was one.
+        :returns: Whether a suspect was removed.
         """
-        known = self._known.get(fingerprint)
-        if known is None or known.convicted:
+        existing = self._entries.get(fingerprint)
+        if existing is None or existing.convicted:
             return False
-        del self._known[fingerprint]
+        del self._entries[fingerprint]
         return True
 
     def _unexplained(self, crashes: Iterable[Crash]) -> tuple[Crash, ...]:
-        return tuple(crash for crash in crashes if not share_crash([crash], self._explained))
+        return tuple(crash for crash in crashes if not have_common_crash([crash], self._explained))
 
-    def _explain(self, crashes: tuple[Crash, ...]) -> None:
+    def _mark_explained(self, crashes: tuple[Crash, ...]) -> None:
         self._explained = (*self._explained, *crashes)[-MAX_CRASHES * MAX_CRASHES :]
-        for fingerprint, suspicion in list(self._known.items()):
+        for fingerprint, suspicion in list(self._entries.items()):
             if suspicion.convicted:
                 continue
-            left = self._unexplained(suspicion.crashes)
-            if not left:
-                del self._known[fingerprint]
-            elif len(left) < len(suspicion.crashes):
-                self._known[fingerprint] = Suspicion(
-                    crashes=left,
+            remaining = self._unexplained(suspicion.crashes)
+            if not remaining:
+                del self._entries[fingerprint]
+            elif len(remaining) < len(suspicion.crashes):
+                self._entries[fingerprint] = Suspicion(
+                    crashes=remaining,
                     expires=suspicion.expires,
                     expires_wall_ms=suspicion.expires_wall_ms,
                     convicted=False,
@@ -231,10 +248,10 @@
 
 
 class StopRequest(Struct, frozen=True, kw_only=True):
-    """A copy of a suspect that runs elsewhere than its peers' and should be cancelled.
+    """Request to cancel a local run that is convicted or conflicts with another run.
 
-    :param fingerprint: The request.
-    :param engine: Where this host runs it.
+    :param fingerprint: Fingerprint of the request.
+    :param engine: Engine that runs it for this host.
     """
 
     fingerprint: Fingerprint
--- a/src/tanagerscale/quarantine/_runs.py
+++ b/src/tanagerscale/quarantine/_runs.py
@@ -1,4 +1,4 @@
-"""Which suspects run where, at this host and at its peers."""
+"""Runs of requests on this host, and of suspects on its peers."""
 
 from __future__ import annotations
 
@@ -19,35 +19,36 @@
 from tanagerscale.quarantine._rules import Fingerprint
 
 Progress = Callable[[], int]
-"""Returns how many tokens a run has made."""
+"""Returns the number of tokens that a run has generated."""
 
-FORGET_AFTER_MS: Final = 3_600_000
-"""A peer's run of which nothing more is heard is forgotten after an hour."""
+PEER_RUN_TTL_MS: Final = 3_600_000
+"""Lifetime of a peer's run after which it is ignored if no further report arrives: one hour."""
 
-RECENT_MS: Final = 5000
-"""A run that broke off so shortly before its engine was known to be dead ran in the crash."""
+MAX_CRASH_DETECTION_DELAY_MS: Final = 5000
+"""A run that broke off at most this long before the crash of its engine was detected counts as
+having run during the crash."""
 
 
 @unique
 class RunEnd(Enum):
-    """How a run ended that was not in a known crash."""
+    """How a run ended that did not end with a detected crash."""
 
     COMPLETE = "complete"
-    """It ran to its end, which clears it."""
+    """The run completed, which clears the request."""
     CANCELLED = "cancelled"
     """The engine refused it, or this host cancelled it."""
     BROKEN = "broken"
-    """It broke off; a crash reported soon after counts it among its suspects."""
+    """The run broke off; it becomes a suspect if a crash is reported shortly afterwards."""
 
 
 class Run(Struct, frozen=True, kw_only=True):
-    """One request on one engine through one host.
+    """Run of a request on one engine for one host.
 
-    :param fingerprint: The request.
-    :param engine: Where it runs or is about to.
-    :param host: Through which host.
-    :param since: When this host learnt of it.
-    :param settled: Whether it runs already; otherwise it is only announced.
+    :param fingerprint: Fingerprint of the request.
+    :param engine: Engine that runs it or will run it.
+    :param host: Host that sends the request.
+    :param since: When this host registered the run, on the monotonic clock.
+    :param settled: Whether it has started; otherwise it is only announced.
     """
 
     fingerprint: Fingerprint
@@ -57,36 +58,36 @@
     settled: bool
 
 
-class _OwnRun(Struct, kw_only=True):
+class _LocalRun(Struct, kw_only=True):
     since: Millis
     copies: int = 0
     settled: bool = False
     progress: list[Progress] = field(default_factory=list)
 
     def tokens(self) -> int:
-        """Return how far the copy that is farthest has come."""
+        """Return the largest number of tokens that any of the copies has generated."""
         return max((progress() for progress in self.progress), default=0)
 
 
-class _BrokenOff(Struct, frozen=True, kw_only=True):
+class _BrokenRun(Struct, frozen=True, kw_only=True):
     ended: Millis
     tokens: int
 
 
-_Place = tuple[Fingerprint, UpstreamId]
+_RunKey = tuple[Fingerprint, UpstreamId]
 
 
 @final
 class Runs:
-    """The runs that a host knows of: all of its own, and its peers' suspects.
+    """Registry of all runs on this host, and of the runs of suspects on its peers.
 
-    :param host: This host.
+    :param host: Id of this host.
     """
 
     def __init__(self, *, host: HostId) -> None:
         self._host = host
-        self._own: dict[Fingerprint, dict[UpstreamId, _OwnRun]] = {}
-        self._broken_off: dict[_Place, _BrokenOff] = {}
+        self._local: dict[Fingerprint, dict[UpstreamId, _LocalRun]] = {}
+        self._broken_runs: dict[_RunKey, _BrokenRun] = {}
         self._peers: dict[tuple[HostId, Fingerprint], Run] = {}
 
     def start(
@@ -98,34 +99,39 @@
         settled: bool,
         progress: Progress,
     ) -> None:
-        """Add a run of this host; several copies may run on one engine."""
-        runs = self._own.setdefault(fingerprint, {})
-        run = runs.setdefault(engine, _OwnRun(since=now))
+        """Add a local run; several copies may run on one engine.
+
+        :param now: Current time on the monotonic clock.
+        :param settled: Whether the run starts now; otherwise it is only announced.
+        :param progress: Returns the number of tokens that the run has generated.
+        """
+        runs = self._local.setdefault(fingerprint, {})
+        run = runs.setdefault(engine, _LocalRun(since=now))
         run.copies += 1
         run.settled = run.settled or settled
         run.progress.append(progress)
 
-    def settle(self, *, fingerprint: Fingerprint, engine: UpstreamId) -> None:
-        """Note that an announced run goes ahead."""
-        run = self._own.get(fingerprint, {}).get(engine)
+    def mark_settled(self, *, fingerprint: Fingerprint, engine: UpstreamId) -> None:
+        """Record that an announced run starts."""
+        run = self._local.get(fingerprint, {}).get(engine)
         if run is not None:
             run.settled = True
 
     def finish(
         self, *, fingerprint: Fingerprint, engine: UpstreamId, now: Millis, end: RunEnd
     ) -> None:
-        """Remove a run of this host."""
-        run = self._own.get(fingerprint, {}).get(engine)
+        """Remove a local run; one that broke off is remembered in case a crash is reported."""
+        run = self._local.get(fingerprint, {}).get(engine)
         if run is None:
             return
         if end is RunEnd.BROKEN:
-            self._broken_off = {
-                known: broken
-                for known, broken in self._broken_off.items()
-                if now - broken.ended <= RECENT_MS
+            self._broken_runs = {
+                key: broken
+                for key, broken in self._broken_runs.items()
+                if now - broken.ended <= MAX_CRASH_DETECTION_DELAY_MS
             }
-            place = (fingerprint, engine)
-            self._broken_off[place] = _BrokenOff(ended=now, tokens=run.tokens())
+            key = (fingerprint, engine)
+            self._broken_runs[key] = _BrokenRun(ended=now, tokens=run.tokens())
         run.copies -= 1
         if run.copies <= 0:
             self._remove(fingerprint, engine)
@@ -139,57 +145,64 @@
         settled: bool,
         now: Millis,
     ) -> None:
-        """Take in where a peer runs a suspect; ``None`` when nowhere."""
-        place = (host, fingerprint)
+        """Record where a peer runs a suspect.
+
+        :param engine: Engine that runs it; ``None`` if the peer does not run it.
+        :param settled: Whether the run has started; otherwise it is only announced.
+        """
+        key = (host, fingerprint)
         if engine is None:
-            self._peers.pop(place, None)
+            self._peers.pop(key, None)
             return
-        known = self._peers.get(place)
-        if known is not None and known.engine == engine:
-            now = known.since
-            settled = settled or known.settled
-        self._peers[place] = Run(
+        previous = self._peers.get(key)
+        if previous is not None and previous.engine == engine:
+            now = previous.since
+            settled = settled or previous.settled
+        self._peers[key] = Run(
             fingerprint=fingerprint, engine=engine, host=host, since=now, settled=settled
         )
 
-    def forget_peer(self, *, host: HostId) -> None:
-        """Forget what a peer ran that has gone."""
-        for place in [place for place in self._peers if place[0] == host]:
-            del self._peers[place]
+    def remove_peer(self, *, host: HostId) -> None:
+        """Remove all runs of a peer."""
+        for key in [key for key in self._peers if key[0] == host]:
+            del self._peers[key]
 
-    def take_victims(
+    def take_crashed_runs(
         self, *, engine: UpstreamId, now: Millis, settled_after_ms: int
     ) -> dict[Fingerprint, int]:
-        """Remove and return all that ran on an engine when it died, and how far each was.
+        """Remove and return the runs on an engine that has crashed.
 
-        :param settled_after_ms: A peer's announced run counts as begun after so long.
+        :param settled_after_ms: Time after which an announced run of a peer counts as started.
+        :returns: The number of generated tokens, by fingerprint.
         """
-        victims = {
+        crashed_runs = {
             fingerprint: broken.tokens
-            for (fingerprint, place), broken in self._broken_off.items()
-            if place == engine and now - broken.ended <= RECENT_MS
+            for (fingerprint, broken_on), broken in self._broken_runs.items()
+            if broken_on == engine and now - broken.ended <= MAX_CRASH_DETECTION_DELAY_MS
         }
-        for run in list(self.all(now=now)):
-            begun = run.settled or (run.host != self._host and now - run.since >= settled_after_ms)
-            if run.engine != engine or not begun:
+        for run in list(self.get_runs(now=now)):
+            started = run.settled or (
+                run.host != self._host and now - run.since >= settled_after_ms
+            )
+            if run.engine != engine or not started:
                 continue
             tokens = self._tokens_of(run)
-            victims[run.fingerprint] = max(victims.get(run.fingerprint, tokens), tokens)
+            crashed_runs[run.fingerprint] = max(crashed_runs.get(run.fingerprint, tokens), tokens)
             if run.host == self._host:
                 self._remove(run.fingerprint, engine)
             self._peers.pop((run.host, run.fingerprint), None)
-        for place in [place for place in self._broken_off if place[1] == engine]:
-            del self._broken_off[place]
-        return victims
-
-    def own(self) -> Iterator[Run]:
-        """Return the runs of this host."""
-        for fingerprint in self._own:
-            yield from self.own_runs(fingerprint=fingerprint)
-
-    def own_runs(self, *, fingerprint: Fingerprint) -> Iterator[Run]:
-        """Return this host's runs of a request, one for each engine that runs copies of it."""
-        for engine, run in self._own.get(fingerprint, {}).items():
+        for key in [key for key in self._broken_runs if key[1] == engine]:
+            del self._broken_runs[key]
+        return crashed_runs
+
+    def local_runs(self) -> Iterator[Run]:
+        """Return all runs of this host."""
+        for fingerprint in self._local:
+            yield from self.local_runs_of(fingerprint=fingerprint)
+
+    def local_runs_of(self, *, fingerprint: Fingerprint) -> Iterator[Run]:
+        """Return the local runs of a request, one for each engine that runs copies of it."""
+        for engine, run in self._local.get(fingerprint, {}).items():
             yield Run(
                 fingerprint=fingerprint,
                 engine=engine,
@@ -198,27 +211,27 @@
                 settled=run.settled,
             )
 
-    def own_run(self, *, fingerprint: Fingerprint) -> Run | None:
-        """Return the first of this host's runs of a request; a suspect has no other."""
-        return next(self.own_runs(fingerprint=fingerprint), None)
+    def find_local_run(self, *, fingerprint: Fingerprint) -> Run | None:
+        """Return the first local run of a request; a suspect has at most one."""
+        return next(self.local_runs_of(fingerprint=fingerprint), None)
 
-    def own_engines(self, *, fingerprint: Fingerprint) -> frozenset[UpstreamId]:
-        """Return the engines that run copies of a request for this host."""
-        return frozenset(self._own.get(fingerprint, ()))
+    def get_local_engines(self, *, fingerprint: Fingerprint) -> frozenset[UpstreamId]:
+        """Return the engines that run local copies of a request."""
+        return frozenset(self._local.get(fingerprint, ()))
 
-    def all(self, *, now: Millis) -> Iterator[Run]:
-        """Return all known runs."""
-        yield from self.own()
+    def get_runs(self, *, now: Millis) -> Iterator[Run]:
+        """Return all local runs and all recent runs of peers."""
+        yield from self.local_runs()
         for run in self._peers.values():
-            if now - run.since < FORGET_AFTER_MS:
+            if now - run.since < PEER_RUN_TTL_MS:
                 yield run
 
     def _tokens_of(self, run: Run) -> int:
         if run.host != self._host:
             return UNKNOWN_TOKENS
-        return self._own[run.fingerprint][run.engine].tokens()
+        return self._local[run.fingerprint][run.engine].tokens()
 
     def _remove(self, fingerprint: Fingerprint, engine: UpstreamId) -> None:
-        runs = self._own.get(fingerprint)
+        runs = self._local.get(fingerprint)
         if runs is not None and runs.pop(engine, None) is not None and not runs:
-            del self._own[fingerprint]
+            del self._local[fingerprint]
--- a/src/tanagerscale/quarantine/_suspects.py
+++ b/src/tanagerscale/quarantine/_suspects.py
@@ -1,9 +1,10 @@
-"""Requests that crash what runs them, where nothing tells that an upstream has crashed.
+"""Detection of requests that crash upstreams, where crashes are not reported.
 
-The load it answers: a request that crashes each upstream which begins to run it comes again and
-again, at any host. An upstream that crashed never answers under its id again. So a request whose
-answer broke off, at an upstream that has said nothing since, may have crashed it; one that did so
-at three upstreams is refused. Innocent requests beside it are cleared by any whole answer to them.
+It protects against a request that crashes every upstream that starts to run it, and that its
+caller repeats on any host. An upstream that has crashed never answers under its id again. A
+request whose answer broke off at an upstream that has not answered since may therefore have
+crashed it, and is refused once this holds for three upstreams. Harmless requests that ran on the
+same upstreams are cleared by any complete answer to them.
 """
 
 from __future__ import annotations
@@ -23,86 +24,87 @@
 from tanagerscale.generated.messages import Suspect
 from tanagerscale.quarantine._rules import Fingerprint
 
-MOST_CRASHES: Final = 3
-"""Upstreams that a request may crash before it is refused. One or two may be chance, where they
-crash for other causes each few seconds."""
+MIN_CRASHES_TO_REFUSE: Final = 3
+"""Number of crashed upstreams after which a request is refused. One or two can be coincidence when
+upstreams crash for other reasons every few seconds."""
 
-SUSPECT_MS: Final = 600_000
-"""How long a suspicion stands after the last crash. Such requests come again within seconds."""
+SUSPICION_TTL_MS: Final = 600_000
+"""Lifetime of a suspicion after the last crash. Callers repeat such requests within seconds."""
 
-MOST_SUSPECTS: Final = 10_000
-"""Suspicions that are kept; the oldest go first."""
+MAX_SUSPECTS: Final = 10_000
+"""Maximum number of suspects; the one whose last crash is the oldest is evicted first."""
 
-NOBODY: Final = Fingerprint("")
-"""Stands for no request, where only an upstream is meant."""
+NO_FINGERPRINT: Final = Fingerprint("")
+"""Fingerprint in messages that concern only an upstream."""
 
 _log = get_logger(part="quarantine")
 
 
 @final
-class Suspects:
+class SuspectTracker:
     """Counts the upstreams that each request may have crashed, over all hosts.
 
-    :param clock: Time.
+    :param clock: Clock that times the expiry of suspicions.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._crashes: OrderedDict[Fingerprint, set[UpstreamId]] = OrderedDict()
-        self._last: dict[Fingerprint, Millis] = {}
-        self._blamed: dict[UpstreamId, set[Fingerprint]] = {}
+        self._last_crash: dict[Fingerprint, Millis] = {}
+        self._suspects_by_upstream: dict[UpstreamId, set[Fingerprint]] = {}
         self._news: Subject[Suspect] = Subject()
 
     @property
     def news(self) -> Observable[Suspect]:
-        """Fires with what the peers should be told."""
+        """Emits the messages to send to the peers."""
         return self._news
 
     @property
-    def known(self) -> int:
-        """How many requests are under suspicion."""
+    def suspect_count(self) -> int:
+        """Number of suspected requests; expired ones may be included."""
         return len(self._crashes)
 
     def is_refused(self, fingerprint: Fingerprint) -> bool:
         """Return whether a request has crashed too many upstreams to be run again."""
         crashed = self._crashes.get(fingerprint)
-        if crashed is None or len(crashed) < MOST_CRASHES:
+        if crashed is None or len(crashed) < MIN_CRASHES_TO_REFUSE:
             return False
-        return self._clock.now() - self._last[fingerprint] < SUSPECT_MS
+        return self._clock.now() - self._last_crash[fingerprint] < SUSPICION_TTL_MS
 
     def note_broken(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Record that the answer to a request broke off without notice."""
-        self._blame(fingerprint, upstream)
-        self._tell(Evidence.BROKEN, upstream, fingerprint)
+        """Record that the answer to a request broke off unexpectedly."""
+        self._add_crash(fingerprint, upstream)
+        self._publish(Evidence.BROKEN, upstream, fingerprint)
 
     def note_whole(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Record a whole answer: the request crashes nothing, and the upstream lives."""
+        """Record a complete answer, which clears the request and shows that the upstream runs."""
         self.note_alive(upstream=upstream)
         if fingerprint in self._crashes:
-            self._clear(fingerprint)
-            self._tell(Evidence.WHOLE, upstream, fingerprint)
+            self._remove_suspect(fingerprint)
+            self._publish(Evidence.WHOLE, upstream, fingerprint)
 
     def note_alive(self, *, upstream: UpstreamId) -> None:
-        """Record any answer of an upstream: what broke off there did not crash it."""
-        if upstream in self._blamed:
-            self._acquit(upstream)
-            self._tell(Evidence.ALIVE, upstream)
+        """Record any answer of an upstream, which shows that no request has crashed it."""
+        if upstream in self._suspects_by_upstream:
+            self._withdraw_crash(upstream)
+            self._publish(Evidence.ALIVE, upstream)
 
     def on_peer(self, message: Suspect) -> None:
-        """Take in what a peer saw."""
+        """Apply a message from a peer."""
         fingerprint = Fingerprint(message.fingerprint)
         upstream = UpstreamId(message.upstream)
         if message.evidence is Evidence.BROKEN:
-            self._blame(fingerprint, upstream)
+            self._add_crash(fingerprint, upstream)
         elif message.evidence is Evidence.WHOLE:
-            self._clear(fingerprint)
+            self._remove_suspect(fingerprint)
         else:
-            self._acquit(upstream)
+            self._withdraw_crash(upstream)
 
     def snapshot(self) -> list[Suspect]:
-        """Return what a peer that has just connected should know.
+        """Return the messages for a peer that has just connected.
 
-        A single crash is left out: nearly all of these are chance, and there may be hundreds.
+        Requests with a single crash are omitted: nearly all of them are coincidence, and there
+        may be hundreds.
         """
         return [
             Suspect(upstream=upstream, evidence=Evidence.BROKEN, fingerprint=fingerprint)
@@ -111,47 +113,47 @@
             for upstream in crashed
         ]
 
-    def _tell(
-        self, evidence: Evidence, upstream: UpstreamId, fingerprint: Fingerprint = NOBODY
+    def _publish(
+        self, evidence: Evidence, upstream: UpstreamId, fingerprint: Fingerprint = NO_FINGERPRINT
     ) -> None:
         self._news.on_next(Suspect(upstream=upstream, evidence=evidence, fingerprint=fingerprint))
 
-    def _acquit(self, upstream: UpstreamId) -> None:
-        for fingerprint in self._blamed.pop(upstream, ()):
+    def _withdraw_crash(self, upstream: UpstreamId) -> None:
+        for fingerprint in self._suspects_by_upstream.pop(upstream, ()):
             crashed = self._crashes.get(fingerprint)
             if crashed is not None:
                 crashed.discard(upstream)
                 if not crashed:
-                    self._clear(fingerprint)
+                    self._remove_suspect(fingerprint)
 
-    def _blame(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+    def _add_crash(self, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
         now = self._clock.now()
-        self._drop_old(now)
+        self._evict_suspects(now)
         crashed = self._crashes.setdefault(fingerprint, set())
         self._crashes.move_to_end(fingerprint)
-        self._last[fingerprint] = now
+        self._last_crash[fingerprint] = now
         crashed.add(upstream)
-        self._blamed.setdefault(upstream, set()).add(fingerprint)
-        if len(crashed) == MOST_CRASHES:
+        self._suspects_by_upstream.setdefault(upstream, set()).add(fingerprint)
+        if len(crashed) == MIN_CRASHES_TO_REFUSE:
             _log.warning(
-                "A request is refused from now on.",
+                "Refusing a request that has crashed too many upstreams.",
                 fingerprint=fingerprint,
                 crashed=sorted(crashed),
             )
 
-    def _drop_old(self, now: Millis) -> None:
+    def _evict_suspects(self, now: Millis) -> None:
         while self._crashes:
             oldest = next(iter(self._crashes))
-            is_old = now - self._last[oldest] >= SUSPECT_MS
-            if not is_old and len(self._crashes) < MOST_SUSPECTS:
+            is_expired = now - self._last_crash[oldest] >= SUSPICION_TTL_MS
+            if not is_expired and len(self._crashes) < MAX_SUSPECTS:
                 return
-            self._clear(oldest)
+            self._remove_suspect(oldest)
 
-    def _clear(self, fingerprint: Fingerprint) -> None:
-        self._last.pop(fingerprint, None)
+    def _remove_suspect(self, fingerprint: Fingerprint) -> None:
+        self._last_crash.pop(fingerprint, None)
         for upstream in self._crashes.pop(fingerprint, ()):
-            blamed = self._blamed.get(upstream)
-            if blamed is not None:
-                blamed.discard(fingerprint)
-                if not blamed:
-                    del self._blamed[upstream]
+            suspects = self._suspects_by_upstream.get(upstream)
+            if suspects is not None:
+                suspects.discard(fingerprint)
+                if not suspects:
+                    del self._suspects_by_upstream[upstream]
--- a/src/tanagerscale/services/__init__.py
+++ b/src/tanagerscale/services/__init__.py
@@ -1,9 +1,9 @@
-"""Calls to plain services, some of which may not be repeated."""
+"""Dispatch of calls to plain services, at most once for calls that are not idempotent."""
 
 from __future__ import annotations
 
+from tanagerscale.services._dispatch import ServiceDependencies
 from tanagerscale.services._dispatch import ServiceDispatch
-from tanagerscale.services._dispatch import ServiceParts
-from tanagerscale.services._dispatch import addresses_of
+from tanagerscale.services._dispatch import get_addresses
 
-__all__ = ["ServiceDispatch", "ServiceParts", "addresses_of"]
+__all__ = ["ServiceDependencies", "ServiceDispatch", "get_addresses"]
--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, some of which may not be repeated."""
+"""Dispatch of calls to plain services, at most once for calls that are not idempotent."""
 
 from __future__ import annotations
 
@@ -45,34 +45,41 @@
 from tanagerscale.upstreams import UpstreamErrorKind
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-MAX_TRIES = 3
-RETRY_AFTER_MS = 1000
+MAX_ATTEMPTS = 3
+"""Maximum number of upstreams that an idempotent call is sent to."""
+MIN_RETRY_AFTER_MS = 1000
 DIGEST_BYTES = 16
-RECORD_WAIT_MS = 250
-"""Longest wait for the record of an answer before the answer is passed on."""
+RECORD_TIMEOUT_MS = 250
+"""Maximum wait for an answer to be recorded before it is returned to the caller."""
 
 _log = get_logger(part="services")
 
 
 class ServiceClient(Protocol):
-    """Sends one call to one upstream, without retries."""
+    """Client that sends one call to one upstream, without retries."""
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
     ) -> Result[ServiceReply, UpstreamError]:
-        """Send a call once."""
+        """Send a call once.
+
+        :param address: IP address and port of the upstream.
+        :param call: Call to send.
+        :param timeout_ms: Maximum duration of the call, in milliseconds.
+        """
 
 
-class ServiceParts(Struct, frozen=True, kw_only=True):
-    """What every service call of a host uses.
+class ServiceDependencies(Struct, frozen=True, kw_only=True):
+    """Dependencies of the service dispatch of a host.
 
-    :param client: Sends calls.
-    :param claims: Permits calls that may not be repeated.
-    :param notes: Is told how upstreams behave.
-    :param is_open: Whether an upstream takes new work.
-    :param retries: Bounds retries.
-    :param clock: The clock that claims end by.
-    :param rng: Breaks ties between upstreams and spreads the return of refused callers.
+    :param client: Client that sends calls.
+    :param claims: Claims for calls that are not idempotent.
+    :param notes: Receiver of the successes and failures of upstreams.
+    :param is_open: Returns whether an upstream accepts new calls.
+    :param retries: Retry budget.
+    :param clock: Clock that the deadlines of claims refer to.
+    :param rng: Random number generator used to break ties between upstreams and for the jitter of
+        retry delays.
     """
 
     client: ServiceClient
@@ -86,110 +93,119 @@
 
 @final
 class ServiceDispatch:
-    """Brings calls to plain services to their end.
+    """Dispatches calls to plain services.
 
-    :param parts: What every call uses.
+    :param dependencies: Dependencies of all calls.
     """
 
-    def __init__(self, *, parts: ServiceParts) -> None:
-        self._parts = parts
+    def __init__(self, *, dependencies: ServiceDependencies) -> None:
+        self._dependencies = dependencies
         self._running: Counter[str] = Counter()
         self._tasks: set[asyncio.Task[Result[ServiceReply, Problem]]] = set()
 
     async def call(
         self, *, service: Service, account: ClientAccountId, key: str, call: ServiceCall
     ) -> Result[ServiceReply, Problem]:
-        """Return the service's answer, or the final problem.
+        """Dispatch a call and return the answer of the service, or a problem.
 
-        :param service: Its declaration.
-        :param account: Who asks.
-        :param key: The caller's idempotency key, or the empty string.
-        :param call: What to send.
+        :param service: Declaration of the service.
+        :param account: Client account of the caller.
+        :param key: Idempotency key that the caller sent; empty if there is none.
+        :param call: Call to send.
         """
-        self._parts.retries.on_request()
+        self._dependencies.retries.on_request()
         if is_idempotent(service=service, call=call):
-            return await self._repeatable(service, call)
+            return await self._call_idempotent(service, call)
         if key:
-            return await self._claimed(service, account, key, call)
-        # Without a key nobody can ask for this call again, so one dispatch is all it gets.
-        result = await self._once(service, call, may_send=lambda: True)
-        return result.alt(self._problem_of_single)
+            return await self._call_claimed(service, account, key, call)
+        # Without a key a repeat cannot be recognized, so the call is dispatched only once.
+        result = await self._send_once(service, call, may_send=lambda: True)
+        return result.alt(self._build_single_dispatch_problem)
 
-    async def _repeatable(
+    async def _call_idempotent(
         self, service: Service, call: ServiceCall
     ) -> Result[ServiceReply, Problem]:
-        tried: set[str] = set()
+        tried_addresses: set[str] = set()
         may_have_run = False
-        while len(tried) < MAX_TRIES:
-            if may_have_run and not self._parts.retries.try_spend():
+        while len(tried_addresses) < MAX_ATTEMPTS:
+            if may_have_run and not self._dependencies.retries.try_spend():
                 break
-            address = self._choose(service, tried)
+            address = self._select_address(service, tried_addresses)
             if address is None:
                 break
-            tried.add(address)
+            tried_addresses.add(address)
             match await self._send(service, address, call):
                 case Success(reply):
                     return Success(reply)
                 case Failure(error):
                     may_have_run = may_have_run or error.kind not in _NOT_EXECUTED
-        problem = _problem_of_idempotent(may_have_run) if tried else _no_upstream(service.name)
-        return Failure(spread_return(problem=problem, rng=self._parts.rng))
+        problem = (
+            _build_idempotent_problem(may_have_run)
+            if tried_addresses
+            else _build_no_upstream_problem(service.name)
+        )
+        return Failure(spread_return(problem=problem, rng=self._dependencies.rng))
 
-    async def _claimed(
+    async def _call_claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
     ) -> Result[ServiceReply, Problem]:
         claim_key = ClaimKey(account=account, service=ServiceId(service.name), idempotency_key=key)
-        claimed = await self._parts.claims.claim(
-            key=claim_key, request_digest=_digest(call), ttl_s=service.claim_ttl_s
+        claimed = await self._dependencies.claims.claim(
+            key=claim_key, request_digest=_compute_digest(call), ttl_s=service.claim_ttl_s
         )
         match claimed:
             case Success(Granted() as granted):
-                return await self._in_background(self._run_claimed(service, call, granted))
+                return await self._run_uncancelled(self._run_granted(service, call, granted))
             case Success(Recorded() as recorded):
-                return Success(_from_record(recorded))
+                return Success(_to_reply(recorded))
             case Success(InProgress() as progress):
                 return Failure(progress.problem)
             case Failure(problem):
                 return Failure(problem)
-        raise AssertionError("A Result is a Success or a Failure.")
+        raise AssertionError("Result is neither Success nor Failure.")
 
-    async def _in_background(
+    async def _run_uncancelled(
         self, call: Coroutine[None, None, Result[ServiceReply, Problem]]
     ) -> Result[ServiceReply, Problem]:
-        # A caller that leaves may ask again, so the call goes on and its answer is recorded.
+        # A caller that disconnects may repeat the call, so it continues and its answer is recorded.
         task = asyncio.ensure_future(call)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return await asyncio.shield(task)
 
     async def drain(self) -> None:
-        """Wait for the calls under way."""
+        """Wait for all running claimed calls."""
         if self._tasks:
             await asyncio.wait(set(self._tasks))
 
-    async def _run_claimed(
+    async def _run_granted(
         self, service: Service, call: ServiceCall, granted: Granted
     ) -> Result[ServiceReply, Problem]:
-        result = await self._once(
-            service, call, may_send=lambda: granted.may_dispatch(now=self._parts.clock.now())
+        result = await self._send_once(
+            service, call, may_send=lambda: granted.may_dispatch(now=self._dependencies.clock.now())
         )
-        settled = self._parts.claims.settle(claim=granted, outcome=_outcome_of(result))
-        # With the record written a repeat finds the answer at any host; it goes on in the
-        # background, since a store outage must not hold the answer back.
-        await asyncio.wait({settled}, timeout=RECORD_WAIT_MS / MS_PER_SECOND)
-        return result.alt(self._problem_of_single)
+        settled = self._dependencies.claims.settle(claim=granted, outcome=_to_outcome(result))
+        # Once the answer is recorded, a repeat gets it on any host. The wait is bounded, and the
+        # write continues in the background, because a store outage must not delay the answer.
+        await asyncio.wait({settled}, timeout=RECORD_TIMEOUT_MS / MS_PER_SECOND)
+        return result.alt(self._build_single_dispatch_problem)
 
-    async def _once(
+    async def _send_once(
         self, service: Service, call: ServiceCall, *, may_send: Callable[[], bool]
     ) -> Result[ServiceReply, UpstreamError]:
-        """Send a call at most once; only an upstream that cannot have run it is passed over."""
-        tried: set[str] = set()
-        error = UpstreamError(kind=UpstreamErrorKind.NOT_SENT, detail="No upstream takes work.")
+        """Send a call so that at most one upstream executes it.
+
+        Another upstream is tried only if the previous one has certainly not executed the call.
+
+        :param may_send: Returns whether the call may still be sent.
+        """
+        tried_addresses: set[str] = set()
+        error = UpstreamError(kind=UpstreamErrorKind.NOT_SENT, detail="No open upstream is left.")
         while True:
-            address = self._choose(service, tried)
+            address = self._select_address(service, tried_addresses)
             if address is None or not may_send():
                 return Failure(error)
-            tried.add(address)
+            tried_addresses.add(address)
             match await self._send(service, address, call):
                 case Success(reply):
                     return Success(reply)
@@ -204,53 +220,59 @@
         upstream = UpstreamId(address)
         self._running[address] += 1
         try:
-            result = await self._parts.client.call(
+            result = await self._dependencies.client.call(
                 address=address, call=call, timeout_ms=service.timeout_ms
             )
         finally:
             self._running[address] -= 1
         match result:
             case Success(_):
-                self._parts.notes.note_success(upstream=upstream)
+                self._dependencies.notes.note_success(upstream=upstream)
             case Failure(error):
-                self._note(upstream, error)
+                self._report_failure(upstream, error)
         return result
 
-    def _note(self, upstream: UpstreamId, error: UpstreamError) -> None:
-        _log.info("A call failed.", upstream=upstream, kind=error.kind.value)
+    def _report_failure(self, upstream: UpstreamId, error: UpstreamError) -> None:
+        _log.info("Call to an upstream failed.", upstream=upstream, kind=error.kind.value)
         if error.refusal is None:
-            self._parts.notes.note_failure(upstream=upstream)
+            self._dependencies.notes.note_failure(upstream=upstream)
         elif error.refusal.kind is RefusalKind.LEAVING:
-            self._parts.notes.note_leaving(upstream=upstream)
+            self._dependencies.notes.note_leaving(upstream=upstream)
 
-    def _problem_of_single(self, error: UpstreamError) -> Problem:
-        return spread_return(problem=_problem_of_single(error), rng=self._parts.rng)
+    def _build_single_dispatch_problem(self, error: UpstreamError) -> Problem:
+        return spread_return(
+            problem=_build_single_dispatch_problem(error), rng=self._dependencies.rng
+        )
 
-    def _choose(self, service: Service, tried: set[str]) -> str | None:
-        addresses = [address for address in addresses_of(service=service) if address not in tried]
-        addresses = [address for address in addresses if self._parts.is_open(UpstreamId(address))]
+    def _select_address(self, service: Service, tried_addresses: set[str]) -> str | None:
+        addresses = [
+            address for address in get_addresses(service=service) if address not in tried_addresses
+        ]
+        addresses = [
+            address for address in addresses if self._dependencies.is_open(UpstreamId(address))
+        ]
         if not addresses:
             return None
-        rng = self._parts.rng
+        rng = self._dependencies.rng
         return min(addresses, key=lambda address: (self._running[address], rng.random()))
 
 
 _NOT_EXECUTED = frozenset({UpstreamErrorKind.NOT_SENT, UpstreamErrorKind.REFUSED})
 
 
-def addresses_of(*, service: Service) -> Sequence[str]:
-    """Return the IP numbers and ports of a service.
+def get_addresses(*, service: Service) -> Sequence[str]:
+    """Return the IP addresses and ports of a service.
 
-    :param service: Its declaration.
+    :param service: Declaration of the service.
     """
     return [address.partition("@")[0] for address in service.addresses]
 
 
 def is_idempotent(*, service: Service, call: ServiceCall) -> bool:
-    """Return whether a call may be repeated.
+    """Return whether a call is idempotent, so that it may be repeated.
 
-    :param service: Its declaration.
-    :param call: The call.
+    :param service: Declaration of the service.
+    :param call: Call to check.
     """
     if call.method in SAFE_METHODS:
         return True
@@ -260,12 +282,12 @@
     )
 
 
-def _digest(call: ServiceCall) -> str:
+def _compute_digest(call: ServiceCall) -> str:
     content = f"{call.method} {call.path}\n".encode() + call.body
     return blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _outcome_of(result: Result[ServiceReply, UpstreamError]) -> ClaimOutcome:
+def _to_outcome(result: Result[ServiceReply, UpstreamError]) -> ClaimOutcome:
     match result:
         case Success(reply):
             return ClaimOutcome(
@@ -279,7 +301,7 @@
     return ClaimOutcome(state=ClaimState.UNKNOWN)
 
 
-def _from_record(recorded: Recorded) -> ServiceReply:
+def _to_reply(recorded: Recorded) -> ServiceReply:
     outcome = recorded.outcome
     return ServiceReply(
         status=outcome.status,
@@ -289,31 +311,31 @@
     )
 
 
-def _no_upstream(service: str) -> Problem:
+def _build_no_upstream_problem(service: str) -> Problem:
     return Problem(
         kind=ProblemKind.NO_UPSTREAM,
         detail=f"No upstream of {service} takes work now; send the call again after the pause.",
         execution=Execution.NOT_EXECUTED,
-        retry_after_ms=RETRY_AFTER_MS,
+        retry_after_ms=MIN_RETRY_AFTER_MS,
     )
 
 
-def _problem_of_idempotent(may_have_run: bool) -> Problem:
+def _build_idempotent_problem(may_have_run: bool) -> Problem:
     return Problem(
         kind=ProblemKind.UPSTREAM_FAILED,
         detail="The service did not answer; the call may be repeated after the pause.",
         execution=Execution.UNKNOWN if may_have_run else Execution.NOT_EXECUTED,
-        retry_after_ms=RETRY_AFTER_MS,
+        retry_after_ms=MIN_RETRY_AFTER_MS,
     )
 
 
-def _problem_of_single(error: UpstreamError) -> Problem:
+def _build_single_dispatch_problem(error: UpstreamError) -> Problem:
     if error.kind in _NOT_EXECUTED:
         return Problem(
             kind=ProblemKind.NO_UPSTREAM,
             detail="No upstream took the call; send it again after the pause.",
             execution=Execution.NOT_EXECUTED,
-            retry_after_ms=RETRY_AFTER_MS,
+            retry_after_ms=MIN_RETRY_AFTER_MS,
         )
     return Problem(
         kind=ProblemKind.OUTCOME_UNKNOWN,
--- a/testing/_booking_hosts.py
+++ b/testing/_booking_hosts.py
@@ -36,7 +36,7 @@
 
 
 @unique
-class Point(Enum):
+class CrashPoint(Enum):
     """Where a host can die."""
 
     CLAIMED = "claimed"
@@ -45,7 +45,7 @@
 
 
 @unique
-class Told(Enum):
+class CallResult(Enum):
     """What a caller is told."""
 
     ANSWER = "answer"
@@ -75,13 +75,13 @@
     """One life of a host."""
 
     def __init__(
-        self, *, name: str, incarnation: int, platform: Platform, ttl_s: int = TTL_S
+        self, *, name: str, incarnation: int, platform: BookingCluster, ttl_s: int = TTL_S
     ) -> None:
         self.ttl_s = ttl_s
         self.name = HostId(name)
         self.incarnation = incarnation
         self.store = FaultyStore(backend=platform.backend)
-        self.dies_at: Point | None = None
+        self.dies_at: CrashPoint | None = None
         self.dead = False
         self.clock = Clock()
         self._platform = platform
@@ -97,24 +97,26 @@
 
     async def book(
         self, name: str, *, digest: str = "d", on_executed: Callable[[], None] = lambda: None
-    ) -> Told:
+    ) -> CallResult:
         """Make one booking as dispatch would and return what the caller is told."""
         result = await self.claim(name, digest=digest)
         if isinstance(result, Failure):
-            return told_by(result.failure())
+            return get_call_result(result.failure())
         answer = result.unwrap()
         if isinstance(answer, Recorded):
             assert answer.outcome.body == name.encode()
-            return Told.ANSWER
+            return CallResult.ANSWER
         if isinstance(answer, InProgress):
-            return told_by(answer.problem)
+            return get_call_result(answer.problem)
         return await self._dispatch(name, claim=answer, on_executed=on_executed)
 
     async def claim(
         self, name: str, *, digest: str = "d"
     ) -> Result[Granted | Recorded | InProgress, Problem]:
         """Only claim."""
-        return await self.claims.claim(key=key_of(name), request_digest=digest, ttl_s=self.ttl_s)
+        return await self.claims.claim(
+            key=build_claim_key(name), request_digest=digest, ttl_s=self.ttl_s
+        )
 
     def die(self) -> None:
         """End this life at once; nothing more leaves the host."""
@@ -123,30 +125,30 @@
 
     async def _dispatch(
         self, name: str, *, claim: Granted, on_executed: Callable[[], None]
-    ) -> Told:
-        await self._reach(Point.CLAIMED)
+    ) -> CallResult:
+        await self._reach(CrashPoint.CLAIMED)
         if not claim.may_dispatch(now=self.clock.now()):
             self.claims.settle(claim=claim, outcome=NOT_EXECUTED)
-            return Told.NOT_EXECUTED
+            return CallResult.NOT_EXECUTED
         if not self._platform.service.receive(name):
             self.claims.settle(claim=claim, outcome=NOT_EXECUTED)
-            return Told.NOT_EXECUTED
+            return CallResult.NOT_EXECUTED
         on_executed()
-        await self._reach(Point.SENT)
+        await self._reach(CrashPoint.SENT)
         await self.clock.sleep(self._platform.service.delay_ms)
-        await self._reach(Point.ANSWERED)
+        await self._reach(CrashPoint.ANSWERED)
         done = ClaimOutcome(state=ClaimState.DONE, status=ANSWER_STATUS, body=name.encode())
         self.claims.settle(claim=claim, outcome=done)
-        return Told.ANSWER
+        return CallResult.ANSWER
 
-    async def _reach(self, point: Point) -> None:
+    async def _reach(self, point: CrashPoint) -> None:
         if self.dies_at is point:
             self.die()
-        await self.store.pass_gate()
+        await self.store.wait_until_running()
 
 
 @final
-class Platform:
+class BookingCluster:
     """The shared store, the service, and who is live."""
 
     def __init__(self) -> None:
@@ -171,21 +173,21 @@
 NOT_EXECUTED = ClaimOutcome(state=ClaimState.NOT_EXECUTED)
 
 
-def key_of(name: str) -> ClaimKey:
+def build_claim_key(name: str) -> ClaimKey:
     """Return the key of a booking."""
     return ClaimKey(
         account=ClientAccountId("office"), service=ServiceId("booking"), idempotency_key=name
     )
 
 
-def told_by(problem: Problem) -> Told:
+def get_call_result(problem: Problem) -> CallResult:
     """Read a problem as its caller does."""
     if problem.execution is Execution.NOT_EXECUTED:
-        return Told.NOT_EXECUTED
-    return Told.UNKNOWN
+        return CallResult.NOT_EXECUTED
+    return CallResult.UNKNOWN
 
 
-async def settle_tasks(*tasks: asyncio.Task[Any]) -> None:
+async def cancel_tasks(*tasks: asyncio.Task[Any]) -> None:
     """Cancel what still runs on hosts that died."""
     for task in tasks:
         task.cancel()
--- a/testing/_crashing_engines.py
+++ b/testing/_crashing_engines.py
@@ -1,4 +1,4 @@
-"""Hosts that send requests to engines, some of which crash the engine that runs them."""
+"""Simulated hosts and engines, and requests that crash the engine that runs them."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from testing._fake_store import FakeBackend
 from testing._fake_store import FakeStore
 
-MESSAGE_MS = 2
+MESSAGE_DELAY_MS = 2
 RESTART_S = 5
 VERDICT_TTL_MS = 600_000
 EPOCH_MS = 1_700_000_000_000
 
 
 @unique
-class Ended(Enum):
-    """How a run ended."""
+class RunOutcome(Enum):
+    """How a run on an engine ended."""
 
     DONE = "done"
     CRASHED = "crashed"
@@ -39,23 +39,23 @@
 
 @final
 class CrashingEngine:
-    """An engine that dies with all it runs when a poisonous request has run long enough."""
+    """Engine that crashes, with all its runs, when a poison request has run long enough."""
 
     def __init__(self, *, name: str, cluster: Cluster) -> None:
         self.name = UpstreamId(name)
         self.up = True
-        self.runs: dict[asyncio.Future[Ended], tuple[Fingerprint, str]] = {}
+        self.runs: dict[asyncio.Future[RunOutcome], tuple[Fingerprint, str]] = {}
         self._cluster = cluster
 
-    async def run(self, *, host: str, fingerprint: Fingerprint, duration_s: float) -> Ended:
-        """Run a request to its end."""
+    async def run(self, *, host: str, fingerprint: Fingerprint, duration_s: float) -> RunOutcome:
+        """Run a request until it completes, is cancelled or crashes with the engine."""
         loop = asyncio.get_running_loop()
-        end: asyncio.Future[Ended] = loop.create_future()
+        end: asyncio.Future[RunOutcome] = loop.create_future()
         self.runs[end] = (fingerprint, host)
-        poisonous = fingerprint in self._cluster.poison
+        is_poison = fingerprint in self._cluster.poison_requests
         timer = loop.call_later(
-            self._cluster.poison_s if poisonous else duration_s,
-            lambda: self._crash(fingerprint) if poisonous else end.set_result(Ended.DONE),
+            self._cluster.poison_duration_s if is_poison else duration_s,
+            lambda: self._crash(fingerprint) if is_poison else end.set_result(RunOutcome.DONE),
         )
         try:
             return await end
@@ -64,17 +64,17 @@
             self.runs.pop(end, None)
 
     def stop(self, *, host: str, fingerprint: Fingerprint) -> None:
-        """Cancel a host's run."""
-        for end, place in list(self.runs.items()):
-            if place == (fingerprint, host) and not end.done():
-                end.set_result(Ended.STOPPED)
+        """Cancel the runs of a request for a host."""
+        for end, run in list(self.runs.items()):
+            if run == (fingerprint, host) and not end.done():
+                end.set_result(RunOutcome.STOPPED)
 
-    def _crash(self, culprit: Fingerprint) -> None:
-        self._cluster.losses[culprit] += 1
+    def _crash(self, crashing_request: Fingerprint) -> None:
+        self._cluster.lost_engines[crashing_request] += 1
         self.up = False
         asyncio.get_running_loop().call_later(RESTART_S, self._restart)
         for end in [end for end in self.runs if not end.done()]:
-            end.set_result(Ended.CRASHED)
+            end.set_result(RunOutcome.CRASHED)
         self._cluster.report_crash(self.name)
 
     def _restart(self) -> None:
@@ -82,8 +82,8 @@
 
 
 @final
-class SendingHost:
-    """Sends requests as dispatch does."""
+class RequestingHost:
+    """Host that sends requests in the same way as dispatch."""
 
     def __init__(self, *, name: str, cluster: Cluster, wall_offset_ms: int) -> None:
         self.name = HostId(name)
@@ -97,25 +97,30 @@
             rng=random.Random(name),
             verdict_ttl_ms=VERDICT_TTL_MS,
         )
-        self.crash_seen = asyncio.Condition()
-        self.crashes_seen: Counter[str] = Counter()
+        self.crash_detected = asyncio.Condition()
+        self.detected_crashes: Counter[str] = Counter()
         self._cluster = cluster
         self._outbox: deque[Verdict] = deque()
-        self.quarantine.verdicts.subscribe(self._spread)
+        self.quarantine.verdicts.subscribe(self._broadcast)
         self.quarantine.stops.subscribe(self._stop)
 
     async def call(
-        self, name: str, *, duration_s: float = 1.0, first: str | None = None
+        self, name: str, *, duration_s: float = 1.0, preferred_engine: str | None = None
     ) -> Problem | None:
-        """Run a request until it has its whole answer, or a problem."""
+        """Run a request, with retries, and return ``None`` when it completes, or a problem.
+
+        :param name: Fingerprint of the request.
+        :param duration_s: Duration of a run that is not poison, in seconds.
+        :param preferred_engine: Engine for the first attempt, if it is available.
+        """
         fingerprint = Fingerprint(name)
         quarantine = self.quarantine
         while True:
             problem = quarantine.check(fingerprint=fingerprint)
             if problem is not None:
                 return problem
-            engine = self._choose(fingerprint, first=first)
-            first = None
+            engine = self._choose(fingerprint, preferred_engine=preferred_engine)
+            preferred_engine = None
             if engine is None:
                 await asyncio.sleep(0.02)
                 continue
@@ -127,39 +132,45 @@
                     fingerprint=fingerprint, engine=engine.name, end=RunEnd.CANCELLED
                 )
                 continue
-            seen = self.crashes_seen[engine.name]
-            ended = await engine.run(host=self.name, fingerprint=fingerprint, duration_s=duration_s)
-            if ended is Ended.CRASHED:
-                await self._await_crash_report(engine.name, seen)
+            detected_before = self.detected_crashes[engine.name]
+            outcome = await engine.run(
+                host=self.name, fingerprint=fingerprint, duration_s=duration_s
+            )
+            if outcome is RunOutcome.CRASHED:
+                await self._await_crash_report(engine.name, detected_before)
                 continue
-            end = RunEnd.COMPLETE if ended is Ended.DONE else RunEnd.CANCELLED
+            end = RunEnd.COMPLETE if outcome is RunOutcome.DONE else RunEnd.CANCELLED
             quarantine.on_finished(fingerprint=fingerprint, engine=engine.name, end=end)
-            if ended is Ended.DONE:
+            if outcome is RunOutcome.DONE:
                 return None
 
-    async def see_crash(self, engine: UpstreamId) -> None:
-        """Notice a crash, each host at its own time."""
-        await asyncio.sleep(self._cluster.rng.random() * self._cluster.notice_s)
+    async def detect_crash(self, engine: UpstreamId) -> None:
+        """Report a crash to the quarantine after a random delay."""
+        await asyncio.sleep(self._cluster.rng.random() * self._cluster.max_detection_delay_s)
         self.quarantine.on_engine_crash(engine=engine)
-        self.crashes_seen[engine] += 1
-        async with self.crash_seen:
-            self.crash_seen.notify_all()
-
-    async def _await_crash_report(self, engine: UpstreamId, seen: int) -> None:
-        async with self.crash_seen:
-            await self.crash_seen.wait_for(lambda: self.crashes_seen[engine] > seen)
-
-    def _choose(self, fingerprint: Fingerprint, *, first: str | None) -> CrashingEngine | None:
+        self.detected_crashes[engine] += 1
+        async with self.crash_detected:
+            self.crash_detected.notify_all()
+
+    async def _await_crash_report(self, engine: UpstreamId, detected_before: int) -> None:
+        async with self.crash_detected:
+            await self.crash_detected.wait_for(
+                lambda: self.detected_crashes[engine] > detected_before
+            )
+
+    def _choose(
+        self, fingerprint: Fingerprint, *, preferred_engine: str | None
+    ) -> CrashingEngine | None:
         engines = self._cluster.engines
         excluded = self.quarantine.excluded_engines(fingerprint=fingerprint, engines=engines)
         free = [engine for name, engine in engines.items() if name not in excluded and engine.up]
-        wished = [engine for engine in free if engine.name == first]
-        return self._cluster.rng.choice(wished or free) if free else None
+        preferred = [engine for engine in free if engine.name == preferred_engine]
+        return self._cluster.rng.choice(preferred or free) if free else None
 
-    def _spread(self, verdict: Verdict) -> None:
-        # Equal times are delivered in any order, while a connection keeps the order.
+    def _broadcast(self, verdict: Verdict) -> None:
+        # Timers with equal times fire in any order, but a connection preserves the order.
         self._outbox.append(verdict)
-        asyncio.get_running_loop().call_later(MESSAGE_MS / 1000, self._deliver_next)
+        asyncio.get_running_loop().call_later(MESSAGE_DELAY_MS / 1000, self._deliver_next)
 
     def _deliver_next(self) -> None:
         verdict = self._outbox.popleft()
@@ -174,31 +185,31 @@
 
 @final
 class Cluster:
-    """All hosts and engines, and which requests are poisonous.
+    """Hosts, engines and the set of requests that crash engines.
 
-    :param hosts: How many hosts.
-    :param engines: How many engines.
-    :param seed: Seeds all choices.
+    :param hosts: Number of hosts.
+    :param engines: Number of engines.
+    :param seed: Seed of the random number generator for all choices.
     """
 
     def __init__(self, *, hosts: int, engines: int, seed: int = 1) -> None:
         self.rng = random.Random(seed)
         self.backend = FakeBackend()
-        self.poison: set[Fingerprint] = set()
-        self.poison_s = 0.3
-        self.notice_s = 0.005
-        self.losses: Counter[Fingerprint] = Counter()
+        self.poison_requests: set[Fingerprint] = set()
+        self.poison_duration_s = 0.3
+        self.max_detection_delay_s = 0.005
+        self.lost_engines: Counter[Fingerprint] = Counter()
         names = [UpstreamId(f"e{number}") for number in range(engines)]
         self.engines = {name: CrashingEngine(name=name, cluster=self) for name in names}
         self.hosts = [
-            SendingHost(name=f"h{number}", cluster=self, wall_offset_ms=number * 100)
+            RequestingHost(name=f"h{number}", cluster=self, wall_offset_ms=number * 100)
             for number in range(hosts)
         ]
         self._tasks: set[asyncio.Task[None]] = set()
 
     def report_crash(self, engine: UpstreamId) -> None:
-        """Let each host notice."""
+        """Let each host detect the crash of an engine."""
         for host in self.hosts:
-            task = asyncio.get_running_loop().create_task(host.see_crash(engine))
+            task = asyncio.get_running_loop().create_task(host.detect_crash(engine))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/testing/_faulty_store.py
+++ b/testing/_faulty_store.py
@@ -49,23 +49,23 @@
         """Let the host go on."""
         self._running.set()
 
-    async def pass_gate(self) -> None:
+    async def wait_until_running(self) -> None:
         """Wait while the host is frozen."""
         await self._running.wait()
 
     async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
         """Read one key."""
-        await self.pass_gate()
+        await self.wait_until_running()
         return await self._come_back(await self.fake.get(key=key, stale=stale))
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix."""
-        await self.pass_gate()
+        await self.wait_until_running()
         return await self._come_back(await self.fake.list(prefix=prefix))
 
     async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
         """Carry out conditional writes in one call."""
-        await self.pass_gate()
+        await self.wait_until_running()
         # etcd refuses a transaction that writes one key twice.
         assert len({put.key for put in puts}) == len(puts)
         if self.late_writes > 0 and not self.fake.down:
@@ -78,17 +78,17 @@
 
     async def grant_lease(self, *, ttl_s: int) -> Result[LeaseId, StoreError]:
         """Make a lease."""
-        await self.pass_gate()
+        await self.wait_until_running()
         return await self._come_back(await self.fake.grant_lease(ttl_s=ttl_s))
 
     async def keep_alive(self, *, lease: LeaseId) -> Result[int, StoreError]:
         """Renew a lease."""
-        await self.pass_gate()
+        await self.wait_until_running()
         return await self._come_back(await self.fake.keep_alive(lease=lease))
 
     async def revoke(self, *, lease: LeaseId) -> Result[None, StoreError]:
         """End a lease and delete its keys."""
-        await self.pass_gate()
+        await self.wait_until_running()
         return await self._come_back(await self.fake.revoke(lease=lease))
 
     async def watch(
@@ -96,7 +96,7 @@
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
         """Follow the changes."""
         async for batch in self.fake.watch(prefix=prefix, from_revision=from_revision):
-            await self.pass_gate()
+            await self.wait_until_running()
             yield batch
 
     def _write_late(self, puts: Sequence[PutIf]) -> None:
@@ -105,5 +105,5 @@
             backend.write(puts=puts)
 
     async def _come_back(self, result: T) -> T:
-        await self.pass_gate()
+        await self.wait_until_running()
         return result
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -41,7 +41,7 @@
 from tanagerscale.forwarding import RunCopy
 from tanagerscale.forwarding import StreamMovers
 from tanagerscale.forwarding import UpstreamOrder
-from tanagerscale.quarantine import Suspects
+from tanagerscale.quarantine import SuspectTracker
 from tanagerscale.routes import ANYBODY
 from tanagerscale.routes import CallerLimits
 from tanagerscale.routes import Configuration
@@ -521,7 +521,7 @@
         tables=tables,
         upstreams=upstreams,
         gate=upstreams,
-        suspects=Suspects(clock=clock),
+        suspects=SuspectTracker(clock=clock),
         health=health,
         caller=caller,
         engines=engines,
--- a/testing/_ordered_engines.py
+++ b/testing/_ordered_engines.py
@@ -113,8 +113,8 @@
             clock=Clock(),
             rng=random.Random(name),
             declarations=fleet.declarations,
-            connect=lambda engine: ClientOfHost(host=self, fleet=fleet, name=engine.name),
-            max_loads=MAX_LOADS,
+            get_client=lambda engine: ClientOfHost(host=self, fleet=fleet, name=engine.name),
+            max_concurrent_loads=MAX_LOADS,
         )
         self.task = asyncio.get_running_loop().create_task(self.controller.run())
 
@@ -130,7 +130,7 @@
 
     async def state(self) -> Result[EngineState, UpstreamError]:
         """Read what the engine holds."""
-        await self._host.store.pass_gate()
+        await self._host.store.wait_until_running()
         if self._engine.unreachable:
             return Failure(_error(UpstreamErrorKind.NOT_SENT))
         state = self._engine.state()
@@ -159,15 +159,15 @@
                 kind=UpstreamErrorKind.REFUSED, detail="Old fence.", refusal=refusal
             )
             return Failure(error)
-        await self._host.store.pass_gate()
+        await self._host.store.wait_until_running()
         return Success(engine.state())
 
     async def _pass_gate_in_spite_of_timers(self) -> None:
         """Wait while the host is frozen, since its timers would not run either."""
         try:
-            await self._host.store.pass_gate()
+            await self._host.store.wait_until_running()
         except asyncio.CancelledError:
-            await self._host.store.pass_gate()
+            await self._host.store.wait_until_running()
 
     def generate(self, *, request: EngineRequest) -> TokenBatches:
         """Not part of these tests."""
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -24,11 +24,11 @@
 from tanagerscale.store import StoreRevision
 from testing._booking_hosts import NOT_EXECUTED
 from testing._booking_hosts import TTL_S
-from testing._booking_hosts import Platform
-from testing._booking_hosts import Point
-from testing._booking_hosts import Told
-from testing._booking_hosts import key_of
-from testing._booking_hosts import settle_tasks
+from testing._booking_hosts import BookingCluster
+from testing._booking_hosts import CallResult
+from testing._booking_hosts import CrashPoint
+from testing._booking_hosts import build_claim_key
+from testing._booking_hosts import cancel_tasks
 from testing._fake_store import FakeBackend
 from testing._faulty_store import FaultyStore
 from testing._random_cases import cases
@@ -42,60 +42,63 @@
 
 
 @pytest.fixture
-async def platform() -> Platform:
-    return Platform()
+async def platform() -> BookingCluster:
+    return BookingCluster()
 
 
 async def test_booking_runs_once_when_sent_to_two_hosts_at_the_same_moment(
-    platform: Platform,
+    platform: BookingCluster,
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     told = await asyncio.gather(first.book(NAME), second.book(NAME))
-    assert sorted(told, key=lambda one: one.value) == [Told.ANSWER, Told.UNKNOWN]
+    assert sorted(told, key=lambda one: one.value) == [CallResult.ANSWER, CallResult.UNKNOWN]
     await asyncio.sleep(1)
-    assert [await first.book(NAME), await second.book(NAME)] == [Told.ANSWER, Told.ANSWER]
+    assert [await first.book(NAME), await second.book(NAME)] == [
+        CallResult.ANSWER,
+        CallResult.ANSWER,
+    ]
     assert platform.service.executions[NAME] == 1
 
 
 async def test_repeat_joins_the_running_call_when_sent_to_the_same_host(
-    platform: Platform,
+    platform: BookingCluster,
 ) -> None:
     host = platform.start("a")
     platform.service.delay_ms = 20_000
-    assert await asyncio.gather(*(host.book(NAME) for _ in range(3))) == [Told.ANSWER] * 3
+    assert await asyncio.gather(*(host.book(NAME) for _ in range(3))) == [CallResult.ANSWER] * 3
     assert platform.service.executions[NAME] == 1
     assert host.store.fake.calls.writes == 1
 
 
-@pytest.mark.parametrize("point", list(Point))
-async def test_outcome_is_unknown_and_nothing_runs_again_when_the_claimer_died(
-    platform: Platform, point: Point
+@pytest.mark.parametrize("point", list(CrashPoint))
+async def test_outcome_is_unknown_and_nothing_runs_again_when_the_claiming_host_died(
+    platform: BookingCluster, point: CrashPoint
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     first.dies_at = point
     lost = asyncio.create_task(first.book(NAME))
     await asyncio.sleep(1)
     before = platform.service.executions[NAME]
-    assert await second.book(NAME) is Told.UNKNOWN
+    assert await second.book(NAME) is CallResult.UNKNOWN
     restarted = platform.start("a", incarnation=2)
-    assert await restarted.book(NAME) is Told.UNKNOWN
+    assert await restarted.book(NAME) is CallResult.UNKNOWN
     await asyncio.sleep(TTL_S / 2)
-    assert await second.book(NAME) is Told.UNKNOWN
+    assert await second.book(NAME) is CallResult.UNKNOWN
     assert platform.service.executions[NAME] == before <= 1
-    await settle_tasks(lost)
+    await cancel_tasks(lost)
 
 
-async def test_claim_is_granted_when_only_its_reply_was_lost(platform: Platform) -> None:
+async def test_claim_is_granted_when_only_its_reply_was_lost(platform: BookingCluster) -> None:
     host = platform.start("a")
     await host.book("warm-up")
     host.store.fake.lose_replies = 1
-    assert await host.book(NAME) is Told.ANSWER
+    assert await host.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
 @pytest.mark.parametrize("write_arrives", ["at once", "late", "never"])
-async def test_claim_is_never_dispatched_when_reading_back_failed_too(
-    platform: Platform, write_arrives: str
+async def test_claim_is_never_dispatched_when_its_repeated_write_fails_too(
+    platform: BookingCluster, write_arrives: str
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     await first.book("warm-up")
@@ -108,26 +111,26 @@
     assert platform.service.executions[NAME] == 0
     # The claim becomes free, so that the caller's repeat runs, wherever it goes.
     await asyncio.sleep(5)
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
     await asyncio.sleep(40)
-    assert await first.book(NAME) is Told.ANSWER
+    assert await first.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
-async def test_repeat_runs_at_the_same_host_when_its_own_lost_claim_stands_there(
-    platform: Platform,
+async def test_repeat_runs_at_the_same_host_when_its_own_abandoned_claim_exists(
+    platform: BookingCluster,
 ) -> None:
     host = platform.start("a")
     await host.book("warm-up")
     host.store.fake.lose_replies = 2
-    assert await host.book(NAME) is Told.NOT_EXECUTED
+    assert await host.book(NAME) is CallResult.NOT_EXECUTED
     await asyncio.sleep(1.01)
     told = [await host.book(NAME), await host.book(NAME)]
-    assert told == [Told.ANSWER, Told.ANSWER]
+    assert told == [CallResult.ANSWER, CallResult.ANSWER]
     assert platform.service.executions[NAME] == 1
 
 
-async def test_caller_is_refused_at_once_when_the_store_is_down(platform: Platform) -> None:
+async def test_caller_is_refused_at_once_when_the_store_is_down(platform: BookingCluster) -> None:
     host = platform.start("a")
     await host.book("warm-up")
     host.store.fake.set_down(True)
@@ -139,37 +142,39 @@
         assert refusal.retry_after_ms is not None
     calls = host.store.fake.calls.writes
     assert (await asyncio.gather(*(host.book(f"b{i}") for i in range(50)))) == [
-        Told.NOT_EXECUTED
+        CallResult.NOT_EXECUTED
     ] * 50
     assert host.store.fake.calls.writes == calls
     assert sum(platform.service.executions.values()) == 1
     host.store.fake.set_down(False)
     await asyncio.sleep(2)
-    assert await host.book(NAME) is Told.ANSWER
+    assert await host.book(NAME) is CallResult.ANSWER
 
 
 async def test_answer_is_recorded_when_the_store_returns_after_a_long_outage(
-    platform: Platform,
+    platform: BookingCluster,
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
-    granted = (await first.claims.claim(key=key_of(NAME), request_digest="d", ttl_s=3600)).unwrap()
+    granted = (
+        await first.claims.claim(key=build_claim_key(NAME), request_digest="d", ttl_s=3600)
+    ).unwrap()
     assert isinstance(granted, Granted)
     for host in (first, second):
         host.store.fake.set_down(True)
     done = ClaimOutcome(state=ClaimState.DONE, status=201, body=NAME.encode())
     await first.claims.record(claim=granted, outcome=done)
-    assert await first.book(NAME) is Told.ANSWER
-    assert await second.book(NAME) is Told.NOT_EXECUTED
+    assert await first.book(NAME) is CallResult.ANSWER
+    assert await second.book(NAME) is CallResult.NOT_EXECUTED
     await asyncio.sleep(OUTAGE_S)
     assert first.claims.pending == 1
     for host in (first, second):
         host.store.fake.set_down(False)
     await first.claims.drain()
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
 
 
 async def test_answer_reaches_a_repeat_elsewhere_when_the_service_answers_late(
-    platform: Platform,
+    platform: BookingCluster,
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     platform.service.delay_ms = 30_000
@@ -178,15 +183,15 @@
     claimed = (await second.claim(NAME)).unwrap()
     assert isinstance(claimed, InProgress)
     assert claimed.retry_after_ms > 0
-    assert await running is Told.ANSWER
+    assert await running is CallResult.ANSWER
     await asyncio.sleep(1)
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
 @pytest.mark.parametrize("frozen_while", ["claiming", "claimed"])
-async def test_old_claim_is_not_dispatched_when_its_host_thaws_past_every_timeout(
-    platform: Platform, frozen_while: str
+async def test_expired_claim_is_not_dispatched_when_its_host_resumes_after_every_timeout(
+    platform: BookingCluster, frozen_while: str
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     await first.book("warm-up")
@@ -194,36 +199,38 @@
     # The commit takes 2 ms, and nothing is awaited between the grant and the gate.
     await asyncio.sleep(0.001 if frozen_while == "claiming" else 0)
     if frozen_while == "claimed":
-        first.dies_at = Point.CLAIMED
+        first.dies_at = CrashPoint.CLAIMED
         await asyncio.sleep(1)
     first.store.freeze()
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
     first.store.thaw()
-    assert await lost is Told.NOT_EXECUTED
+    assert await lost is CallResult.NOT_EXECUTED
     assert platform.service.executions[NAME] == 1
 
 
-async def test_repeat_runs_elsewhere_when_the_service_executed_nothing(platform: Platform) -> None:
+async def test_repeat_runs_elsewhere_when_the_service_executed_nothing(
+    platform: BookingCluster,
+) -> None:
     first, second = platform.start("a"), platform.start("b")
     platform.service.refuses = True
-    assert await first.book(NAME) is Told.NOT_EXECUTED
+    assert await first.book(NAME) is CallResult.NOT_EXECUTED
     platform.service.refuses = False
     await asyncio.sleep(1)
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
     await asyncio.sleep(1)
-    assert await first.book(NAME) is Told.ANSWER
+    assert await first.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
 async def test_repeat_runs_at_once_when_this_host_just_released_the_claim(
-    platform: Platform,
+    platform: BookingCluster,
 ) -> None:
     host = platform.start("a")
     platform.service.refuses = True
-    assert await host.book(NAME) is Told.NOT_EXECUTED
+    assert await host.book(NAME) is CallResult.NOT_EXECUTED
     platform.service.refuses = False
-    assert await host.book(NAME) is Told.ANSWER
+    assert await host.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
@@ -254,7 +261,7 @@
 
 @pytest.mark.parametrize("leaves_after_s", [0, 0.001, 0.01])
 async def test_repeat_runs_when_the_caller_left_during_its_claim(
-    platform: Platform, leaves_after_s: float
+    platform: BookingCluster, leaves_after_s: float
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     claiming = asyncio.create_task(first.claim(NAME))
@@ -267,11 +274,11 @@
         assert isinstance(granted, Granted)
         first.claims.settle(claim=granted, outcome=NOT_EXECUTED)
     await asyncio.sleep(5)
-    assert await second.book(NAME) is Told.ANSWER
+    assert await second.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
 
 
-async def test_key_is_refused_when_reused_for_another_request(platform: Platform) -> None:
+async def test_key_is_refused_when_reused_for_another_request(platform: BookingCluster) -> None:
     first, second = platform.start("a"), platform.start("b")
     running = asyncio.create_task(first.book(NAME))
     await asyncio.sleep(0.01)
@@ -281,17 +288,17 @@
     assert kinds == [ProblemKind.KEY_REUSED] * 3
 
 
-async def test_claims_of_one_moment_are_one_store_call(platform: Platform) -> None:
+async def test_concurrent_claims_share_one_store_call(platform: BookingCluster) -> None:
     host = platform.start("a")
     names = [f"b{number}" for number in range(50)]
-    assert await asyncio.gather(*(host.book(name) for name in names)) == [Told.ANSWER] * 50
+    assert await asyncio.gather(*(host.book(name) for name in names)) == [CallResult.ANSWER] * 50
     await host.claims.drain()
     assert host.store.fake.calls.leases == 1
     assert host.store.fake.calls.writes == 2
 
 
-async def test_claim_stands_for_its_time_to_live_and_is_swept_after_it(
-    platform: Platform,
+async def test_claim_exists_for_its_ttl_and_is_deleted_afterwards(
+    platform: BookingCluster,
 ) -> None:
     host = platform.start("a")
     await host.book("first-of-the-bucket")
@@ -299,24 +306,26 @@
     await host.book(NAME)
     await asyncio.sleep(TTL_S)
     other = platform.start("b")
-    assert await other.book(NAME) is Told.ANSWER
+    assert await other.book(NAME) is CallResult.ANSWER
     assert platform.service.executions[NAME] == 1
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
     platform.backend.expire()
     assert platform.backend.entries == {}
 
 
-async def test_claims_go_on_when_the_store_has_lost_their_lease(platform: Platform) -> None:
+async def test_claims_are_granted_when_the_store_has_lost_their_lease(
+    platform: BookingCluster,
+) -> None:
     host = platform.start("a")
     await host.book("warm-up")
     await host.claims.drain()
     (entry,) = platform.backend.entries.values()
     platform.backend.end_lease(lease=entry.lease)
-    assert await host.book(NAME) is Told.ANSWER
+    assert await host.book(NAME) is CallResult.ANSWER
 
 
-async def test_repeat_is_told_that_it_ran_when_the_answer_was_too_large(
-    platform: Platform,
+async def test_repeat_reports_execution_when_the_answer_was_too_large(
+    platform: BookingCluster,
 ) -> None:
     first, second = platform.start("a"), platform.start("b")
     granted = (await first.claim(NAME)).unwrap()
@@ -327,7 +336,7 @@
     assert told.execution.value == "executed"
 
 
-def test_claim_fails_with_a_typed_problem_when_the_stored_value_is_garbage() -> None:
+def test_claim_fails_with_a_typed_problem_when_the_stored_value_is_malformed() -> None:
     sample = ClaimRecord(
         nonce="n", host="b", incarnation=1, state=ClaimState.DONE, claimed_wall_ms=1,
         request_digest="d", status=200, body="!!",
@@ -339,7 +348,7 @@
     )
 
     async def claim_over(value: bytes) -> None:
-        platform = Platform()
+        platform = BookingCluster()
         host, other = platform.start("a"), platform.start("b")
         await other.book(NAME)
         await other.claims.drain()
--- a/testing/test_claims_machine.py
+++ b/testing/test_claims_machine.py
@@ -10,10 +10,10 @@
 from hypothesis.stateful import invariant
 from hypothesis.stateful import rule
 
+from testing._booking_hosts import BookingCluster
 from testing._booking_hosts import BookingHost
-from testing._booking_hosts import Platform
-from testing._booking_hosts import Point
-from testing._booking_hosts import Told
+from testing._booking_hosts import CallResult
+from testing._booking_hosts import CrashPoint
 from testing._random_cases import cases
 from testing._virtual_time import close_loop
 from testing._virtual_time import new_virtual_loop
@@ -33,7 +33,7 @@
 
     name: str
     executed: bool = False
-    task: asyncio.Task[Told] | None = None
+    task: asyncio.Task[CallResult] | None = None
 
     def mark_executed(self) -> None:
         """The service ran this very call."""
@@ -63,8 +63,8 @@
         """Let time pass."""
         self._run(wait_ms)
 
-    @rule(host=hosts, point=st.sampled_from(Point))
-    def die_at(self, host: str, point: Point) -> None:
+    @rule(host=hosts, point=st.sampled_from(CrashPoint))
+    def die_at(self, host: str, point: CrashPoint) -> None:
         """Let a host die when one of its calls gets to a point."""
         self.live[host].dies_at = point
 
@@ -120,9 +120,9 @@
         for call in self.calls:
             if call.task is None or not call.task.done():
                 continue
-            if call.task.result() is Told.ANSWER:
+            if call.task.result() is CallResult.ANSWER:
                 assert self.platform.service.executions[call.name] == 1
-            if call.task.result() is Told.NOT_EXECUTED:
+            if call.task.result() is CallResult.NOT_EXECUTED:
                 assert not call.executed
 
     def teardown(self) -> None:
@@ -141,14 +141,14 @@
         last = self.platform.start("last", ttl_s=TTL_S)
         for name in NAMES:
             told = self.loop.run_until_complete(last.book(name))
-            assert told is Told.ANSWER or (self.deaths > 0 and told is Told.UNKNOWN)
+            assert told is CallResult.ANSWER or (self.deaths > 0 and told is CallResult.UNKNOWN)
         self._run(RECOVERY_S * 1000)
         self.runs_at_most_once()
         self.callers_are_told_the_truth()
         close_loop(self.loop)
 
     async def _start(self) -> None:
-        self.platform = Platform()
+        self.platform = BookingCluster()
         self.live: dict[str, BookingHost] = {
             name: self.platform.start(name, ttl_s=TTL_S) for name in HOSTS
         }
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -50,8 +50,8 @@
 from tanagerscale.generated.settings import LimitsSection
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.policy import RetryBudget
+from tanagerscale.services import ServiceDependencies
 from tanagerscale.services import ServiceDispatch
-from tanagerscale.services import ServiceParts
 from tanagerscale.upstreams import HttpServiceClient
 from tanagerscale.usage import UsageMeter
 from testing._fake_engine import FakeEngine
@@ -167,7 +167,7 @@
         is_live=lambda _host, _incarnation: True,
     )
     return ServiceDispatch(
-        parts=ServiceParts(
+        dependencies=ServiceDependencies(
             client=HttpServiceClient(session=session),
             claims=claims,
             notes=GateNotes(gate=gate),
