--- a/testing/test_fleet.py
+++ b/testing/test_fleet.py
@@ -33,7 +33,7 @@
     return most_loads, fewest
 
 
-async def test_engines_reach_what_is_declared_with_few_loads_at_once_and_then_rest() -> None:
+async def test_engines_converge_with_limited_concurrent_loads_and_no_further_orders() -> None:
     fleet = make_fleet(engines=5)
     fleet.declare(
         {name: ["plan", "check"] for name in fleet.engines}, versions=PLAN | {"check": "1"}
@@ -51,7 +51,9 @@
 
 
 @pytest.mark.parametrize("fencing", list(Fencing))
-async def test_no_order_is_given_when_a_controller_thaws_past_its_lease(fencing: Fencing) -> None:
+async def test_no_order_is_sent_when_a_controller_resumes_after_its_lease_has_expired(
+    fencing: Fencing,
+) -> None:
     fleet = make_fleet(fencing)
     first = OrderingHost(name="a", fleet=fleet)
     await asyncio.sleep(10)
@@ -88,7 +90,7 @@
     assert not fleet.engines["e0"].take(old)
 
 
-async def test_successor_waits_before_ordering_engines_that_ignore_fencing() -> None:
+async def test_new_controller_waits_before_sending_orders_to_engines_that_ignore_fencing() -> None:
     begun = {}
     for fencing in Fencing:
         fleet = make_fleet(fencing)
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_orders", "double_orders", "delay_orders"])
-async def test_engines_reach_what_is_declared_when_orders_go_astray(fault: str) -> None:
+async def test_engines_converge_when_orders_are_lost_duplicated_or_delayed(fault: str) -> None:
     fleet = make_fleet(Fencing.IGNORED)
     for engine in fleet.engines.values():
         setattr(engine, fault, 3)
@@ -114,7 +116,7 @@
     assert len(fleet.sent) == orders
 
 
-async def test_a_holder_remains_when_a_model_moves_or_changes_its_version() -> None:
+async def test_an_engine_keeps_a_model_when_it_moves_or_changes_its_version() -> None:
     fleet = make_fleet()
     OrderingHost(name="a", fleet=fleet)
     fleet.declare({"e0": ["plan"], "e1": [], "e2": []}, versions=PLAN)
@@ -137,7 +139,7 @@
     assert most_loads == 1
 
 
-async def test_a_holder_remains_when_declarations_change_during_an_unload() -> None:
+async def test_an_engine_keeps_a_model_when_declarations_change_during_an_unload() -> None:
     fleet = make_fleet()
     OrderingHost(name="a", fleet=fleet)
     fleet.declare({"e0": ["plan"], "e1": ["plan"], "e2": []}, versions=PLAN)
@@ -151,7 +153,7 @@
     assert fleet.converged()
 
 
-async def test_orders_stop_before_the_lease_ends_and_go_on_when_the_store_returns() -> None:
+async def test_orders_stop_before_the_lease_expires_and_resume_when_the_store_recovers() -> None:
     fleet = make_fleet()
     host = OrderingHost(name="a", fleet=fleet)
     await asyncio.sleep(10)
@@ -165,18 +167,20 @@
     assert fleet.converged()
 
 
-async def test_host_leads_at_once_when_only_the_reply_to_its_claim_was_lost() -> None:
+async def test_host_becomes_controller_immediately_when_only_the_reply_to_its_write_was_lost() -> (
+    None
+):
     fleet = make_fleet()
     host = OrderingHost(name="a", fleet=fleet)
     host.store.late_writes = 1
     host.store.late_ms = 0
-    leading: list[bool] = []
-    host.controller.leading.subscribe(leading.append)
+    states: list[bool] = []
+    host.controller.is_controller.subscribe(states.append)
     await asyncio.sleep(1)
-    assert leading == [False, True]
+    assert states == [False, True]
 
 
-async def test_another_host_leads_at_once_when_the_first_stops() -> None:
+async def test_another_host_becomes_controller_immediately_when_the_first_stops() -> None:
     fleet = make_fleet()
     first = OrderingHost(name="a", fleet=fleet)
     await asyncio.sleep(10)
@@ -189,7 +193,7 @@
     assert [sent.order.kind for sent in fleet.sent] == [OrderKind.LOAD_MODEL]
 
 
-async def test_refused_load_does_not_hold_up_the_others() -> None:
+async def test_failing_load_does_not_delay_the_others() -> None:
     fleet = make_fleet()
     fleet.engines["e0"].lose_orders = 10_000
     wanted = {"e0": ["plan", "check", "sheet"], "e1": ["plan"], "e2": ["plan"]}
--- a/testing/test_forwarding_plain.py
+++ b/testing/test_forwarding_plain.py
@@ -183,7 +183,7 @@
     refusal = FakeAnswer(status=503, not_executed=True, is_someone_else=is_someone_else)
     bench.caller.set("x", refusal)
     await _serve(bench, kind=ONCE)
-    assert suspects.known == (1 if is_someone_else else 0)
+    assert suspects.suspect_count == (1 if is_someone_else else 0)
 
 
 @pytest.mark.asyncio
--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -30,7 +30,7 @@
 from testing.test_services import SERVICE
 from testing.test_services import FakeService
 from testing.test_services import Point
-from testing.test_services import service_dispatch
+from testing.test_services import make_service_dispatch
 
 FAIL_MS = 15_000
 BACK_MS = 30_000
@@ -125,7 +125,7 @@
     clock = Clock()
     service = FakeService()
     store = FaultyStore(backend=FakeBackend())
-    dispatch = service_dispatch(service, store)
+    dispatch = make_service_dispatch(service, store)
     refused: list[Refused] = []
 
     async def book(number: int) -> None:
@@ -153,7 +153,7 @@
 
     async def run() -> FakeService:
         service = FakeService(points=[Point.BEFORE_EXECUTION, Point.NONE, Point.NONE] * calls)
-        dispatch = service_dispatch(service, FaultyStore(backend=FakeBackend()))
+        dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         call = ServiceCall(method="GET", path="/rounds", headers=(), body=b"")
         for _ in range(calls):
             await dispatch.call(
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes its engines costs two of them, and nobody else's answer."""
+"""Quarantine limits the engines that a request can crash and does not refuse other requests."""
 
 from __future__ import annotations
 
@@ -19,83 +19,85 @@
 from tanagerscale.quarantine import fingerprint_of
 from testing._crashing_engines import VERDICT_TTL_MS
 from testing._crashing_engines import Cluster
-from testing._crashing_engines import SendingHost
+from testing._crashing_engines import RequestingHost
 
 pytestmark = pytest.mark.looptime
 
 POISON = Fingerprint("poison")
 HOSTS = 6
 ENGINES = 5
-INNOCENTS = 40
+HARMLESS_REQUESTS = 40
 
 
-async def resend(cluster: Cluster, name: str, *, times: int) -> list[Problem | None]:
-    """Send one request again and again to whatever host."""
-    told = []
+async def send_repeatedly(cluster: Cluster, name: str, *, times: int) -> list[Problem | None]:
+    """Send one request repeatedly, each time to a random host."""
+    problems = []
     for _ in range(times):
-        told.append(await cluster.rng.choice(cluster.hosts).call(name))
+        problems.append(await cluster.rng.choice(cluster.hosts).call(name))
         await asyncio.sleep(0.05)
-    return told
+    return problems
 
 
-async def send_innocents(cluster: Cluster) -> list[Problem | None]:
+async def send_harmless_requests(cluster: Cluster) -> list[Problem | None]:
     async def send(number: int) -> Problem | None:
         await asyncio.sleep(cluster.rng.random() * 3)
         host = cluster.rng.choice(cluster.hosts)
         return await host.call(f"plan-{number}", duration_s=0.1 + cluster.rng.random())
 
-    return await asyncio.gather(*(send(number) for number in range(INNOCENTS)))
+    return await asyncio.gather(*(send(number) for number in range(HARMLESS_REQUESTS)))
 
 
 @pytest.mark.parametrize("store_down", [False, True])
 @pytest.mark.parametrize("seed", range(5))
-async def test_two_engines_are_lost_when_poison_is_sent_again_and_again_beside_innocents(
+async def test_two_engines_are_lost_when_a_poison_request_is_repeated_among_harmless_requests(
     store_down: bool, seed: int
 ) -> None:
     cluster = Cluster(hosts=HOSTS, engines=ENGINES, seed=seed)
-    cluster.poison.add(POISON)
+    cluster.poison_requests.add(POISON)
     for host in cluster.hosts:
         host.store.set_down(store_down)
-    told, innocents = await asyncio.gather(
-        resend(cluster, POISON, times=20), send_innocents(cluster)
+    problems, harmless = await asyncio.gather(
+        send_repeatedly(cluster, POISON, times=20), send_harmless_requests(cluster)
     )
-    assert cluster.losses[POISON] == 2
-    assert innocents == [None] * INNOCENTS
-    assert {problem.kind for problem in told if problem} == {ProblemKind.QUARANTINED}
-    assert all(problem and problem.retry_after_ms for problem in told)
+    assert cluster.lost_engines[POISON] == 2
+    assert harmless == [None] * HARMLESS_REQUESTS
+    assert {problem.kind for problem in problems if problem} == {ProblemKind.QUARANTINED}
+    assert all(problem and problem.retry_after_ms for problem in problems)
 
 
 @pytest.mark.parametrize("seed", range(5))
-async def test_two_engines_are_lost_when_copies_run_on_other_engines_at_the_first_crash(
+async def test_two_engines_are_lost_when_copies_run_on_several_engines_before_the_first_crash(
     seed: int,
 ) -> None:
     cluster = Cluster(hosts=HOSTS, engines=ENGINES, seed=seed)
-    cluster.poison.add(POISON)
+    cluster.poison_requests.add(POISON)
 
     async def send(number: int) -> Problem | None:
         await asyncio.sleep(number * 0.02)
-        return await cluster.hosts[number].call(POISON, first=f"e{number % ENGINES}")
+        return await cluster.hosts[number].call(POISON, preferred_engine=f"e{number % ENGINES}")
 
-    told = await asyncio.gather(*(send(number) for number in range(HOSTS)))
-    assert all(problem and problem.kind is ProblemKind.QUARANTINED for problem in told)
-    assert cluster.losses[POISON] == 2
+    problems = await asyncio.gather(*(send(number) for number in range(HOSTS)))
+    assert all(problem and problem.kind is ProblemKind.QUARANTINED for problem in problems)
+    assert cluster.lost_engines[POISON] == 2
 
 
-async def test_innocents_all_finish_when_they_shared_two_different_crashes() -> None:
+async def test_harmless_requests_finish_when_they_ran_in_two_unrelated_crashes() -> None:
     cluster = Cluster(hosts=HOSTS, engines=ENGINES)
-    cluster.poison.update({POISON, Fingerprint("venom")})
-    _, _, innocents = await asyncio.gather(
-        resend(cluster, POISON, times=5), resend(cluster, "venom", times=5), send_innocents(cluster)
+    cluster.poison_requests.update({POISON, Fingerprint("poison-2")})
+    _, _, harmless = await asyncio.gather(
+        send_repeatedly(cluster, POISON, times=5),
+        send_repeatedly(cluster, "poison-2", times=5),
+        send_harmless_requests(cluster),
     )
-    refused = [problem for problem in innocents if problem is not None]
-    assert cluster.losses[POISON] <= 2
-    assert cluster.losses[Fingerprint("venom")] <= 2
+    refused = [problem for problem in harmless if problem is not None]
+    assert cluster.lost_engines[POISON] <= 2
+    assert cluster.lost_engines[Fingerprint("poison-2")] <= 2
     assert refused == []
 
 
-async def test_verdict_ends_when_its_time_is_over() -> None:
+async def test_verdict_ends_when_its_ttl_has_elapsed() -> None:
     cluster = Cluster(hosts=2, engines=3)
-    cluster.poison.add(POISON)
+    cluster.poison_requests.add(POISON)
     problem = await cluster.hosts[0].call(POISON)
     assert problem is not None
     assert problem.retry_after_ms is not None
@@ -104,24 +106,24 @@
     assert all(host.quarantine.check(fingerprint=POISON) for host in cluster.hosts)
     await asyncio.sleep(2)
     assert not any(host.quarantine.check(fingerprint=POISON) for host in cluster.hosts)
-    cluster.poison.clear()
+    cluster.poison_requests.clear()
     assert await cluster.hosts[1].call(POISON) is None
 
 
 async def test_verdict_is_known_to_a_host_that_starts_later_when_the_store_was_down() -> None:
     cluster = Cluster(hosts=1, engines=3)
-    cluster.poison.add(POISON)
+    cluster.poison_requests.add(POISON)
     cluster.hosts[0].store.set_down(True)
     await cluster.hosts[0].call(POISON)
     await asyncio.sleep(300)
     cluster.hosts[0].store.set_down(False)
     await asyncio.sleep(10)
-    later = SendingHost(name="later", cluster=cluster, wall_offset_ms=0)
+    later = RequestingHost(name="later", cluster=cluster, wall_offset_ms=0)
     await later.quarantine.load()
-    told = later.quarantine.check(fingerprint=POISON)
-    assert told is not None
-    assert told.retry_after_ms is not None
-    assert told.retry_after_ms <= VERDICT_TTL_MS - 300_000
+    problem = later.quarantine.check(fingerprint=POISON)
+    assert problem is not None
+    assert problem.retry_after_ms is not None
+    assert problem.retry_after_ms <= VERDICT_TTL_MS - 300_000
     await asyncio.sleep(VERDICT_TTL_MS / 1000)
     cluster.backend.expire()
     assert cluster.backend.entries == {}
@@ -154,27 +156,29 @@
     assert not await quarantine.admit(fingerprint=plan, engine=engines[2])
 
 
-async def test_copies_of_a_suspect_share_one_engine_when_hosts_ran_them_apart() -> None:
+async def test_copies_of_a_suspect_share_one_engine_when_hosts_ran_them_on_different_engines() -> (
+    None
+):
     cluster = Cluster(hosts=2, engines=3)
     first, second = (host.quarantine for host in cluster.hosts)
     plan, engines = Fingerprint("plan"), list(cluster.engines)
     assert await first.admit(fingerprint=plan, engine=engines[1])
-    # The other host's copy began on another engine before anything was known of a crash.
+    # The other host started its copy on another engine before the crash was detected.
     assert await second.admit(fingerprint=plan, engine=engines[2])
     first.on_engine_crash(engine=engines[1])
     await asyncio.sleep(0.01)
     assert first.excluded_engines(fingerprint=plan, engines=engines) == {engines[0], engines[1]}
 
 
-def test_crashes_are_not_alike_when_the_place_of_one_is_unknown() -> None:
-    seen = Crash(engine=UpstreamId("e0"), wall_ms=1, tokens=5)
-    elsewhere = Crash(engine=UpstreamId("e1"), wall_ms=99_999)
-    assert seen.like(Crash(engine=UpstreamId("e1"), wall_ms=99_999, tokens=7))
-    assert not seen.like(elsewhere)
-    assert not elsewhere.like(Crash(engine=UpstreamId("e2"), wall_ms=199_999))
+def test_crashes_are_not_similar_when_the_token_position_of_one_is_unknown() -> None:
+    at_token_5 = Crash(engine=UpstreamId("e0"), wall_ms=1, tokens=5)
+    at_unknown_token = Crash(engine=UpstreamId("e1"), wall_ms=99_999)
+    assert at_token_5.is_similar_to(Crash(engine=UpstreamId("e1"), wall_ms=99_999, tokens=7))
+    assert not at_token_5.is_similar_to(at_unknown_token)
+    assert not at_unknown_token.is_similar_to(Crash(engine=UpstreamId("e2"), wall_ms=199_999))
 
 
-async def test_suspect_keeps_away_from_the_engine_it_crashed_on_for_a_while() -> None:
+async def test_suspect_is_excluded_from_the_crashed_engine_for_the_merge_window() -> None:
     cluster = Cluster(hosts=1, engines=2)
     quarantine = cluster.hosts[0].quarantine
     plan, engine = Fingerprint("plan"), UpstreamId("e0")
@@ -203,7 +207,7 @@
 
 
 async def test_engine_is_free_for_suspects_when_a_convicted_request_was_cancelled_on_it() -> None:
-    # Guards against peers that are not told of the end of a convicted request's run.
+    # Guards against a missing announcement to the peers when the run of a convicted request ends.
     cluster = Cluster(hosts=3, engines=4)
     first, second, third = (host.quarantine for host in cluster.hosts)
     suspect = Fingerprint("plan")
@@ -223,37 +227,38 @@
 
 
 async def test_engines_are_free_for_a_suspect_when_its_run_ended_after_it_was_cleared() -> None:
-    # Guards against peers that are not told of the end of a run if its request was cleared before.
+    # Guards against a missing announcement to the peers when a run ends after its request was
+    # cleared.
     cluster = Cluster(hosts=2, engines=4)
     first, second = (host.quarantine for host in cluster.hosts)
-    innocent = Fingerprint("plan")
+    harmless = Fingerprint("plan")
     await first.admit(fingerprint=POISON, engine=UpstreamId("e0"))
-    await first.admit(fingerprint=innocent, engine=UpstreamId("e0"))
+    await first.admit(fingerprint=harmless, engine=UpstreamId("e0"))
     first.on_engine_crash(engine=UpstreamId("e0"))
     await asyncio.sleep(0.1)
-    assert await second.admit(fingerprint=innocent, engine=UpstreamId("e2"))
+    assert await second.admit(fingerprint=harmless, engine=UpstreamId("e2"))
     await first.admit(fingerprint=POISON, engine=UpstreamId("e1"))
     first.on_engine_crash(engine=UpstreamId("e1"))
     await asyncio.sleep(0.1)
-    second.on_finished(fingerprint=innocent, engine=UpstreamId("e2"), end=RunEnd.COMPLETE)
+    second.on_finished(fingerprint=harmless, engine=UpstreamId("e2"), end=RunEnd.COMPLETE)
     await asyncio.sleep(0.1)
-    await first.admit(fingerprint=innocent, engine=UpstreamId("e3"))
+    await first.admit(fingerprint=harmless, engine=UpstreamId("e3"))
     first.on_engine_crash(engine=UpstreamId("e3"))
-    assert first.excluded_engines(fingerprint=innocent, engines=cluster.engines) == {"e3"}
+    assert first.excluded_engines(fingerprint=harmless, engines=cluster.engines) == {"e3"}
 
 
-async def test_verdict_stands_no_longer_than_ours_when_a_peers_clock_is_wrong() -> None:
+async def test_verdict_lasts_no_longer_than_the_local_ttl_when_the_clock_of_a_peer_is_wrong() -> (
+    None
+):
     quarantine = Cluster(hosts=1, engines=2).hosts[0].quarantine
     verdict = Verdict(fingerprint=POISON, crashes=[], expires_wall_ms=1 << 62, convicted=True)
     quarantine.on_peer_verdict(verdict=verdict, peer=HostId("h9"))
-    told = quarantine.check(fingerprint=POISON)
-    assert told is not None
-    assert told.retry_after_ms == VERDICT_TTL_MS
+    problem = quarantine.check(fingerprint=POISON)
+    assert problem is not None
+    assert problem.retry_after_ms == VERDICT_TTL_MS
 
 
-async def test_run_counts_as_suspect_when_it_broke_off_just_before_its_engine_was_known_dead() -> (
-    None
-):
+async def test_run_is_a_suspect_when_it_broke_off_just_before_the_crash_was_detected() -> None:
     cluster = Cluster(hosts=1, engines=3)
     quarantine = cluster.hosts[0].quarantine
     engine = UpstreamId("e0")
@@ -265,7 +270,9 @@
     assert not quarantine.is_suspect(fingerprint=Fingerprint("ended"))
 
 
-async def test_suspects_of_one_crash_are_kept_apart_when_two_hosts_choose_at_once() -> None:
+async def test_suspects_of_one_crash_get_different_engines_when_two_hosts_choose_concurrently() -> (
+    None
+):
     cluster = Cluster(hosts=2, engines=3)
     names = [Fingerprint("plan-a"), Fingerprint("plan-b")]
     for host, name in zip(cluster.hosts, names, strict=True):
@@ -281,7 +288,7 @@
     assert sorted(admitted) == [False, True]
 
 
-async def test_peer_message_does_no_harm_when_it_is_garbage() -> None:
+async def test_peer_message_is_ignored_when_it_is_malformed() -> None:
     cluster = Cluster(hosts=1, engines=2)
     quarantine = cluster.hosts[0].quarantine
     for crashes in (["", "@", "e0@", "@5", "e0@x", "e0@" + "9" * 40], ["e0@1"] * 1000):
@@ -296,7 +303,7 @@
     assert await quarantine.admit(fingerprint=Fingerprint("plan"), engine=UpstreamId("e1"))
 
 
-def test_fingerprint_differs_when_account_body_or_secret_does() -> None:
+def test_fingerprint_differs_when_account_body_or_secret_differs() -> None:
     def make(key: bytes, account: str, body: bytes) -> str:
         return fingerprint_of(key=key, account=ClientAccountId(account), body=body)
 
@@ -306,29 +313,29 @@
     assert len(made) == 4
 
 
-async def _crash_at(quarantine: Quarantine, engine: str, tokens: int) -> None:
-    """Run a request on an engine until the engine dies at one of its tokens."""
-    place = UpstreamId(engine)
-    assert await quarantine.admit(fingerprint=POISON, engine=place, progress=lambda: tokens)
-    quarantine.on_engine_crash(engine=place)
+async def _crash_engine_at_token(quarantine: Quarantine, engine: str, tokens: int) -> None:
+    """Run a request on an engine until the engine crashes at the given token."""
+    upstream = UpstreamId(engine)
+    assert await quarantine.admit(fingerprint=POISON, engine=upstream, progress=lambda: tokens)
+    quarantine.on_engine_crash(engine=upstream)
 
 
-async def test_request_is_convicted_by_two_crashes_only_at_about_the_same_token() -> None:
+async def test_request_is_convicted_by_two_crashes_when_they_are_at_about_the_same_token() -> None:
     cluster = Cluster(hosts=2, engines=4)
     first, second = (host.quarantine for host in cluster.hosts)
-    await _crash_at(first, "e0", 400)
-    await _crash_at(first, "e1", 405)
+    await _crash_engine_at_token(first, "e0", 400)
+    await _crash_engine_at_token(first, "e1", 405)
     await asyncio.sleep(0.01)
     assert second.check(fingerprint=POISON) is not None
 
 
-async def test_request_is_convicted_by_three_crashes_when_they_came_anywhere() -> None:
+async def test_request_is_convicted_by_three_crashes_when_they_are_at_different_tokens() -> None:
     cluster = Cluster(hosts=2, engines=4)
     first, second = (host.quarantine for host in cluster.hosts)
-    await _crash_at(first, "e0", 400)
-    await _crash_at(first, "e1", 20)
+    await _crash_engine_at_token(first, "e0", 400)
+    await _crash_engine_at_token(first, "e1", 20)
     await asyncio.sleep(0.01)
     assert second.check(fingerprint=POISON) is None
     assert second.is_suspect(fingerprint=POISON)
-    await _crash_at(second, "e2", 1000)
+    await _crash_engine_at_token(second, "e2", 1000)
     assert second.check(fingerprint=POISON) is not None
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -26,8 +26,8 @@
 from tanagerscale.generated.upstream import Refusal
 from tanagerscale.generated.upstream import RefusalKind
 from tanagerscale.policy import RetryBudget
+from tanagerscale.services import ServiceDependencies
 from tanagerscale.services import ServiceDispatch
-from tanagerscale.services import ServiceParts
 from tanagerscale.upstreams import ServiceCall
 from tanagerscale.upstreams import ServiceReply
 from tanagerscale.upstreams import UpstreamError
@@ -104,7 +104,7 @@
         """Ignore it."""
 
 
-def service_dispatch(service: FakeService, store: FaultyStore) -> ServiceDispatch:
+def make_service_dispatch(service: FakeService, store: FaultyStore) -> ServiceDispatch:
     """Return the dispatch of a host that reaches a service and a store."""
     clock = Clock()
     rng = random.Random(5)
@@ -118,7 +118,7 @@
         is_live=lambda _host, _incarnation: True,
     )
     return ServiceDispatch(
-        parts=ServiceParts(
+        dependencies=ServiceDependencies(
             client=service,
             claims=claims,
             notes=Notes(),
@@ -139,7 +139,7 @@
 ) -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
     async def run() -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
         service = FakeService(points=list(points))
-        dispatch = service_dispatch(service, FaultyStore(backend=FakeBackend()))
+        dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         results = [
             await dispatch.call(service=SERVICE, account=ACCOUNT, key=key, call=_call(path))
             for _ in range(times)
@@ -154,7 +154,9 @@
 
 @pytest.mark.parametrize("key", ["", "round-7"])
 @pytest.mark.parametrize("point", FAILURES)
-def test_caller_is_told_the_truth_when_every_try_of_a_booking_fails(point: Point, key: str) -> None:
+def test_reported_execution_is_correct_when_every_attempt_of_a_booking_fails(
+    point: Point, key: str
+) -> None:
     service, (result,) = _run([point] * 9, key=key)
     executed = service.executions.total()
     assert executed <= 1
@@ -169,7 +171,7 @@
 
 @pytest.mark.parametrize("key", ["", "round-7"])
 @pytest.mark.parametrize("point", FAILURES)
-def test_booking_runs_at_most_once_when_its_first_try_fails(point: Point, key: str) -> None:
+def test_booking_runs_at_most_once_when_its_first_attempt_fails(point: Point, key: str) -> None:
     service, results = _run([point], key=key)
     assert service.executions.total() <= 1
     passed_over = point in {Point.CONNECT, Point.REFUSED}
@@ -189,7 +191,7 @@
     assert len(service.sent_to) == (2 if point in {Point.CONNECT, Point.REFUSED} else 1)
 
 
-def test_booking_that_ran_nowhere_runs_when_it_is_repeated_with_its_key() -> None:
+def test_booking_that_was_not_executed_runs_when_it_is_repeated_with_its_key() -> None:
     service, (first, again) = _run([Point.CONNECT] * 3, key="round-7", times=2)
     assert first.failure().execution is Execution.NOT_EXECUTED
     assert isinstance(again, Success)
@@ -197,13 +199,13 @@
 
 
 @pytest.mark.parametrize("point", FAILURES)
-def test_idempotent_call_is_tried_again_when_its_first_try_fails(point: Point) -> None:
+def test_idempotent_call_is_retried_when_its_first_attempt_fails(point: Point) -> None:
     service, (result,) = _run([point], path="/search")
     assert isinstance(result, Success)
     assert len(set(service.sent_to)) == 2
 
 
-def test_idempotent_call_says_unknown_when_one_of_its_tries_may_have_run() -> None:
+def test_idempotent_call_reports_unknown_when_one_of_its_attempts_may_have_run() -> None:
     _, (result,) = _run([Point.AFTER_EXECUTION, Point.CONNECT, Point.CONNECT], path="/search")
     assert result.failure().execution is Execution.UNKNOWN
 
