--- a/testing/_booking_hosts.py
+++ b/testing/_booking_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that book at one service through claims, as dispatch does, and can die or freeze."""
+"""Simulated hosts that claim and send bookings as dispatch does, and can crash or be suspended."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 TTL_S = 60
 ANSWER_STATUS = 201
-SERVICE_MS = 50
+SERVICE_DELAY_MS = 50
 
 
 @unique
 class CrashPoint(Enum):
-    """Where a host can die."""
+    """Step of a call at which a host can crash."""
 
     CLAIMED = "claimed"
     SENT = "sent"
@@ -46,7 +46,7 @@
 
 @unique
 class CallResult(Enum):
-    """What a caller is told."""
+    """Result that a caller receives."""
 
     ANSWER = "answer"
     NOT_EXECUTED = "not-executed"
@@ -55,16 +55,19 @@
 
 @final
 class BookingService:
-    """Counts what it executes."""
+    """Service that counts the bookings it executes."""
 
     def __init__(self) -> None:
         self.executions: Counter[str] = Counter()
-        self.refuses = False
-        self.delay_ms = SERVICE_MS
+        self.refuses_calls = False
+        self.delay_ms = SERVICE_DELAY_MS
 
     def receive(self, name: str) -> bool:
-        """Execute a booking, unless the service refuses all."""
-        if self.refuses:
+        """Execute a booking, unless the service refuses all calls.
+
+        :returns: Whether it was executed.
+        """
+        if self.refuses_calls:
             return False
         self.executions[name] += 1
         return True
@@ -72,19 +75,25 @@
 
 @final
 class BookingHost:
-    """One life of a host."""
+    """One incarnation of a host.
+
+    :param name: Id of the host.
+    :param incarnation: Incarnation number.
+    :param cluster: Cluster of the host.
+    :param ttl_s: Lifetime of its claims, in seconds.
+    """
 
     def __init__(
-        self, *, name: str, incarnation: int, platform: BookingCluster, ttl_s: int = TTL_S
+        self, *, name: str, incarnation: int, cluster: BookingCluster, ttl_s: int = TTL_S
     ) -> None:
         self.ttl_s = ttl_s
         self.name = HostId(name)
         self.incarnation = incarnation
-        self.store = FaultyStore(backend=platform.backend)
-        self.dies_at: CrashPoint | None = None
-        self.dead = False
+        self.store = FaultyStore(backend=cluster.backend)
+        self.crash_point: CrashPoint | None = None
+        self.crashed = False
         self.clock = Clock()
-        self._platform = platform
+        self._cluster = cluster
         self.claims = Claims(
             store=self.store,
             prefix="/t",
@@ -92,13 +101,18 @@
             incarnation=incarnation,
             clock=self.clock,
             rng=random.Random(f"{name}{incarnation}"),
-            is_live=platform.is_live,
+            is_live=cluster.is_live,
         )
 
     async def book(
         self, name: str, *, digest: str = "d", on_executed: Callable[[], None] = lambda: None
     ) -> CallResult:
-        """Make one booking as dispatch would and return what the caller is told."""
+        """Claim and send one booking as dispatch does, and return the result of the caller.
+
+        :param name: Name of the booking, used as its idempotency key.
+        :param digest: Digest of the request.
+        :param on_executed: Called when the service has executed the booking.
+        """
         result = await self.claim(name, digest=digest)
         if isinstance(result, Failure):
             return get_call_result(result.failure())
@@ -113,43 +127,43 @@
     async def claim(
         self, name: str, *, digest: str = "d"
     ) -> Result[Granted | Recorded | InProgress, Problem]:
-        """Only claim."""
+        """Claim a booking without sending it."""
         return await self.claims.claim(
             key=build_claim_key(name), request_digest=digest, ttl_s=self.ttl_s
         )
 
-    def die(self) -> None:
-        """End this life at once; nothing more leaves the host."""
+    def crash(self) -> None:
+        """Crash the host: it sends and receives nothing more."""
         self.store.freeze()
-        self.dead = True
+        self.crashed = True
 
     async def _dispatch(
         self, name: str, *, claim: Granted, on_executed: Callable[[], None]
     ) -> CallResult:
-        await self._reach(CrashPoint.CLAIMED)
+        await self._pass_crash_point(CrashPoint.CLAIMED)
         if not claim.may_dispatch(now=self.clock.now()):
             self.claims.settle(claim=claim, outcome=NOT_EXECUTED)
             return CallResult.NOT_EXECUTED
-        if not self._platform.service.receive(name):
+        if not self._cluster.service.receive(name):
             self.claims.settle(claim=claim, outcome=NOT_EXECUTED)
             return CallResult.NOT_EXECUTED
         on_executed()
-        await self._reach(CrashPoint.SENT)
-        await self.clock.sleep(self._platform.service.delay_ms)
-        await self._reach(CrashPoint.ANSWERED)
+        await self._pass_crash_point(CrashPoint.SENT)
+        await self.clock.sleep(self._cluster.service.delay_ms)
+        await self._pass_crash_point(CrashPoint.ANSWERED)
         done = ClaimOutcome(state=ClaimState.DONE, status=ANSWER_STATUS, body=name.encode())
         self.claims.settle(claim=claim, outcome=done)
         return CallResult.ANSWER
 
-    async def _reach(self, point: CrashPoint) -> None:
-        if self.dies_at is point:
-            self.die()
+    async def _pass_crash_point(self, point: CrashPoint) -> None:
+        if self.crash_point is point:
+            self.crash()
         await self.store.wait_until_running()
 
 
 @final
 class BookingCluster:
-    """The shared store, the service, and who is live."""
+    """Shared store, service and hosts of a simulation."""
 
     def __init__(self) -> None:
         self.backend = FakeBackend()
@@ -157,15 +171,15 @@
         self.hosts: list[BookingHost] = []
 
     def start(self, name: str, *, incarnation: int = 1, ttl_s: int = TTL_S) -> BookingHost:
-        """Start a life of a host."""
-        host = BookingHost(name=name, incarnation=incarnation, platform=self, ttl_s=ttl_s)
+        """Start an incarnation of a host."""
+        host = BookingHost(name=name, incarnation=incarnation, cluster=self, ttl_s=ttl_s)
         self.hosts.append(host)
         return host
 
     def is_live(self, host: HostId, incarnation: int) -> bool:
-        """Tell whether a host is in this life."""
+        """Return whether a host runs with this incarnation number."""
         return any(
-            not known.dead and (known.name, known.incarnation) == (host, incarnation)
+            not known.crashed and (known.name, known.incarnation) == (host, incarnation)
             for known in self.hosts
         )
 
@@ -174,21 +188,21 @@
 
 
 def build_claim_key(name: str) -> ClaimKey:
-    """Return the key of a booking."""
+    """Return the claim key of a booking."""
     return ClaimKey(
         account=ClientAccountId("office"), service=ServiceId("booking"), idempotency_key=name
     )
 
 
 def get_call_result(problem: Problem) -> CallResult:
-    """Read a problem as its caller does."""
+    """Return the result that a problem means to its caller."""
     if problem.execution is Execution.NOT_EXECUTED:
         return CallResult.NOT_EXECUTED
     return CallResult.UNKNOWN
 
 
 async def cancel_tasks(*tasks: asyncio.Task[Any]) -> None:
-    """Cancel what still runs on hosts that died."""
+    """Cancel tasks that are still running on crashed hosts."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/testing/_faulty_store.py
+++ b/testing/_faulty_store.py
@@ -1,4 +1,4 @@
-"""A store client that can freeze, die, or deliver a write long after its caller gave up."""
+"""Store client that can be suspended, crash, or apply a write after its caller got an error."""
 
 from __future__ import annotations
 
@@ -23,48 +23,50 @@
 from testing._fake_store import FakeBackend
 from testing._fake_store import FakeStore
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 
 
 @final
 class FaultyStore:
-    """Wraps a ``FakeStore``; a frozen host neither sends nor takes in anything.
+    """Wrapper of a ``FakeStore`` for a host that can be suspended.
 
-    :param backend: State shared with other hosts.
+    A suspended host neither sends nor receives anything.
+
+    :param backend: Store contents, shared with other hosts.
     """
 
     def __init__(self, *, backend: FakeBackend) -> None:
         self.fake = FakeStore(backend=backend, latency_ms=2)
         self.late_writes = 0
-        """How many of the next commits are reported uncertain and take effect later."""
+        """Number of the next commits that are reported as uncertain and take effect later."""
         self.late_ms = 30_000
         self._running = asyncio.Event()
         self._running.set()
 
     def freeze(self) -> None:
-        """Stop the host where it stands; for good if it is never thawed."""
+        """Suspend the host; without a later ``thaw`` this is a crash."""
         self._running.clear()
 
     def thaw(self) -> None:
-        """Let the host go on."""
+        """Resume the host."""
         self._running.set()
 
     async def wait_until_running(self) -> None:
-        """Wait while the host is frozen."""
+        """Wait while the host is suspended."""
         await self._running.wait()
 
     async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
         """Read one key."""
         await self.wait_until_running()
-        return await self._come_back(await self.fake.get(key=key, stale=stale))
+        return await self._return_when_running(await self.fake.get(key=key, stale=stale))
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix."""
         await self.wait_until_running()
-        return await self._come_back(await self.fake.list(prefix=prefix))
+        return await self._return_when_running(await self.fake.list(prefix=prefix))
 
     async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
-        """Carry out conditional writes in one call."""
+        """Apply conditional writes in one call."""
         await self.wait_until_running()
         # etcd refuses a transaction that writes one key twice.
         assert len({put.key for put in puts}) == len(puts)
@@ -72,29 +74,31 @@
             self.late_writes -= 1
             loop = asyncio.get_running_loop()
             loop.call_later(self.late_ms / 1000, lambda: self._write_late(puts))
-            error = StoreError(kind=StoreErrorKind.UNCERTAIN, detail="Still on its way.")
-            return await self._come_back(Failure(error))
-        return await self._come_back(await self.fake.commit(puts=puts))
+            error = StoreError(
+                kind=StoreErrorKind.UNCERTAIN, detail="The write is still in transit."
+            )
+            return await self._return_when_running(Failure(error))
+        return await self._return_when_running(await self.fake.commit(puts=puts))
 
     async def grant_lease(self, *, ttl_s: int) -> Result[LeaseId, StoreError]:
-        """Make a lease."""
+        """Grant a lease."""
         await self.wait_until_running()
-        return await self._come_back(await self.fake.grant_lease(ttl_s=ttl_s))
+        return await self._return_when_running(await self.fake.grant_lease(ttl_s=ttl_s))
 
     async def keep_alive(self, *, lease: LeaseId) -> Result[int, StoreError]:
         """Renew a lease."""
         await self.wait_until_running()
-        return await self._come_back(await self.fake.keep_alive(lease=lease))
+        return await self._return_when_running(await self.fake.keep_alive(lease=lease))
 
     async def revoke(self, *, lease: LeaseId) -> Result[None, StoreError]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         await self.wait_until_running()
-        return await self._come_back(await self.fake.revoke(lease=lease))
+        return await self._return_when_running(await self.fake.revoke(lease=lease))
 
     async def watch(
         self, *, prefix: str, from_revision: StoreRevision
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
-        """Follow the changes."""
+        """Watch the changes of all keys under a prefix."""
         async for batch in self.fake.watch(prefix=prefix, from_revision=from_revision):
             await self.wait_until_running()
             yield batch
@@ -104,6 +108,6 @@
         if all(not put.lease or backend.has_lease(lease=put.lease) for put in puts):
             backend.write(puts=puts)
 
-    async def _come_back(self, result: T) -> T:
+    async def _return_when_running(self, result: ResultT) -> ResultT:
         await self.wait_until_running()
         return result
--- a/testing/_ordered_engines.py
+++ b/testing/_ordered_engines.py
@@ -1,4 +1,4 @@
-"""Engines that carry out orders, and controllers that can freeze between any two steps."""
+"""Simulated engines that execute orders, and controllers that can be suspended at any step."""
 
 from __future__ import annotations
 
@@ -38,13 +38,18 @@
 
 LOAD_S = 3.0
 UNLOAD_S = 1.0
-LATE_S = 4.0
+ORDER_DELAY_S = 4.0
 MAX_LOADS = 2
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Sent:
-    """An order as it left a controller."""
+class SentOrder:
+    """An order that a controller has sent.
+
+    :param engine: Name of the engine.
+    :param order: Order that was sent.
+    :param at: When it was sent, in seconds of the event loop's clock.
+    """
 
     engine: str
     order: EngineOrder
@@ -53,7 +58,11 @@
 
 @final
 class OrderedEngine:
-    """An engine with its stock, and faults of the way to it."""
+    """Engine with its loaded models, and faults of the connection to it.
+
+    :param name: Name of the engine.
+    :param checks_fence: Whether it refuses orders with an old fencing number.
+    """
 
     def __init__(self, *, name: str, checks_fence: bool) -> None:
         self.name = name
@@ -62,13 +71,13 @@
         self.loading: list[str] = []
         self.role = Role.SERVING
         self.fence = 0
-        self.lose_orders = 0
-        self.double_orders = 0
-        self.delay_orders = 0
-        self.unreachable = False
+        self.orders_to_lose = 0
+        self.orders_to_duplicate = 0
+        self.orders_to_delay = 0
+        self.is_unreachable = False
 
     def state(self) -> EngineState:
-        """Return what the engine holds."""
+        """Return the state of the engine."""
         return EngineState(
             models=dict(self.models),
             adapters={},
@@ -77,29 +86,32 @@
             fence=self.fence,
         )
 
-    def take(self, order: EngineOrder) -> bool:
-        """Carry out an order unless its fencing number is old and the engine checks it."""
+    def apply_order(self, order: EngineOrder) -> bool:
+        """Execute an order, unless its fencing number is old and the engine checks it.
+
+        :returns: Whether it was executed.
+        """
         if self.checks_fence and order.fence < self.fence:
             return False
         self.fence = max(self.fence, order.fence)
         loop = asyncio.get_running_loop()
         if order.kind is OrderKind.LOAD_MODEL:
             self.loading.append(order.name)
-            loop.call_later(LOAD_S, self._loaded, order.name, order.version)
+            loop.call_later(LOAD_S, self._finish_load, order.name, order.version)
         elif order.kind is OrderKind.UNLOAD_MODEL:
             loop.call_later(UNLOAD_S, self.models.pop, order.name, None)
         elif order.kind is OrderKind.SET_ROLE:
             self.role = Role(order.name)
         return True
 
-    def _loaded(self, name: str, version: str) -> None:
+    def _finish_load(self, name: str, version: str) -> None:
         self.loading.remove(name)
         self.models[name] = version
 
 
 @final
 class OrderingHost:
-    """One life of a host that runs a controller; nothing leaves it while it is frozen."""
+    """Host that runs a controller and sends nothing while it is suspended."""
 
     def __init__(self, *, name: str, fleet: Fleet) -> None:
         self.name = name
@@ -113,15 +125,15 @@
             clock=Clock(),
             rng=random.Random(name),
             declarations=fleet.declarations,
-            get_client=lambda engine: ClientOfHost(host=self, fleet=fleet, name=engine.name),
+            get_client=lambda engine: HostEngineClient(host=self, fleet=fleet, name=engine.name),
             max_concurrent_loads=MAX_LOADS,
         )
         self.task = asyncio.get_running_loop().create_task(self.controller.run())
 
 
 @final
-class ClientOfHost:
-    """An engine client through which a frozen host neither sends nor receives."""
+class HostEngineClient:
+    """Engine client of a host, which neither sends nor receives while the host is suspended."""
 
     def __init__(self, *, host: OrderingHost, fleet: Fleet, name: str) -> None:
         self._host = host
@@ -129,72 +141,74 @@
         self._engine = fleet.engines[name]
 
     async def state(self) -> Result[EngineState, UpstreamError]:
-        """Read what the engine holds."""
+        """Read the state of the engine."""
         await self._host.store.wait_until_running()
-        if self._engine.unreachable:
+        if self._engine.is_unreachable:
             return Failure(_error(UpstreamErrorKind.NOT_SENT))
         state = self._engine.state()
         await asyncio.sleep(0.002)
-        await self._pass_gate_in_spite_of_timers()
+        await self._wait_until_running_uncancelled()
         return Success(state)
 
     async def order(self, *, order: EngineOrder) -> Result[EngineState, UpstreamError]:
-        """Give an order."""
+        """Send an order, subject to the faults of the engine."""
         engine = self._engine
         loop = asyncio.get_running_loop()
-        self._fleet.sent.append(Sent(engine=engine.name, order=order, at=loop.time()))
-        if engine.unreachable or engine.lose_orders > 0:
-            engine.lose_orders = max(engine.lose_orders - 1, 0)
+        self._fleet.sent_orders.append(SentOrder(engine=engine.name, order=order, at=loop.time()))
+        if engine.is_unreachable or engine.orders_to_lose > 0:
+            engine.orders_to_lose = max(engine.orders_to_lose - 1, 0)
             return Failure(_error(UpstreamErrorKind.BROKEN))
-        if engine.delay_orders > 0:
-            engine.delay_orders -= 1
-            loop.call_later(LATE_S, engine.take, order)
+        if engine.orders_to_delay > 0:
+            engine.orders_to_delay -= 1
+            loop.call_later(ORDER_DELAY_S, engine.apply_order, order)
             return Failure(_error(UpstreamErrorKind.STALLED))
-        if engine.double_orders > 0:
-            engine.double_orders -= 1
-            engine.take(order)
-        if not engine.take(order):
+        if engine.orders_to_duplicate > 0:
+            engine.orders_to_duplicate -= 1
+            engine.apply_order(order)
+        if not engine.apply_order(order):
             refusal = Refusal(kind=RefusalKind.STALE_FENCE)
             error = UpstreamError(
-                kind=UpstreamErrorKind.REFUSED, detail="Old fence.", refusal=refusal
+                kind=UpstreamErrorKind.REFUSED,
+                detail="The fencing number is outdated.",
+                refusal=refusal,
             )
             return Failure(error)
         await self._host.store.wait_until_running()
         return Success(engine.state())
 
-    async def _pass_gate_in_spite_of_timers(self) -> None:
-        """Wait while the host is frozen, since its timers would not run either."""
+    async def _wait_until_running_uncancelled(self) -> None:
+        """Wait while the host is suspended, even if cancelled: its timers would not run either."""
         try:
             await self._host.store.wait_until_running()
         except asyncio.CancelledError:
             await self._host.store.wait_until_running()
 
     def generate(self, *, request: EngineRequest) -> TokenBatches:
-        """Not part of these tests."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
-        """Not part of these tests."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
-        """Not part of these tests."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Not part of these tests."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Not part of these tests."""
+        """Not used by these tests."""
         raise NotImplementedError
 
 
 @final
 class Fleet:
-    """Engines, declarations and hosts.
+    """Engines, their declarations and the shared store.
 
-    :param fencing: What each engine does with fencing numbers.
+    :param fencing: Fencing mode of each engine, by its name.
     """
 
     def __init__(self, *, fencing: dict[str, Fencing]) -> None:
@@ -204,16 +218,20 @@
             name: OrderedEngine(name=name, checks_fence=kind is Fencing.CHECKED)
             for name, kind in fencing.items()
         }
-        self.sent: list[Sent] = []
-        self.wanted: dict[str, list[str]] = {}
+        self.sent_orders: list[SentOrder] = []
+        self.declared_models: dict[str, list[str]] = {}
         self.versions: dict[str, str] = {}
         self.declarations: BehaviorSubject[DeclarationSet] = BehaviorSubject(
             DeclarationSet(objective=Objective(), models=[], accounts=[])
         )
 
-    def declare(self, wanted: dict[str, list[str]], *, versions: dict[str, str]) -> None:
-        """Put declarations in force everywhere: models by engine, versions by model."""
-        self.wanted = wanted
+    def declare(self, declared_models: dict[str, list[str]], *, versions: dict[str, str]) -> None:
+        """Set the declarations of all hosts.
+
+        :param declared_models: Declared models of each engine.
+        :param versions: Declared version of each model.
+        """
+        self.declared_models = declared_models
         self.versions = versions
         engines = [
             Engine(
@@ -223,29 +241,29 @@
                 models=models,
                 fencing=self.fencing[name],
             )
-            for name, models in wanted.items()
+            for name, models in declared_models.items()
         ]
         models = [Model(name=name, version=version) for name, version in versions.items()]
         self.declarations.on_next(
             DeclarationSet(objective=Objective(), models=models, accounts=[], engines=engines)
         )
 
-    def holders(self, model: str) -> int:
-        """Return how many engines hold a model in any version."""
+    def count_loaded(self, model: str) -> int:
+        """Return the number of engines that have a model loaded in any version."""
         return sum(model in engine.models for engine in self.engines.values())
 
-    def converged(self) -> bool:
-        """Tell whether each engine holds exactly what is declared."""
+    def has_converged(self) -> bool:
+        """Return whether each engine has exactly the declared models loaded."""
         return all(
             self.engines[name].models == {model: self.versions[model] for model in models}
             and not self.engines[name].loading
-            for name, models in self.wanted.items()
+            for name, models in self.declared_models.items()
         )
 
-    def loads(self) -> int:
-        """Return how many loads are under way."""
+    def count_loads(self) -> int:
+        """Return the number of loads in progress."""
         return sum(len(engine.loading) for engine in self.engines.values())
 
 
 def _error(kind: UpstreamErrorKind) -> UpstreamError:
-    return UpstreamError(kind=kind, detail="The fake engine was told to fail.")
+    return UpstreamError(kind=kind, detail="Failure injected by the test.")
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, and its callers are told the truth."""
+"""A call that is not idempotent runs at most once, and its callers get correct results."""
 
 from __future__ import annotations
 
@@ -36,202 +36,206 @@
 
 pytestmark = pytest.mark.looptime
 
-OUTAGE_S = 300
+STORE_OUTAGE_S = 300
 LONGER_THAN_ANY_LEASE_S = 4 * TTL_S
-NAME = "library"
+BOOKING = "library"
 
 
 @pytest.fixture
-async def platform() -> BookingCluster:
+async def cluster() -> BookingCluster:
     return BookingCluster()
 
 
 async def test_booking_runs_once_when_sent_to_two_hosts_at_the_same_moment(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    told = await asyncio.gather(first.book(NAME), second.book(NAME))
-    assert sorted(told, key=lambda one: one.value) == [CallResult.ANSWER, CallResult.UNKNOWN]
+    first, second = cluster.start("a"), cluster.start("b")
+    results = await asyncio.gather(first.book(BOOKING), second.book(BOOKING))
+    assert sorted(results, key=lambda result: result.value) == [
+        CallResult.ANSWER,
+        CallResult.UNKNOWN,
+    ]
     await asyncio.sleep(1)
-    assert [await first.book(NAME), await second.book(NAME)] == [
+    assert [await first.book(BOOKING), await second.book(BOOKING)] == [
         CallResult.ANSWER,
         CallResult.ANSWER,
     ]
-    assert platform.service.executions[NAME] == 1
+    assert cluster.service.executions[BOOKING] == 1
 
 
 async def test_repeat_joins_the_running_call_when_sent_to_the_same_host(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    host = platform.start("a")
-    platform.service.delay_ms = 20_000
-    assert await asyncio.gather(*(host.book(NAME) for _ in range(3))) == [CallResult.ANSWER] * 3
-    assert platform.service.executions[NAME] == 1
+    host = cluster.start("a")
+    cluster.service.delay_ms = 20_000
+    assert await asyncio.gather(*(host.book(BOOKING) for _ in range(3))) == [CallResult.ANSWER] * 3
+    assert cluster.service.executions[BOOKING] == 1
     assert host.store.fake.calls.writes == 1
 
 
 @pytest.mark.parametrize("point", list(CrashPoint))
 async def test_outcome_is_unknown_and_nothing_runs_again_when_the_claiming_host_died(
-    platform: BookingCluster, point: CrashPoint
+    cluster: BookingCluster, point: CrashPoint
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    first.dies_at = point
-    lost = asyncio.create_task(first.book(NAME))
+    first, second = cluster.start("a"), cluster.start("b")
+    first.crash_point = point
+    abandoned = asyncio.create_task(first.book(BOOKING))
     await asyncio.sleep(1)
-    before = platform.service.executions[NAME]
-    assert await second.book(NAME) is CallResult.UNKNOWN
-    restarted = platform.start("a", incarnation=2)
-    assert await restarted.book(NAME) is CallResult.UNKNOWN
+    before = cluster.service.executions[BOOKING]
+    assert await second.book(BOOKING) is CallResult.UNKNOWN
+    restarted = cluster.start("a", incarnation=2)
+    assert await restarted.book(BOOKING) is CallResult.UNKNOWN
     await asyncio.sleep(TTL_S / 2)
-    assert await second.book(NAME) is CallResult.UNKNOWN
-    assert platform.service.executions[NAME] == before <= 1
-    await cancel_tasks(lost)
+    assert await second.book(BOOKING) is CallResult.UNKNOWN
+    assert cluster.service.executions[BOOKING] == before <= 1
+    await cancel_tasks(abandoned)
 
 
-async def test_claim_is_granted_when_only_its_reply_was_lost(platform: BookingCluster) -> None:
-    host = platform.start("a")
+async def test_claim_is_granted_when_only_its_reply_was_lost(cluster: BookingCluster) -> None:
+    host = cluster.start("a")
     await host.book("warm-up")
     host.store.fake.lose_replies = 1
-    assert await host.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    assert await host.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
 @pytest.mark.parametrize("write_arrives", ["at once", "late", "never"])
 async def test_claim_is_never_dispatched_when_its_repeated_write_fails_too(
-    platform: BookingCluster, write_arrives: str
+    cluster: BookingCluster, write_arrives: str
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
+    first, second = cluster.start("a"), cluster.start("b")
     await first.book("warm-up")
     first.store.fake.lose_replies = 2 if write_arrives == "at once" else 0
     first.store.fake.lose_requests = 2 if write_arrives == "never" else 0
     first.store.late_writes = 2 if write_arrives == "late" else 0
-    refusal = (await first.claim(NAME)).failure()
+    refusal = (await first.claim(BOOKING)).failure()
     assert refusal.kind is ProblemKind.STORE_UNAVAILABLE
     assert refusal.retry_after_ms is not None
-    assert platform.service.executions[NAME] == 0
-    # The claim becomes free, so that the caller's repeat runs, wherever it goes.
+    assert cluster.service.executions[BOOKING] == 0
+    # The claim is released, so that a repeated call runs on any host.
     await asyncio.sleep(5)
-    assert await second.book(NAME) is CallResult.ANSWER
+    assert await second.book(BOOKING) is CallResult.ANSWER
     await asyncio.sleep(40)
-    assert await first.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    assert await first.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
 async def test_repeat_runs_at_the_same_host_when_its_own_abandoned_claim_exists(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    host = platform.start("a")
+    host = cluster.start("a")
     await host.book("warm-up")
     host.store.fake.lose_replies = 2
-    assert await host.book(NAME) is CallResult.NOT_EXECUTED
+    assert await host.book(BOOKING) is CallResult.NOT_EXECUTED
     await asyncio.sleep(1.01)
-    told = [await host.book(NAME), await host.book(NAME)]
-    assert told == [CallResult.ANSWER, CallResult.ANSWER]
-    assert platform.service.executions[NAME] == 1
+    results = [await host.book(BOOKING), await host.book(BOOKING)]
+    assert results == [CallResult.ANSWER, CallResult.ANSWER]
+    assert cluster.service.executions[BOOKING] == 1
 
 
-async def test_caller_is_refused_at_once_when_the_store_is_down(platform: BookingCluster) -> None:
-    host = platform.start("a")
+async def test_caller_is_refused_at_once_when_the_store_is_down(cluster: BookingCluster) -> None:
+    host = cluster.start("a")
     await host.book("warm-up")
     host.store.fake.set_down(True)
     loop = asyncio.get_running_loop()
     for _ in range(2):
-        began = loop.time()
-        refusal = (await host.claim(NAME)).failure()
-        assert loop.time() - began < 0.1
+        started = loop.time()
+        refusal = (await host.claim(BOOKING)).failure()
+        assert loop.time() - started < 0.1
         assert refusal.retry_after_ms is not None
     calls = host.store.fake.calls.writes
     assert (await asyncio.gather(*(host.book(f"b{i}") for i in range(50)))) == [
         CallResult.NOT_EXECUTED
     ] * 50
     assert host.store.fake.calls.writes == calls
-    assert sum(platform.service.executions.values()) == 1
+    assert sum(cluster.service.executions.values()) == 1
     host.store.fake.set_down(False)
     await asyncio.sleep(2)
-    assert await host.book(NAME) is CallResult.ANSWER
+    assert await host.book(BOOKING) is CallResult.ANSWER
 
 
 async def test_answer_is_recorded_when_the_store_returns_after_a_long_outage(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
+    first, second = cluster.start("a"), cluster.start("b")
     granted = (
-        await first.claims.claim(key=build_claim_key(NAME), request_digest="d", ttl_s=3600)
+        await first.claims.claim(key=build_claim_key(BOOKING), request_digest="d", ttl_s=3600)
     ).unwrap()
     assert isinstance(granted, Granted)
     for host in (first, second):
         host.store.fake.set_down(True)
-    done = ClaimOutcome(state=ClaimState.DONE, status=201, body=NAME.encode())
+    done = ClaimOutcome(state=ClaimState.DONE, status=201, body=BOOKING.encode())
     await first.claims.record(claim=granted, outcome=done)
-    assert await first.book(NAME) is CallResult.ANSWER
-    assert await second.book(NAME) is CallResult.NOT_EXECUTED
-    await asyncio.sleep(OUTAGE_S)
+    assert await first.book(BOOKING) is CallResult.ANSWER
+    assert await second.book(BOOKING) is CallResult.NOT_EXECUTED
+    await asyncio.sleep(STORE_OUTAGE_S)
     assert first.claims.pending == 1
     for host in (first, second):
         host.store.fake.set_down(False)
     await first.claims.drain()
-    assert await second.book(NAME) is CallResult.ANSWER
+    assert await second.book(BOOKING) is CallResult.ANSWER
 
 
 async def test_answer_reaches_a_repeat_elsewhere_when_the_service_answers_late(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    platform.service.delay_ms = 30_000
-    running = asyncio.create_task(first.book(NAME))
+    first, second = cluster.start("a"), cluster.start("b")
+    cluster.service.delay_ms = 30_000
+    running = asyncio.create_task(first.book(BOOKING))
     await asyncio.sleep(5)
-    claimed = (await second.claim(NAME)).unwrap()
+    claimed = (await second.claim(BOOKING)).unwrap()
     assert isinstance(claimed, InProgress)
     assert claimed.retry_after_ms > 0
     assert await running is CallResult.ANSWER
     await asyncio.sleep(1)
-    assert await second.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    assert await second.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
-@pytest.mark.parametrize("frozen_while", ["claiming", "claimed"])
+@pytest.mark.parametrize("suspended_while", ["claiming", "claimed"])
 async def test_expired_claim_is_not_dispatched_when_its_host_resumes_after_every_timeout(
-    platform: BookingCluster, frozen_while: str
+    cluster: BookingCluster, suspended_while: str
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
+    first, second = cluster.start("a"), cluster.start("b")
     await first.book("warm-up")
-    lost = asyncio.create_task(first.book(NAME))
-    # The commit takes 2 ms, and nothing is awaited between the grant and the gate.
-    await asyncio.sleep(0.001 if frozen_while == "claiming" else 0)
-    if frozen_while == "claimed":
-        first.dies_at = CrashPoint.CLAIMED
+    abandoned = asyncio.create_task(first.book(BOOKING))
+    # The commit takes 2 ms, so a wait of 1 ms suspends the host during it. Nothing is awaited
+    # between the grant and the crash point, so the crash point suspends the host after the grant.
+    await asyncio.sleep(0.001 if suspended_while == "claiming" else 0)
+    if suspended_while == "claimed":
+        first.crash_point = CrashPoint.CLAIMED
         await asyncio.sleep(1)
     first.store.freeze()
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
-    assert await second.book(NAME) is CallResult.ANSWER
+    assert await second.book(BOOKING) is CallResult.ANSWER
     first.store.thaw()
-    assert await lost is CallResult.NOT_EXECUTED
-    assert platform.service.executions[NAME] == 1
+    assert await abandoned is CallResult.NOT_EXECUTED
+    assert cluster.service.executions[BOOKING] == 1
 
 
 async def test_repeat_runs_elsewhere_when_the_service_executed_nothing(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    platform.service.refuses = True
-    assert await first.book(NAME) is CallResult.NOT_EXECUTED
-    platform.service.refuses = False
+    first, second = cluster.start("a"), cluster.start("b")
+    cluster.service.refuses_calls = True
+    assert await first.book(BOOKING) is CallResult.NOT_EXECUTED
+    cluster.service.refuses_calls = False
     await asyncio.sleep(1)
-    assert await second.book(NAME) is CallResult.ANSWER
+    assert await second.book(BOOKING) is CallResult.ANSWER
     await asyncio.sleep(1)
-    assert await first.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    assert await first.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
 async def test_repeat_runs_at_once_when_this_host_just_released_the_claim(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    host = platform.start("a")
-    platform.service.refuses = True
-    assert await host.book(NAME) is CallResult.NOT_EXECUTED
-    platform.service.refuses = False
-    assert await host.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    host = cluster.start("a")
+    cluster.service.refuses_calls = True
+    assert await host.book(BOOKING) is CallResult.NOT_EXECUTED
+    cluster.service.refuses_calls = False
+    assert await host.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
 async def test_writes_to_one_key_go_in_separate_commits_when_submitted_together() -> None:
@@ -259,37 +263,37 @@
     await asyncio.wait(writes)
 
 
-@pytest.mark.parametrize("leaves_after_s", [0, 0.001, 0.01])
+@pytest.mark.parametrize("disconnects_after_s", [0, 0.001, 0.01])
 async def test_repeat_runs_when_the_caller_left_during_its_claim(
-    platform: BookingCluster, leaves_after_s: float
+    cluster: BookingCluster, disconnects_after_s: float
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    claiming = asyncio.create_task(first.claim(NAME))
-    await asyncio.sleep(leaves_after_s)
-    left = not claiming.done()
+    first, second = cluster.start("a"), cluster.start("b")
+    claiming = asyncio.create_task(first.claim(BOOKING))
+    await asyncio.sleep(disconnects_after_s)
+    disconnected = not claiming.done()
     claiming.cancel()
     await asyncio.wait([claiming])
-    if not left:
+    if not disconnected:
         granted = claiming.result().unwrap()
         assert isinstance(granted, Granted)
         first.claims.settle(claim=granted, outcome=NOT_EXECUTED)
     await asyncio.sleep(5)
-    assert await second.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    assert await second.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
 
 
-async def test_key_is_refused_when_reused_for_another_request(platform: BookingCluster) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    running = asyncio.create_task(first.book(NAME))
+async def test_key_is_refused_when_reused_for_another_request(cluster: BookingCluster) -> None:
+    first, second = cluster.start("a"), cluster.start("b")
+    running = asyncio.create_task(first.book(BOOKING))
     await asyncio.sleep(0.01)
-    kinds = [(await host.claim(NAME, digest="e")).failure().kind for host in (first, second)]
+    kinds = [(await host.claim(BOOKING, digest="e")).failure().kind for host in (first, second)]
     await running
-    kinds.append((await first.claim(NAME, digest="e")).failure().kind)
+    kinds.append((await first.claim(BOOKING, digest="e")).failure().kind)
     assert kinds == [ProblemKind.KEY_REUSED] * 3
 
 
-async def test_concurrent_claims_share_one_store_call(platform: BookingCluster) -> None:
-    host = platform.start("a")
+async def test_concurrent_claims_share_one_store_call(cluster: BookingCluster) -> None:
+    host = cluster.start("a")
     names = [f"b{number}" for number in range(50)]
     assert await asyncio.gather(*(host.book(name) for name in names)) == [CallResult.ANSWER] * 50
     await host.claims.drain()
@@ -298,42 +302,42 @@
 
 
 async def test_claim_exists_for_its_ttl_and_is_deleted_afterwards(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    host = platform.start("a")
+    host = cluster.start("a")
     await host.book("first-of-the-bucket")
     await asyncio.sleep(59)
-    await host.book(NAME)
+    await host.book(BOOKING)
     await asyncio.sleep(TTL_S)
-    other = platform.start("b")
-    assert await other.book(NAME) is CallResult.ANSWER
-    assert platform.service.executions[NAME] == 1
+    other = cluster.start("b")
+    assert await other.book(BOOKING) is CallResult.ANSWER
+    assert cluster.service.executions[BOOKING] == 1
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
-    platform.backend.expire()
-    assert platform.backend.entries == {}
+    cluster.backend.expire()
+    assert cluster.backend.entries == {}
 
 
 async def test_claims_are_granted_when_the_store_has_lost_their_lease(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    host = platform.start("a")
+    host = cluster.start("a")
     await host.book("warm-up")
     await host.claims.drain()
-    (entry,) = platform.backend.entries.values()
-    platform.backend.end_lease(lease=entry.lease)
-    assert await host.book(NAME) is CallResult.ANSWER
+    (entry,) = cluster.backend.entries.values()
+    cluster.backend.end_lease(lease=entry.lease)
+    assert await host.book(BOOKING) is CallResult.ANSWER
 
 
 async def test_repeat_reports_execution_when_the_answer_was_too_large(
-    platform: BookingCluster,
+    cluster: BookingCluster,
 ) -> None:
-    first, second = platform.start("a"), platform.start("b")
-    granted = (await first.claim(NAME)).unwrap()
+    first, second = cluster.start("a"), cluster.start("b")
+    granted = (await first.claim(BOOKING)).unwrap()
     assert isinstance(granted, Granted)
     large = ClaimOutcome(state=ClaimState.DONE, status=200, body=b"x" * 1_000_000)
     assert await first.claims.record(claim=granted, outcome=large) == Success(None)
-    told = (await second.claim(NAME)).failure()
-    assert told.execution.value == "executed"
+    problem = (await second.claim(BOOKING)).failure()
+    assert problem.execution.value == "executed"
 
 
 def test_claim_fails_with_a_typed_problem_when_the_stored_value_is_malformed() -> None:
@@ -341,26 +345,26 @@
         nonce="n", host="b", incarnation=1, state=ClaimState.DONE, claimed_wall_ms=1,
         request_digest="d", status=200, body="!!",
     )  # fmt: skip
-    mangled = st.builds(
+    malformed = st.builds(
         lambda key, value: msgspec.json.encode({**msgspec.to_builtins(sample), key: value}),
         st.sampled_from(["state", "status", "body", "nonce", "host"]),
         st.none() | st.integers() | st.text(max_size=5) | st.just("claimed"),
     )
 
     async def claim_over(value: bytes) -> None:
-        platform = BookingCluster()
-        host, other = platform.start("a"), platform.start("b")
-        await other.book(NAME)
+        cluster = BookingCluster()
+        host, other = cluster.start("a"), cluster.start("b")
+        await other.book(BOOKING)
         await other.claims.drain()
-        (key,) = platform.backend.entries
-        platform.backend.corrupt(key=key, value=value)
-        result = await host.claim(NAME)
+        (key,) = cluster.backend.entries
+        cluster.backend.corrupt(key=key, value=value)
+        result = await host.claim(BOOKING)
         assert isinstance(result, Failure) or isinstance(result.unwrap(), Recorded | InProgress)
-        for one in (host, other):
-            await one.claims.close()
+        for host_to_close in (host, other):
+            await host_to_close.claims.close()
 
     @cases(examples=60)
-    @given(st.binary(max_size=30) | mangled)
+    @given(st.binary(max_size=30) | malformed)
     def run(value: bytes) -> None:
         run_virtually(claim_over(value))
 
--- a/testing/test_claims_machine.py
+++ b/testing/test_claims_machine.py
@@ -1,4 +1,4 @@
-"""Bookings against a model: whatever fails, none runs twice and nobody is told a falsehood."""
+"""Stateful test of claims: under any faults no booking runs twice and all results are correct."""
 
 from __future__ import annotations
 
@@ -29,128 +29,140 @@
 
 @dataclass(kw_only=True, slots=True)
 class Call:
-    """One call of one caller."""
+    """One call of a caller.
+
+    :param name: Name of the booking.
+    :param executed: Whether the service has executed this call.
+    :param task: Task that runs the call.
+    """
 
     name: str
     executed: bool = False
     task: asyncio.Task[CallResult] | None = None
 
     def mark_executed(self) -> None:
-        """The service ran this very call."""
+        """Record that the service has executed this call."""
         self.executed = True
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Three hosts, two bookings, and every fault in any order."""
+    """Three hosts and two bookings, with all faults in random order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = new_virtual_loop()
         self.loop.run_until_complete(self._start())
         self.calls: list[Call] = []
-        self.deaths = 0
+        self.crashes = 0
 
     @rule(host=hosts, name=names)
     def book(self, host: str, name: str) -> None:
-        """Send a booking and let it get to any point."""
+        """Start a booking without waiting for it."""
         call = Call(name=name)
-        work = self.live[host].book(name, on_executed=call.mark_executed)
+        work = self.hosts_by_name[host].book(name, on_executed=call.mark_executed)
         call.task = self.loop.create_task(work)
         self.calls.append(call)
 
     @rule(wait_ms=st.sampled_from([0, 1, 3, 30, 200, 1500, 12_000, 40_000]))
     def wait(self, wait_ms: int) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self._run(wait_ms)
 
     @rule(host=hosts, point=st.sampled_from(CrashPoint))
-    def die_at(self, host: str, point: CrashPoint) -> None:
-        """Let a host die when one of its calls gets to a point."""
-        self.live[host].dies_at = point
+    def crash_at(self, host: str, point: CrashPoint) -> None:
+        """Let a host crash when one of its calls reaches a point."""
+        self.hosts_by_name[host].crash_point = point
 
     @rule(host=hosts)
     def replace_host(self, host: str) -> None:
-        """Kill a host and start its next life."""
-        old = self.live[host]
-        old.die()
-        self.deaths += 1
-        self.live[host] = self.platform.start(host, incarnation=old.incarnation + 1, ttl_s=TTL_S)
+        """Crash a host and start its next incarnation."""
+        previous = self.hosts_by_name[host]
+        previous.crash()
+        self.crashes += 1
+        self.hosts_by_name[host] = self.cluster.start(
+            host, incarnation=previous.incarnation + 1, ttl_s=TTL_S
+        )
 
     @rule(host=hosts)
     def freeze(self, host: str) -> None:
-        """Freeze a host where it stands."""
-        self.live[host].store.freeze()
+        """Suspend a host."""
+        self.hosts_by_name[host].store.freeze()
 
     @rule(host=hosts)
     def thaw(self, host: str) -> None:
-        """Let a frozen host go on; one that died stays where it is."""
-        if not self.live[host].dead:
-            self.live[host].store.thaw()
+        """Resume a suspended host, unless it has crashed."""
+        if not self.hosts_by_name[host].crashed:
+            self.hosts_by_name[host].store.thaw()
 
     @rule(host=hosts, down=st.booleans())
-    def cut_store(self, host: str, down: bool) -> None:
-        """Take the store from a host or give it back."""
-        self.live[host].store.fake.down = down
+    def set_store_down(self, host: str, down: bool) -> None:
+        """Make the store unreachable or reachable for a host."""
+        self.hosts_by_name[host].store.fake.down = down
 
     @rule(host=hosts, count=st.integers(1, 3))
     def lose_replies(self, host: str, count: int) -> None:
-        """Let writes take effect without a reply."""
-        self.live[host].store.fake.lose_replies = count
+        """Let the next writes take effect and lose their replies."""
+        self.hosts_by_name[host].store.fake.lose_replies = count
 
     @rule(host=hosts, count=st.integers(1, 3), late_ms=st.sampled_from([10, 1500, 60_000]))
     def delay_writes(self, host: str, count: int, late_ms: int) -> None:
-        """Let writes take effect after their caller gave up."""
-        self.live[host].store.late_writes = count
-        self.live[host].store.late_ms = late_ms
+        """Let the next writes take effect only after their caller has got an error."""
+        self.hosts_by_name[host].store.late_writes = count
+        self.hosts_by_name[host].store.late_ms = late_ms
 
-    @rule(refuses=st.booleans(), delay_ms=st.sampled_from([0, 50, 20_000]))
-    def change_service(self, refuses: bool, delay_ms: int) -> None:
-        """Let the service refuse everything, or answer late."""
-        self.platform.service.refuses = refuses
-        self.platform.service.delay_ms = delay_ms
+    @rule(refuses_calls=st.booleans(), delay_ms=st.sampled_from([0, 50, 20_000]))
+    def set_service_faults(self, refuses_calls: bool, delay_ms: int) -> None:
+        """Let the service refuse all calls, or answer late."""
+        self.cluster.service.refuses_calls = refuses_calls
+        self.cluster.service.delay_ms = delay_ms
 
     @invariant()
-    def runs_at_most_once(self) -> None:
-        """No booking has run twice."""
-        assert all(count <= 1 for count in self.platform.service.executions.values())
+    def bookings_run_at_most_once(self) -> None:
+        """Check that no booking has run twice."""
+        assert all(count <= 1 for count in self.cluster.service.executions.values())
 
     @invariant()
-    def callers_are_told_the_truth(self) -> None:
-        """An answer means that the booking ran, and "not executed" that this call did not."""
+    def results_match_executions(self) -> None:
+        """Check the result of each completed call.
+
+        An answer means that the booking ran, and "not executed" that this call did not run.
+        """
         for call in self.calls:
             if call.task is None or not call.task.done():
                 continue
             if call.task.result() is CallResult.ANSWER:
-                assert self.platform.service.executions[call.name] == 1
+                assert self.cluster.service.executions[call.name] == 1
             if call.task.result() is CallResult.NOT_EXECUTED:
                 assert not call.executed
 
     def teardown(self) -> None:
-        """Mend everything; then each booking has its outcome."""
-        self.deaths += sum(host.dead for host in self.live.values())
-        for host in self.live.values():
-            host.dies_at = None
+        """Remove all faults and check that each booking gets a result on a new host."""
+        self.crashes += sum(host.crashed for host in self.hosts_by_name.values())
+        for host in self.hosts_by_name.values():
+            host.crash_point = None
             host.store.late_writes = 0
             host.store.fake.down = False
             host.store.fake.lose_replies = 0
-            if not host.dead:
+            if not host.crashed:
                 host.store.thaw()
-        self.platform.service.refuses = False
-        self.platform.service.delay_ms = 0
+        self.cluster.service.refuses_calls = False
+        self.cluster.service.delay_ms = 0
         self._run(RECOVERY_S * 1000)
-        last = self.platform.start("last", ttl_s=TTL_S)
+        verifier = self.cluster.start("last", ttl_s=TTL_S)
         for name in NAMES:
-            told = self.loop.run_until_complete(last.book(name))
-            assert told is CallResult.ANSWER or (self.deaths > 0 and told is CallResult.UNKNOWN)
+            result = self.loop.run_until_complete(verifier.book(name))
+            assert result is CallResult.ANSWER or (
+                self.crashes > 0 and result is CallResult.UNKNOWN
+            )
         self._run(RECOVERY_S * 1000)
-        self.runs_at_most_once()
-        self.callers_are_told_the_truth()
+        self.bookings_run_at_most_once()
+        self.results_match_executions()
         close_loop(self.loop)
 
     async def _start(self) -> None:
-        self.platform = BookingCluster()
-        self.live: dict[str, BookingHost] = {
-            name: self.platform.start(name, ttl_s=TTL_S) for name in HOSTS
+        self.cluster = BookingCluster()
+        self.hosts_by_name: dict[str, BookingHost] = {
+            name: self.cluster.start(name, ttl_s=TTL_S) for name in HOSTS
         }
 
     def _run(self, wait_ms: int) -> None:
--- a/testing/test_fleet_machine.py
+++ b/testing/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Controllers against a model: whatever fails, one orders at a time and the fleet converges."""
+"""Stateful test of controllers: under any faults one sends orders and the fleet converges."""
 
 from __future__ import annotations
 
@@ -22,92 +22,95 @@
 MODELS = ("plan", "check")
 FENCING = {"e0": Fencing.CHECKED, "e1": Fencing.IGNORED, "e2": Fencing.IGNORED}
 RECOVERY_S = 160
-REST_S = 30
+IDLE_S = 30
 STEP_S = 1.0
 
 hosts = st.sampled_from(HOSTS)
 engines = st.sampled_from(sorted(FENCING))
-wishes = st.fixed_dictionaries(
+declared_models_strategy = st.fixed_dictionaries(
     {name: st.lists(st.sampled_from(MODELS), unique=True, max_size=2) for name in sorted(FENCING)}
 )
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Two hosts, three engines, and every fault in any order."""
+    """Two hosts and three engines, with all faults in random order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = new_virtual_loop()
         self.loop.run_until_complete(self._start())
-        self.astray = False
+        self.has_order_faults = False
 
-    @rule(wanted=wishes, version=st.sampled_from(["1", "2"]))
-    def declare(self, wanted: dict[str, list[str]], version: str) -> None:
-        """Put other declarations in force."""
-        self.fleet.declare(wanted, versions=dict.fromkeys(MODELS, version))
+    @rule(declared_models=declared_models_strategy, version=st.sampled_from(["1", "2"]))
+    def declare(self, declared_models: dict[str, list[str]], version: str) -> None:
+        """Change the declarations."""
+        self.fleet.declare(declared_models, versions=dict.fromkeys(MODELS, version))
 
     @rule(wait_s=st.sampled_from([0.0, 0.001, 0.5, 3.0, 12.0, 40.0]))
     def wait(self, wait_s: float) -> None:
-        """Let time pass, and look often."""
+        """Advance the virtual time, with frequent checks of the loaded models."""
         self._run(wait_s)
 
     @rule(host=hosts)
     def freeze(self, host: str) -> None:
-        """Freeze a host where it stands."""
+        """Suspend a host."""
         self.hosts[host].store.freeze()
 
     @rule(host=hosts)
     def thaw(self, host: str) -> None:
-        """Let a host go on."""
+        """Resume a host."""
         self.hosts[host].store.thaw()
 
     @rule(host=hosts, down=st.booleans())
-    def cut_store(self, host: str, down: bool) -> None:
-        """Take the store from a host or give it back."""
+    def set_store_down(self, host: str, down: bool) -> None:
+        """Make the store unreachable or reachable for a host."""
         self.hosts[host].store.fake.down = down
 
     @rule(host=hosts, count=st.integers(1, 2))
     def lose_replies(self, host: str, count: int) -> None:
-        """Let the store's replies be lost."""
+        """Lose the next replies of the store."""
         self.hosts[host].store.fake.lose_replies = count
 
-    @rule(engine=engines, fault=st.sampled_from(["lose_orders", "double_orders", "delay_orders"]))
-    def lead_astray(self, engine: str, fault: str) -> None:
-        """Lose, double or delay the next order."""
+    @rule(
+        engine=engines,
+        fault=st.sampled_from(["orders_to_lose", "orders_to_duplicate", "orders_to_delay"]),
+    )
+    def add_order_fault(self, engine: str, fault: str) -> None:
+        """Lose, duplicate or delay the next order to an engine."""
         setattr(self.fleet.engines[engine], fault, 1)
-        self.astray = True
+        self.has_order_faults = True
 
-    @rule(engine=engines, unreachable=st.booleans())
-    def cut_engine(self, engine: str, unreachable: bool) -> None:
-        """Cut an engine off, or reach it again."""
-        self.fleet.engines[engine].unreachable = unreachable
+    @rule(engine=engines, is_unreachable=st.booleans())
+    def set_engine_unreachable(self, engine: str, is_unreachable: bool) -> None:
+        """Make an engine unreachable or reachable."""
+        self.fleet.engines[engine].is_unreachable = is_unreachable
 
     @invariant()
-    def one_controller_orders_at_a_time(self) -> None:
-        """No order follows one with a higher fencing number."""
-        fences = [sent.order.fence for sent in self.fleet.sent]
+    def fences_never_decrease(self) -> None:
+        """Check that no order follows one with a higher fencing number."""
+        fences = [sent.order.fence for sent in self.fleet.sent_orders]
         assert fences == sorted(fences)
 
     @invariant()
-    def loads_are_few(self) -> None:
-        """The weight store is asked for few loads at once."""
-        if not self.astray:
-            assert self.fleet.loads() <= MAX_LOADS
+    def concurrent_loads_are_limited(self) -> None:
+        """Check the limit of concurrent loads, unless orders were lost, duplicated or delayed."""
+        if not self.has_order_faults:
+            assert self.fleet.count_loads() <= MAX_LOADS
 
     def teardown(self) -> None:
-        """Mend everything; then the fleet is as declared, and rests."""
+        """Remove all faults and check that the fleet converges and no more orders are sent."""
         for host in self.hosts.values():
             host.store.fake.down = False
             host.store.fake.lose_replies = 0
             host.store.thaw()
         for engine in self.fleet.engines.values():
-            engine.unreachable = False
-            engine.lose_orders = engine.double_orders = engine.delay_orders = 0
+            engine.is_unreachable = False
+            engine.orders_to_lose = engine.orders_to_duplicate = engine.orders_to_delay = 0
         self._run(RECOVERY_S)
-        assert self.fleet.converged()
-        orders = len(self.fleet.sent)
-        self._run(REST_S)
-        assert len(self.fleet.sent) == orders
+        assert self.fleet.has_converged()
+        orders = len(self.fleet.sent_orders)
+        self._run(IDLE_S)
+        assert len(self.fleet.sent_orders) == orders
         close_loop(self.loop)
 
     async def _start(self) -> None:
@@ -118,25 +121,27 @@
         self.hosts = {name: OrderingHost(name=name, fleet=self.fleet) for name in HOSTS}
 
     def _run(self, wait_s: float) -> None:
-        self.loop.run_until_complete(self._watch(wait_s))
+        self.loop.run_until_complete(self._check_loaded_models(wait_s))
 
-    async def _watch(self, wait_s: float) -> None:
-        """Check that a model which is asked for is not unloaded from its last holder."""
-        left = wait_s
+    async def _check_loaded_models(self, wait_s: float) -> None:
+        """Advance the time and check that no declared model loses its last loaded copy."""
+        remaining_s = wait_s
         while True:
-            before = {model: self.fleet.holders(model) for model in MODELS}
-            wanted = {model for models in self.fleet.wanted.values() for model in models}
-            await asyncio.sleep(min(STEP_S, left))
-            for model in wanted:
-                recently = any(
+            loaded_before = {model: self.fleet.count_loaded(model) for model in MODELS}
+            declared_models = {
+                model for models in self.fleet.declared_models.values() for model in models
+            }
+            await asyncio.sleep(min(STEP_S, remaining_s))
+            for model in declared_models:
+                recently_unloaded = any(
                     sent.order.kind is OrderKind.UNLOAD_MODEL and sent.order.name == model
-                    for sent in self.fleet.sent[-20:]
+                    for sent in self.fleet.sent_orders[-20:]
                     if self.loop.time() - sent.at < STEP_S
                 )
-                if before[model] > 0 and recently:
-                    assert self.fleet.holders(model) > 0
-            left -= STEP_S
-            if left <= 0:
+                if loaded_before[model] > 0 and recently_unloaded:
+                    assert self.fleet.count_loaded(model) > 0
+            remaining_s -= STEP_S
+            if remaining_s <= 0:
                 return
 
 
--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -28,8 +28,8 @@
 from testing._routing_fakes import MODEL
 from testing._virtual_time import run_virtually
 from testing.test_services import SERVICE
+from testing.test_services import FailurePoint
 from testing.test_services import FakeService
-from testing.test_services import Point
 from testing.test_services import make_service_dispatch
 
 FAIL_MS = 15_000
@@ -152,7 +152,10 @@
     reserve = 10
 
     async def run() -> FakeService:
-        service = FakeService(points=[Point.BEFORE_EXECUTION, Point.NONE, Point.NONE] * calls)
+        service = FakeService(
+            failure_points=[FailurePoint.BEFORE_EXECUTION, FailurePoint.NONE, FailurePoint.NONE]
+            * calls
+        )
         dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         call = ServiceCall(method="GET", path="/rounds", headers=(), body=b"")
         for _ in range(calls):
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -1,4 +1,4 @@
-"""What callers of plain services are told against what the services ran."""
+"""Results of calls to plain services agree with what the services have executed."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 
 
 @unique
-class Point(Enum):
-    """Where a call fails."""
+class FailurePoint(Enum):
+    """Point at which a call fails."""
 
     NONE = "none"
     CONNECT = "connect"
@@ -58,54 +58,54 @@
 
 @dataclass(kw_only=True)
 class FakeService:
-    """Executes calls, and fails the first ones at given points."""
+    """Service that executes calls, and fails the first ones at given points."""
 
-    points: list[Point] = field(default_factory=list)
+    failure_points: list[FailurePoint] = field(default_factory=list)
     executions: Counter[bytes] = field(default_factory=Counter)
     sent_to: list[str] = field(default_factory=list)
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
     ) -> Result[ServiceReply, UpstreamError]:
-        """Carry out one call."""
+        """Execute one call, or fail at the next point of the list."""
         self.sent_to.append(address)
-        point = self.points.pop(0) if self.points else Point.NONE
-        if point is Point.CONNECT:
-            return _failed(UpstreamErrorKind.NOT_SENT)
-        if point is Point.REFUSED:
+        failure_point = self.failure_points.pop(0) if self.failure_points else FailurePoint.NONE
+        if failure_point is FailurePoint.CONNECT:
+            return _build_failure(UpstreamErrorKind.NOT_SENT)
+        if failure_point is FailurePoint.REFUSED:
             refusal = Refusal(kind=RefusalKind.OVERLOADED)
             return Failure(
                 UpstreamError(kind=UpstreamErrorKind.REFUSED, detail="Full.", refusal=refusal)
             )
-        if point is Point.BEFORE_EXECUTION:
-            return _failed(UpstreamErrorKind.BROKEN)
+        if failure_point is FailurePoint.BEFORE_EXECUTION:
+            return _build_failure(UpstreamErrorKind.BROKEN)
         self.executions[call.body] += 1
-        if point is Point.AFTER_EXECUTION:
-            return _failed(UpstreamErrorKind.BROKEN)
-        if point is Point.LATE:
-            return _failed(UpstreamErrorKind.STALLED)
+        if failure_point is FailurePoint.AFTER_EXECUTION:
+            return _build_failure(UpstreamErrorKind.BROKEN)
+        if failure_point is FailurePoint.LATE:
+            return _build_failure(UpstreamErrorKind.STALLED)
         return Success(ServiceReply(status=201, content_type="text/plain", headers=(), body=b"ok"))
 
 
 @dataclass(kw_only=True)
-class Notes:
-    """Takes notes; every upstream is open."""
+class FakeNotes:
+    """Records which upstreams are leaving and ignores all other reports."""
 
     leaving: list[UpstreamId] = field(default_factory=list)
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Remember it."""
+        """Record the upstream."""
         self.leaving.append(upstream)
 
     def note_failure(self, *, upstream: UpstreamId) -> None:
-        """Ignore it."""
+        """Ignore the failure."""
 
     def note_success(self, *, upstream: UpstreamId) -> None:
-        """Ignore it."""
+        """Ignore the success."""
 
 
 def make_service_dispatch(service: FakeService, store: FaultyStore) -> ServiceDispatch:
-    """Return the dispatch of a host that reaches a service and a store."""
+    """Return a service dispatch that uses a given service and store."""
     clock = Clock()
     rng = random.Random(5)
     claims = Claims(
@@ -121,7 +121,7 @@
         dependencies=ServiceDependencies(
             client=service,
             claims=claims,
-            notes=Notes(),
+            notes=FakeNotes(),
             is_open=lambda _upstream: True,
             retries=RetryBudget(),
             clock=clock,
@@ -135,10 +135,14 @@
 
 
 def _run(
-    points: Sequence[Point], *, path: str = "/bookings", key: str = "", times: int = 1
+    failure_points: Sequence[FailurePoint],
+    *,
+    path: str = "/bookings",
+    key: str = "",
+    times: int = 1,
 ) -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
     async def run() -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
-        service = FakeService(points=list(points))
+        service = FakeService(failure_points=list(failure_points))
         dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         results = [
             await dispatch.call(service=SERVICE, account=ACCOUNT, key=key, call=_call(path))
@@ -149,38 +153,44 @@
     return run_virtually(run())
 
 
-FAILURES = [point for point in Point if point is not Point.NONE]
+FAILURES = [
+    failure_point for failure_point in FailurePoint if failure_point is not FailurePoint.NONE
+]
 
 
 @pytest.mark.parametrize("key", ["", "round-7"])
-@pytest.mark.parametrize("point", FAILURES)
+@pytest.mark.parametrize("failure_point", FAILURES)
 def test_reported_execution_is_correct_when_every_attempt_of_a_booking_fails(
-    point: Point, key: str
+    failure_point: FailurePoint, key: str
 ) -> None:
-    service, (result,) = _run([point] * 9, key=key)
+    service, (result,) = _run([failure_point] * 9, key=key)
     executed = service.executions.total()
     assert executed <= 1
-    told = result.failure().execution
-    assert told is not Execution.EXECUTED
-    assert not (executed and told is Execution.NOT_EXECUTED)
-    # A call that surely ran nowhere is said to be so, so that its caller may repeat it.
-    if point in {Point.CONNECT, Point.REFUSED}:
-        assert told is Execution.NOT_EXECUTED
+    execution = result.failure().execution
+    assert execution is not Execution.EXECUTED
+    assert not (executed and execution is Execution.NOT_EXECUTED)
+    # A call that was certainly not executed must be reported so that its caller can repeat it.
+    if failure_point in {FailurePoint.CONNECT, FailurePoint.REFUSED}:
+        assert execution is Execution.NOT_EXECUTED
         assert result.failure().retry_after_ms is not None
 
 
 @pytest.mark.parametrize("key", ["", "round-7"])
-@pytest.mark.parametrize("point", FAILURES)
-def test_booking_runs_at_most_once_when_its_first_attempt_fails(point: Point, key: str) -> None:
-    service, results = _run([point], key=key)
+@pytest.mark.parametrize("failure_point", FAILURES)
+def test_booking_runs_at_most_once_when_its_first_attempt_fails(
+    failure_point: FailurePoint, key: str
+) -> None:
+    service, results = _run([failure_point], key=key)
     assert service.executions.total() <= 1
-    passed_over = point in {Point.CONNECT, Point.REFUSED}
-    assert isinstance(results[0], Success) == passed_over
+    is_retried = failure_point in {FailurePoint.CONNECT, FailurePoint.REFUSED}
+    assert isinstance(results[0], Success) == is_retried
 
 
-@pytest.mark.parametrize("point", FAILURES)
-def test_repeat_with_the_key_gets_the_recorded_outcome_and_runs_nothing_more(point: Point) -> None:
-    service, results = _run([point], key="round-7", times=3)
+@pytest.mark.parametrize("failure_point", FAILURES)
+def test_repeat_with_the_key_gets_the_recorded_outcome_and_runs_nothing_more(
+    failure_point: FailurePoint,
+) -> None:
+    service, results = _run([failure_point], key="round-7", times=3)
     assert service.executions.total() <= 1
     first, *repeats = results
     for repeat in repeats:
@@ -188,27 +198,33 @@
             assert repeat.unwrap().body == first.unwrap().body
         else:
             assert repeat.failure().execution is Execution.UNKNOWN
-    assert len(service.sent_to) == (2 if point in {Point.CONNECT, Point.REFUSED} else 1)
+    assert len(service.sent_to) == (
+        2 if failure_point in {FailurePoint.CONNECT, FailurePoint.REFUSED} else 1
+    )
 
 
 def test_booking_that_was_not_executed_runs_when_it_is_repeated_with_its_key() -> None:
-    service, (first, again) = _run([Point.CONNECT] * 3, key="round-7", times=2)
+    service, (first, repeat) = _run([FailurePoint.CONNECT] * 3, key="round-7", times=2)
     assert first.failure().execution is Execution.NOT_EXECUTED
-    assert isinstance(again, Success)
+    assert isinstance(repeat, Success)
     assert service.executions.total() == 1
 
 
-@pytest.mark.parametrize("point", FAILURES)
-def test_idempotent_call_is_retried_when_its_first_attempt_fails(point: Point) -> None:
-    service, (result,) = _run([point], path="/search")
+@pytest.mark.parametrize("failure_point", FAILURES)
+def test_idempotent_call_is_retried_when_its_first_attempt_fails(
+    failure_point: FailurePoint,
+) -> None:
+    service, (result,) = _run([failure_point], path="/search")
     assert isinstance(result, Success)
     assert len(set(service.sent_to)) == 2
 
 
 def test_idempotent_call_reports_unknown_when_one_of_its_attempts_may_have_run() -> None:
-    _, (result,) = _run([Point.AFTER_EXECUTION, Point.CONNECT, Point.CONNECT], path="/search")
+    _, (result,) = _run(
+        [FailurePoint.AFTER_EXECUTION, FailurePoint.CONNECT, FailurePoint.CONNECT], path="/search"
+    )
     assert result.failure().execution is Execution.UNKNOWN
 
 
-def _failed(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
-    return Failure(UpstreamError(kind=kind, detail="As the test asks."))
+def _build_failure(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
+    return Failure(UpstreamError(kind=kind, detail="Failure injected by the test."))
