--- a/src/tanagerscale/claims/_attempt.py
+++ b/src/tanagerscale/claims/_attempt.py
@@ -65,7 +65,7 @@
             expires=self.expires,
         )
 
-    def to_release(self) -> PendingRecord | None:
+    def to_release_record(self) -> PendingRecord | None:
         """Return the record that releases the claim; ``None`` if nothing was submitted."""
         if self.last_put is None:
             return None
--- a/src/tanagerscale/claims/_batcher.py
+++ b/src/tanagerscale/claims/_batcher.py
@@ -108,8 +108,8 @@
         :param urgent: Whether a caller waits for it; otherwise it may be delayed by
             ``MAX_LINGER_MS`` to save a store call.
         """
-        wait = 0 if urgent else MAX_LINGER_MS
-        queued = _Queued(put=put, due=Millis(self._clock.now() + wait))
+        linger_ms = 0 if urgent else MAX_LINGER_MS
+        queued = _Queued(put=put, due=Millis(self._clock.now() + linger_ms))
         self._queue.append(queued)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
@@ -152,7 +152,7 @@
 
     def _take_batch(self) -> list[_Queued]:
         batch: list[_Queued] = []
-        later: deque[_Queued] = deque()
+        deferred: deque[_Queued] = deque()
         keys: set[str] = set()
         size = 0
         while self._queue and len(batch) < MAX_PUTS:
@@ -161,12 +161,12 @@
                 continue
             size += len(queued.put.value or b"")
             if batch and (queued.put.key in keys or size > MAX_COMMIT_BYTES):
-                later.append(queued)
+                deferred.append(queued)
                 size -= len(queued.put.value or b"")
                 continue
             keys.add(queued.put.key)
             batch.append(queued)
-        self._queue.extendleft(reversed(later))
+        self._queue.extendleft(reversed(deferred))
         return batch
 
     async def _commit(self, batch: list[_Queued]) -> None:
@@ -192,9 +192,9 @@
             self._resolve([queued], Success(outcome))
 
     def _reject_queue(self) -> None:
-        waiting = list(self._queue)
+        rejected = list(self._queue)
         self._queue.clear()
-        self._resolve(waiting, Failure(_build_not_sent_error()))
+        self._resolve(rejected, Failure(_build_not_sent_error()))
 
     @staticmethod
     def _resolve(batch: list[_Queued], result: PutResult) -> None:
--- a/src/tanagerscale/claims/_claims.py
+++ b/src/tanagerscale/claims/_claims.py
@@ -123,8 +123,8 @@
         """
         ended = self._calls.get_ended(key=key)
         if ended is not None:
-            same = ended.request_digest == request_digest
-            return ended.repeat_result if same else Failure(_problems.key_reused())
+            is_same_request = ended.request_digest == request_digest
+            return ended.repeat_result if is_same_request else Failure(_problems.key_reused())
         running = self._calls.get_running(key=key)
         if running is not None:
             return await self._join_running_call(running, request_digest=request_digest)
@@ -198,7 +198,7 @@
             result = await self._acquire(attempt)
         except BaseException:
             self._release(attempt)
-            self._calls.end(key=key, repeat_result=Failure(self._withdrawn()))
+            self._calls.end(key=key, repeat_result=Failure(self._call_not_run()))
             raise
         if isinstance(result, Success) and isinstance(granted := result.unwrap(), Granted):
             return self._check_age(granted)
@@ -246,7 +246,7 @@
             if record is not None and record.nonce == attempt.record.nonce:
                 granted = attempt.to_granted(revision=present.mod_revision, lease=present.lease)
                 return Success(granted)
-            if record is None or not self._is_free(record):
+            if record is None or not self._is_replaceable(record):
                 return self._answer_for_existing_claim(record, attempt=attempt)
             expected = present.mod_revision
         return Failure(self._store_unavailable())
@@ -268,7 +268,7 @@
         self._release(attempt)
         return result
 
-    def _is_free(self, record: ClaimRecord) -> bool:
+    def _is_replaceable(self, record: ClaimRecord) -> bool:
         return record.state is ClaimState.NOT_EXECUTED or record.nonce in self._abandoned
 
     def _answer_for_existing_claim(
@@ -284,8 +284,8 @@
             if outcome is None:
                 return Failure(_problems.answer_not_recorded())
             return Success(Recorded(outcome=outcome))
-        here = record.host == self._host
-        if record.state is ClaimState.UNKNOWN or here:
+        is_local = record.host == self._host
+        if record.state is ClaimState.UNKNOWN or is_local:
             # Calls of this host that still run are in its local table and never get here.
             return Failure(_problems.outcome_unknown())
         if self._is_live(HostId(record.host), record.incarnation):
@@ -294,10 +294,10 @@
 
     def _release(self, attempt: ClaimAttempt) -> None:
         """Release a claim that may have been written or whose write may still take effect."""
-        released = attempt.to_release()
-        if released is not None:
+        release_record = attempt.to_release_record()
+        if release_record is not None:
             self._abandon(attempt.record.nonce)
-            self._recorder.start(pending=released)
+            self._recorder.start(pending=release_record)
 
     def _abandon(self, nonce: str) -> None:
         self._abandoned[nonce] = None
@@ -335,7 +335,7 @@
         if outcome.state is ClaimState.DONE:
             return Success(Recorded(outcome=outcome))
         if outcome.state is ClaimState.NOT_EXECUTED:
-            return Failure(self._withdrawn())
+            return Failure(self._call_not_run())
         return Failure(_problems.outcome_unknown())
 
     def _add_ended(
@@ -352,8 +352,8 @@
     def _store_unavailable(self) -> Problem:
         return _problems.store_unavailable(retry_after_ms=self._retry_after())
 
-    def _withdrawn(self) -> Problem:
-        return _problems.withdrawn(retry_after_ms=self._retry_after())
+    def _call_not_run(self) -> Problem:
+        return _problems.call_not_run(retry_after_ms=self._retry_after())
 
     def _in_progress(self) -> InProgress:
         return InProgress(retry_after_ms=self._retry_after())
--- a/src/tanagerscale/claims/_problems.py
+++ b/src/tanagerscale/claims/_problems.py
@@ -18,7 +18,7 @@
     )
 
 
-def withdrawn(*, retry_after_ms: int) -> Problem:
+def call_not_run(*, retry_after_ms: int) -> Problem:
     """Build the problem for a repeated call that waited for a call that was not run."""
     return Problem(
         kind=ProblemKind.UPSTREAM_FAILED,
--- a/src/tanagerscale/claims/_recorder.py
+++ b/src/tanagerscale/claims/_recorder.py
@@ -117,10 +117,10 @@
             result = await self._batcher.submit(put=put, urgent=False)
             if isinstance(result, Success):
                 _set_result(first_result, Success(None))
-                claim = _get_unsettled_revision(result.unwrap(), nonce=pending.record.nonce)
-                if claim is None:
+                revision = _get_unsettled_revision(result.unwrap(), nonce=pending.record.nonce)
+                if revision is None:
                     return
-                expected = claim
+                expected = revision
                 continue
             error = result.failure()
             _set_result(first_result, Failure(error))
--- a/src/tanagerscale/fleet/_controller.py
+++ b/src/tanagerscale/fleet/_controller.py
@@ -117,7 +117,7 @@
         self._loaded_since: dict[LoadedModel, Millis] = {}
         self._backoff: dict[PlannedOrder, int] = {}
         self._backoff_until: dict[PlannedOrder, Millis] = {}
-        self._next_order = 1
+        self._next_order_number = 1
 
     @property
     def is_controller(self) -> Observable[bool]:
@@ -214,13 +214,13 @@
     async def _send_order(self, held_lease: HeldLease, engine: Engine, order: PlannedOrder) -> bool:
         checks_fence = engine.fencing is Fencing.CHECKED
         message = EngineOrder(
-            order_id=f"{held_lease.fence}-{self._next_order}",
+            order_id=f"{held_lease.fence}-{self._next_order_number}",
             fence=held_lease.fence,
             kind=order.kind,
             name=order.name,
             version=order.version,
         )
-        self._next_order += 1
+        self._next_order_number += 1
         if order.kind is OrderKind.UNLOAD_MODEL:
             # The engine reports the model until the unload is complete.
             self._loaded_since[(order.engine, ModelId(order.name))] = self._clock.now()
@@ -297,7 +297,7 @@
         self._loaded_since.clear()
         self._backoff.clear()
         self._backoff_until.clear()
-        self._next_order = 1
+        self._next_order_number = 1
 
     def _on_declarations(self, declared: DeclarationSet) -> None:
         self._declared = declared
--- a/src/tanagerscale/fleet/_plan.py
+++ b/src/tanagerscale/fleet/_plan.py
@@ -55,8 +55,8 @@
     :param max_new_loads: Maximum number of loads to order.
     """
     planner = _Planner(declared=declared, states=states, confirmed=confirmed)
-    wanted = [order for order in planner.plan_loads() if order not in deferred]
-    new_loads = sorted(wanted, key=planner.get_load_priority)[: max(max_new_loads, 0)]
+    candidates = [order for order in planner.plan_loads() if order not in deferred]
+    new_loads = sorted(candidates, key=planner.get_load_priority)[: max(max_new_loads, 0)]
     others = [
         order for order in (*planner.plan_roles(), *planner.plan_unloads()) if order not in deferred
     ]
--- a/src/tanagerscale/quarantine/_quarantine.py
+++ b/src/tanagerscale/quarantine/_quarantine.py
@@ -210,7 +210,7 @@
         )
         # Existing suspects are processed first: a conviction explains the crash for all others.
         for fingerprint in sorted(
-            crashed_runs, key=lambda one: (self._get_suspicion(one) is None, one)
+            crashed_runs, key=lambda candidate: (self._get_suspicion(candidate) is None, candidate)
         ):
             crash = Crash(engine=engine, wall_ms=wall_ms, tokens=crashed_runs[fingerprint])
             self._add_crash(fingerprint, (crash,))
@@ -290,9 +290,9 @@
         for run in self._runs.get_runs(now=self._clock.now()):
             if not self._conflicts(run, fingerprint, engine, suspicion):
                 continue
-            # Of two runs announced concurrently, the one with the lower key takes precedence.
-            later = announced is not None and run.since >= announced and not run.settled
-            if not later or (run.fingerprint, run.host) < (fingerprint, self._host):
+            # Of two runs announced concurrently, the lower (fingerprint, host) has priority.
+            is_later = announced is not None and run.since >= announced and not run.settled
+            if not is_later or (run.fingerprint, run.host) < (fingerprint, self._host):
                 return False
         return True
 
@@ -304,8 +304,8 @@
             return run.engine != engine
         # Suspects of different crashes must not share an engine either: if one of them crashed
         # it, the other would have a second crash recorded against it as well.
-        both = suspicion is not None and self._get_suspicion(run.fingerprint) is not None
-        return both and run.engine == engine
+        both_suspects = suspicion is not None and self._get_suspicion(run.fingerprint) is not None
+        return both_suspects and run.engine == engine
 
     def _crashed_recently(self, suspicion: Suspicion, engine: UpstreamId) -> bool:
         now = self._clock.wall()
@@ -337,7 +337,7 @@
         remaining_ms = min(verdict.expires_wall_ms - self._clock.wall(), self._ttl_ms)
         if remaining_ms <= 0:
             return
-        before = self._get_suspicion(fingerprint)
+        previous = self._get_suspicion(fingerprint)
         reported = Suspicion(
             crashes=crashes,
             expires=Millis(self._clock.now() + remaining_ms),
@@ -349,10 +349,10 @@
             return
         self._stop_copies(fingerprint, suspicion)
         # Peers do not know about a run that began before the request became a suspect.
-        if before is None and self._runs.find_local_run(fingerprint=fingerprint) is not None:
+        if previous is None and self._runs.find_local_run(fingerprint=fingerprint) is not None:
             self._announce(fingerprint)
         # Crashes reported by two different peers may lead to a conviction on this host first.
-        if suspicion.convicted and not verdict.convicted and not (before and before.convicted):
+        if suspicion.convicted and not verdict.convicted and not (previous and previous.convicted):
             self._announce(fingerprint)
             self._persist(fingerprint, suspicion)
 
--- a/src/tanagerscale/quarantine/_rules.py
+++ b/src/tanagerscale/quarantine/_rules.py
@@ -128,7 +128,9 @@
     Reports of the same crash are merged: the earliest time and the largest token count are kept.
     """
     merged: list[Crash] = []
-    for crash in sorted((*existing, *new), key=lambda one: (one.wall_ms, one.engine)):
+    for crash in sorted(
+        (*existing, *new), key=lambda crash_report: (crash_report.wall_ms, crash_report.engine)
+    ):
         index = next(
             (index for index, other in enumerate(merged) if crash.is_same_event(other)), None
         )
--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -47,6 +47,7 @@
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 MAX_ATTEMPTS = 3
 """Maximum number of upstreams that an idempotent call is sent to."""
+
 MIN_RETRY_AFTER_MS = 1000
 DIGEST_BYTES = 16
 RECORD_TIMEOUT_MS = 250
--- a/testing/_ordered_engines.py
+++ b/testing/_ordered_engines.py
@@ -1,4 +1,4 @@
-"""Simulated engines that execute orders, and controllers that can be suspended at any step."""
+"""Simulated engines, and controllers that can be suspended between any two steps."""
 
 from __future__ import annotations
 
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine limits the engines that a request can crash and does not refuse other requests."""
+"""A request that crashes engines at one token costs two of them, and no other one is refused."""
 
 from __future__ import annotations
 
