--- a/src/tanagerscale/quarantine/_runs.py
+++ b/src/tanagerscale/quarantine/_runs.py
@@ -22,7 +22,7 @@
 """Returns the number of tokens that a run has generated."""
 
 PEER_RUN_TTL_MS: Final = 3_600_000
-"""Lifetime of a peer's run after which it is ignored if no further report arrives: one hour."""
+"""A peer's run is ignored one hour after the first report that it runs on its engine."""
 
 MAX_CRASH_DETECTION_DELAY_MS: Final = 5000
 """A run that broke off at most this long before the crash of its engine was detected counts as
