--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the edges of forwarding, for tests in virtual time and without a network."""
+"""Fakes of the interfaces of forwarding, for tests in virtual time and without a network."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
 def make_table(
     *routes: Route, version: int = 1, cold_ms: int = 0, cold_per_s: float = 0.0
 ) -> RouteTable:
-    """Return a table without accounts."""
+    """Return a route table without accounts."""
     service = Service(
         name=SERVICE,
         health_path="/health",
@@ -131,7 +131,7 @@
 
 
 def make_entry(name: str, *, domain: str = "a", service: ServiceId = SERVICE) -> UpstreamEntry:
-    """Return the entry of an upstream that takes work."""
+    """Return the entry of an upstream that accepts requests."""
     return UpstreamEntry(
         upstream=UpstreamId(name),
         name=UpstreamName(name),
@@ -148,7 +148,7 @@
 def make_request(
     *, name: str = "request", path: str = "/a/x", prompt: int | None = None, longest: int = 2000
 ) -> CallerRequest:
-    """Return a request, for a language model when it has a prompt."""
+    """Return a request; with ``prompt`` tokens it is a language model request."""
     demand = None
     if prompt is not None:
         demand = Demand(
@@ -188,7 +188,7 @@
 
 @dataclass(slots=True)
 class FakeResponse:
-    """An answer whose chunks are given; ``None`` among them breaks it off."""
+    """A response with the given chunks; ``None`` among them breaks the connection."""
 
     status: int = 200
     chunks: list[bytes | None] = field(default_factory=lambda: [b"answer"])
@@ -204,7 +204,7 @@
     async def read_some(self) -> bytes:
         """Return the next chunk."""
         if self.pause_ms:
-            # As with a socket, what was on its way comes though a reader has given up meanwhile.
+            # As with a socket, data in transit still arrives after a reader has timed out.
             loop = asyncio.get_running_loop()
             if self.next_at is None:
                 self.next_at = loop.time() + self.pause_ms / 1000
@@ -227,7 +227,7 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Break it off."""
+        """Close the connection."""
         self.closed = True
 
 
@@ -236,7 +236,7 @@
 
 @dataclass(slots=True)
 class FakeUpstreamClient:
-    """Upstreams that react as told, one reaction for each order; the last one repeats."""
+    """Client whose upstreams give the configured reactions in order, then the default response."""
 
     reactions: dict[str, deque[Reaction]] = field(default_factory=dict)
     requests: list[UpstreamRequest] = field(default_factory=list)
@@ -247,7 +247,7 @@
         self.reactions[upstream] = deque(reactions)
 
     async def send(self, *, upstream_request: UpstreamRequest) -> FakeResponse:
-        """React to an order."""
+        """React to a request."""
         self.requests.append(upstream_request)
         name = upstream_request.upstream.upstream
         if name in self.hang:
@@ -260,24 +260,24 @@
 
     @property
     def asked(self) -> list[str]:
-        """Upstreams that got an order, in order."""
-        return [order.upstream.upstream for order in self.requests]
+        """Upstreams that received a request, in order."""
+        return [request.upstream.upstream for request in self.requests]
 
 
 @dataclass(slots=True)
 class FakeEngines:
-    """Copies runs at once, or fails as told."""
+    """Copies runs, or fails as configured."""
 
     failures: deque[CopyError] = field(default_factory=deque)
     refused: set[str] = field(default_factory=set)
-    """Runs of which no copy is ever taken."""
+    """Runs for which every copy fails."""
     copies: list[tuple[str, str, str, bool]] = field(default_factory=list)
     dropped: list[tuple[str, str]] = field(default_factory=list)
     takes_ms: int = 10
     on_stop: Callable[[str], None] | None = None
     leaves_in_ms: int | None = None
     staying: set[str] = field(default_factory=set)
-    """Engines whose report tells that they stay."""
+    """Engines that report that they are not leaving."""
     reports: int = 0
 
     async def copy(
@@ -295,7 +295,7 @@
         return Success(RunCopy(copy=f"copy-{len(self.copies)}", events=1))
 
     async def report(self, *, upstream: UpstreamEntry) -> Result[EngineReport, str]:
-        """Report when it leaves, or nothing."""
+        """Report when the engine leaves, or fail if no departure is configured."""
         self.reports += 1
         is_staying = upstream.upstream in self.staying
         if self.leaves_in_ms is None and not is_staying:
@@ -314,13 +314,13 @@
         )
 
     async def drop_copy(self, *, holder: UpstreamEntry, copy: str) -> None:
-        """Record what is freed."""
+        """Record the freed copy."""
         self.dropped.append((holder.upstream, copy))
 
 
 @dataclass(slots=True)
 class FakeUpstreams:
-    """Upstreams and what is known of them."""
+    """Known upstreams and their state."""
 
     entries: list[UpstreamEntry] = field(default_factory=list)
     leaving: set[str] = field(default_factory=set)
@@ -329,26 +329,26 @@
     is_current: bool = True
     on_leaving: Callable[[UpstreamId], None] = lambda _: None
     evacuated: set[str] = field(default_factory=set)
-    """Failure domains that get no requests."""
+    """Failure domains that are evacuated."""
     cold: dict[str, int] = field(default_factory=dict)
-    """How much longer upstreams are cold, in milliseconds."""
+    """Remaining warm-up time of upstreams, in milliseconds."""
     taken_back: dict[str, int] = field(default_factory=dict)
-    """How long ago the evacuation of upstreams ended, in milliseconds."""
+    """Time since the evacuation of upstreams ended, in milliseconds."""
 
     def get(self, upstream: UpstreamId) -> UpstreamEntry | None:
         """Return an entry."""
         return next((entry for entry in self.entries if entry.upstream == upstream), None)
 
     def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return how much longer an upstream is cold."""
+        """Return the remaining warm-up time of an upstream."""
         return self.cold.get(upstream, 0)
 
     def taken_back_ms(self, upstream: UpstreamId) -> int | None:
-        """Return how long ago an evacuation ended."""
+        """Return the time since an evacuation ended."""
         return self.taken_back.get(upstream)
 
     def open_for(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return those that are not leaving and may be used."""
+        """Return upstreams of a service that are neither leaving nor evacuated."""
         return [
             entry
             for entry in self.entries
@@ -358,42 +358,42 @@
         ]
 
     def is_evacuated(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream stands in a failure domain that gets no requests."""
+        """Return whether an upstream is in an evacuated failure domain."""
         entry = self.get(upstream)
         return entry is not None and entry.failure_domain in self.evacuated
 
     def has_evacuated(self, service: ServiceId) -> bool:
-        """Return whether an upstream of a service gets no requests."""
+        """Return whether an upstream of a service is evacuated."""
         return any(
             entry.service == service and entry.failure_domain in self.evacuated
             for entry in self.entries
         )
 
     def staying(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return the same."""
+        """Return the same upstreams as ``open_for``."""
         return self.open_for(service)
 
     def is_leaving(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream leaves."""
+        """Return whether an upstream is leaving."""
         return upstream in self.leaving
 
     def is_broken(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream did not answer."""
+        """Return whether an upstream was marked down."""
         return upstream in self.down
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Record it and tell the listener."""
+        """Mark an upstream as leaving and notify the listener."""
         if upstream not in self.leaving:
             self.leaving.add(upstream)
             self.on_leaving(upstream)
 
     def note_gone(self, *, upstream: UpstreamId) -> None:
-        """Record it."""
+        """Mark an upstream as gone."""
         self.gone.append(upstream)
         self.leaving.add(upstream)
 
     def note_down(self, *, upstream: UpstreamId) -> None:
-        """Record it."""
+        """Mark an upstream as down."""
         self.down.append(upstream)
 
     def note_up(self, *, upstream: UpstreamId) -> None:
@@ -402,7 +402,7 @@
 
 @dataclass(slots=True)
 class FakeResponder:
-    """Keeps what a caller would get."""
+    """Records what a caller would receive."""
 
     status: int | None = None
     body: bytes = b""
@@ -412,39 +412,39 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the head was sent."""
+        """Whether the status was sent."""
         return self.status is not None
 
     async def begin(self, *, status: int, reason: str, headers: Sequence[Header]) -> None:
-        """Keep the status."""
+        """Record the status."""
         self.status = status
 
     async def write(self, chunk: bytes) -> None:
-        """Keep a piece."""
+        """Record a chunk."""
         self.body += chunk
 
     async def end(self) -> None:
-        """Keep the end."""
+        """Record the end."""
         self.ended = True
 
     async def answer(
         self, *, status: int, reason: str, headers: Sequence[Header], body: bytes
     ) -> None:
-        """Keep a whole answer."""
+        """Record a complete response."""
         self.status, self.body, self.ended = status, body, True
 
     async def refuse(self, *, refusal: Refusal) -> None:
-        """Keep a refusal."""
+        """Record a refusal."""
         self.refusal = refusal
 
     def abort(self) -> None:
-        """Keep that it was broken off."""
+        """Record that the connection was broken."""
         self.aborted = True
 
 
 @dataclass(slots=True)
-class FakeRepeats:
-    """Allows some repeats, and one for every five requests."""
+class FakeRetryBudget:
+    """Allows ``slack`` retries and one for every five requests."""
 
     slack: float
     requests: int = 0
@@ -455,7 +455,7 @@
         self.requests += 1
 
     async def may_repeat(self, *, service: ServiceId) -> bool:
-        """Take a repeat if one is left."""
+        """Use a retry if one is left."""
         if self.taken + 1 > self.slack + 0.2 * self.requests:
             return False
         self.taken += 1
@@ -463,15 +463,15 @@
 
 
 @dataclass(slots=True)
-class FakePermits:
-    """Decides itself about upstreams that warm up."""
+class FakeWarmupPermits:
+    """Decides locally on requests to upstreams in warm-up."""
 
     upstreams: FakeUpstreams
     warmup: WarmupLimit
     asked: list[str] = field(default_factory=list)
 
     async def may_send(self, *, upstream: UpstreamId) -> bool:
-        """Count a request if the upstream bears one more."""
+        """Count a request if the upstream's warm-up limit allows one more."""
         self.asked.append(upstream)
         entry = self.upstreams.get(upstream)
         return entry is not None and self.warmup.take(entry)
@@ -486,7 +486,7 @@
 
 @dataclass(slots=True)
 class Bench:
-    """All fakes, and the parts made of them."""
+    """All fakes, and the components built on them."""
 
     caller: FakeUpstreamClient
     engines: FakeEngines
@@ -494,19 +494,19 @@
     tables: FakeTables
     work: LocalWorkload
     parts: ForwardingParts
-    permits: FakePermits
+    permits: FakeWarmupPermits
     alone: HostAlone
 
     def totals(self) -> dict[UpstreamId, EngineTotal]:
-        """Return what runs on engines, as it is counted for decisions."""
+        """Return the load of the engines as it is counted for decisions."""
         return self.alone.coordinator.ledger.totals()
 
 
 def make_bench(*entries: UpstreamEntry, slack: float = 100.0) -> Bench:
-    """Return parts over fakes.
+    """Return components built on fakes.
 
     :param entries: The upstreams.
-    :param slack: Repeats that are allowed.
+    :param slack: Number of retries that are allowed regardless of the number of requests.
     """
     clock = Clock()
     caller, engines = FakeUpstreamClient(), FakeEngines()
@@ -516,7 +516,7 @@
     warmup = WarmupLimit(
         host=HOST, tables=tables, upstreams=upstreams, share=lambda: 1.0, clock=clock
     )
-    permits = FakePermits(upstreams=upstreams, warmup=warmup)
+    permits = FakeWarmupPermits(upstreams=upstreams, warmup=warmup)
     parts = ForwardingParts(
         tables=tables,
         upstreams=upstreams,
@@ -526,7 +526,7 @@
         upstream_client=caller,
         engines=engines,
         work=work,
-        retry_budget=FakeRepeats(slack=slack),
+        retry_budget=FakeRetryBudget(slack=slack),
         warmup=warmup,
         permits=permits,
         metrics=ForwardingMetrics(registry=CollectorRegistry()),
@@ -558,7 +558,7 @@
 
 
 def make_stream_mover(bench: Bench) -> StreamMover:
-    """Return what moves a host's streams, at the orders of that host itself."""
+    """Return the mover of a host's streams, with that host as its own decider."""
     movers = StreamMover(
         parts=bench.parts,
         check_decider=bench.alone.client.check_decider,
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -1,4 +1,4 @@
-"""Streams on engines that leave, and what moves them, over fakes."""
+"""Test harness for moving streams off leaving engines, built on fakes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(eq=False, slots=True)
 class FakeRun:
-    """A stream on an engine, as those see it that move streams."""
+    """A stream on an engine, with the interface that the mover uses."""
 
     routed: RoutedRequest
     entry: UpstreamEntry | None
@@ -53,7 +53,7 @@
         """Do nothing."""
 
     def finish_stop(self, resume_target: ResumeTarget | None) -> None:
-        """Go on elsewhere."""
+        """Record the resume target and resume there."""
         self.stops.append(resume_target)
         if resume_target is not None:
             self.entry = resume_target.entry
@@ -63,7 +63,7 @@
 
 
 class MoveHarness:
-    """Engines, streams on them, and what moves these."""
+    """Engines, the streams on them and their mover."""
 
     def __init__(self, *names: str) -> None:
         self.bench: Bench = make_bench(*(make_entry(name) for name in names))
@@ -82,7 +82,7 @@
     def add(
         self, name: str, *, at: str, tokens: int = 4000, made: int = 1000, begun: bool = True
     ) -> FakeRun:
-        """Put a stream on an engine."""
+        """Add a stream on an engine."""
         route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
         routed = route_request(make_request(name=name, prompt=tokens - made), route)
         run = FakeRun(
@@ -113,7 +113,7 @@
             self.begin(run)
 
     def begin(self, run: FakeRun) -> None:
-        """Let a stream begin to answer."""
+        """Record the first event of a stream."""
         run.begun = True
         run.began.set()
         self.bench.work.progress(request=run.request, tokens=run.tokens, made=run.made)
@@ -124,7 +124,7 @@
         self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
 
     def fill(self, name: str, *, tokens: int) -> None:
-        """Take memory of an engine with what needs no copies."""
+        """Use memory of an engine for a generation that needs no copies."""
         self.bench.work.begin(
             request=RequestId(f"filler of {name}"),
             upstream=UpstreamId(name),
@@ -134,11 +134,11 @@
         )
 
     def lose_store(self) -> None:
-        """Let the store tell of no more engines that leave."""
+        """Simulate an unavailable store, which reports no more leaving engines."""
         self.bench.upstreams.is_current = False
         self.coordinator.on_currency(False)
 
     def leave(self, name: str) -> None:
-        """Let an engine leave."""
+        """Mark an engine as leaving."""
         self.bench.upstreams.leaving.add(name)
         self.alone.on_leaving(UpstreamId(name))
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -42,10 +42,10 @@
 from testing._many_hosts import make_host
 from testing._virtual_time import run_virtually
 
-BOUND_S = 5.0
-"""Time after which an evacuation has to be in force."""
+MAX_PROPAGATION_S = 5.0
+"""Time within which an evacuation must be in force."""
 
-AT_ONCE_S = 0.1
+PROPAGATION_S = 0.1
 
 
 def _entry(key: str, value: bytes = b"{}", *, revision: int = 1) -> StoreEntry:
@@ -62,13 +62,13 @@
     return WatchBatch(entries=entries, deleted=deleted, revision=StoreRevision(10))
 
 
-def _made() -> Evacuations:
+def _make_evacuations() -> Evacuations:
     return Evacuations(domain_of=evacuated_domain, clock=Clock())
 
 
-def test_domain_is_evacuated_from_its_key_on_until_that_is_removed() -> None:
-    async def play() -> None:
-        evacuations = _made()
+def test_domain_is_evacuated_while_its_key_exists() -> None:
+    async def scenario() -> None:
+        evacuations = _make_evacuations()
         known = [evacuations.has_read]
         evacuations.on_snapshot(_snapshot())
         known.append(evacuations.has_read)
@@ -80,54 +80,54 @@
         evacuations.on_changes(_batch(deleted=("op/evacuate/a",)))
         assert not evacuations.domains
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_evacuation_ends_that_was_removed_while_changes_were_missed() -> None:
-    async def play() -> None:
-        evacuations = _made()
+def test_evacuation_ends_when_its_key_was_removed_while_changes_were_missed() -> None:
+    async def scenario() -> None:
+        evacuations = _make_evacuations()
         evacuations.on_snapshot(_snapshot("op/evacuate/a", "op/evacuate/b"))
         evacuations.on_snapshot(_snapshot("op/evacuate/b"))
         assert evacuations.domains == {"b"}
         assert evacuations.ended_ms(FailureDomainId("a")) is not None
         assert evacuations.ended_ms(FailureDomainId("b")) is None
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize(
     "key", ["op/evacuate/", "op/evacuate", "op/config", "servers/a", "evacuate/a", ""]
 )
 def test_other_keys_evacuate_nothing(key: str) -> None:
-    evacuations = _made()
+    evacuations = _make_evacuations()
     evacuations.on_changes(_batch(key))
     assert not evacuations.domains
 
 
-def test_hundreds_of_keys_for_unknown_places_change_nothing_for_the_known_ones() -> None:
-    async def play() -> None:
-        evacuations = _made()
+def test_known_domains_are_unaffected_by_hundreds_of_keys_for_unknown_domains() -> None:
+    async def scenario() -> None:
+        evacuations = _make_evacuations()
         keys = [f"op/evacuate/place {number}/é%2F" for number in range(500)]
         evacuations.on_changes(_batch(*keys, "op/evacuate/a"))
         evacuations.on_changes(_batch(deleted=tuple(keys)))
         assert evacuations.domains == {"a"}
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-class _Heard:
-    """Note what it is given."""
+class _RecordingListener:
+    """Records the entries and deletions it receives."""
 
     def __init__(self) -> None:
         self.keys: list[str] = []
         self.deleted: list[str] = []
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Note the keys."""
+        """Record the keys."""
         self.keys += [entry.key for entry in found.entries]
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Note the keys."""
+        """Record the keys."""
         self.keys += [entry.key for entry in batch.entries]
         self.deleted += batch.deleted
 
@@ -135,8 +135,8 @@
         """Do nothing."""
 
 
-def test_one_watch_brings_configuration_and_evacuations() -> None:
-    configuration, evacuations = _Heard(), _Heard()
+def test_one_watch_delivers_configuration_and_evacuations() -> None:
+    configuration, evacuations = _RecordingListener(), _RecordingListener()
     keys = OperatorKeys(
         configuration_key="op/config",
         configuration=configuration,
@@ -149,106 +149,106 @@
     assert (evacuations.keys, evacuations.deleted) == (["op/evacuate/a"], ["op/evacuate/a"])
 
 
-def _play(scene: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = 12) -> Any:
-    async def play() -> Any:
+def _run_with_fleet(
+    scenario: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = 12
+) -> Any:
+    async def run() -> Any:
         fleet = Fleet()
         await fleet.start(count=hosts, domains=3, engines=0)
         for domain in range(3):
             fleet.set_engine(f"e{domain}", domain=f"domain-{domain}")
         await asyncio.sleep(1)
-        return await scene(fleet)
+        return await scenario(fleet)
 
-    return run_virtually(play())
+    return run_virtually(run())
 
 
-def _start_first_segment(host: Host) -> set[str]:
-    """Return the engines that a host takes for open."""
+def _open_engines(host: Host) -> set[str]:
+    """Return the engines that a host considers open."""
     return {entry.upstream for entry in host.control.roster.open_for(SERVICE)}
 
 
 def _all_open(fleet: Fleet) -> set[str]:
-    return set().union(*(_start_first_segment(host) for host in fleet.hosts))
+    return set().union(*(_open_engines(host) for host in fleet.hosts))
 
 
-def test_all_hosts_know_of_an_evacuation_at_once() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_all_hosts_apply_an_evacuation_at_once() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
-        assert [_start_first_segment(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(
-            fleet.hosts
-        )
+        await asyncio.sleep(PROPAGATION_S)
+        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(fleet.hosts)
         answers = [await host.ask(f"r{number}") for number, host in enumerate(fleet.hosts)]
         assert {answer.upstream for answer in answers} == {"e0", "e2"}
         fleet.take_back("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
-        assert [_start_first_segment(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(
+        await asyncio.sleep(PROPAGATION_S)
+        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(
             fleet.hosts
         )
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_evacuation_that_is_put_and_removed_within_a_moment_leaves_nothing() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_short_evacuations_leave_no_state_behind() -> None:
+    async def scenario(fleet: Fleet) -> None:
         for _ in range(20):
             fleet.evacuate("domain-1")
             await asyncio.sleep(0.01)
             fleet.take_back("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert _all_open(fleet) == {"e0", "e1", "e2"}
         for _ in range(20):
             fleet.take_back("domain-1") if "op/evacuate/domain-1" in fleet.backend.entries else None
             fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert _all_open(fleet) == {"e0", "e2"}
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_two_domains_at_once_leave_the_third() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_third_domain_stays_open_when_two_are_evacuated() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-0")
         fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert _all_open(fleet) == {"e2"}
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
 def test_generation_is_refused_at_once_when_all_domains_are_evacuated() -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         for domain in range(3):
             fleet.evacuate(f"domain-{domain}")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         host = fleet.members[0]
         began = host.clock.now()
         answer = await host.ask("r", left_ms=1500)
         assert answer.kind is PlaceKind.REFUSE
-        assert host.clock.now() - began < AT_ONCE_S * 1000
+        assert host.clock.now() - began < PROPAGATION_S * 1000
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_evacuation_stays_in_force_while_the_store_is_away() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_evacuation_stays_in_force_while_the_store_is_unavailable() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for host in fleet.hosts:
             host.store.set_down(True)
         await asyncio.sleep(10)
         assert _all_open(fleet) == {"e0", "e2"}
         for host in fleet.coordinators:
             await fleet.kill(host)
-        await asyncio.sleep(BOUND_S)
+        await asyncio.sleep(MAX_PROPAGATION_S)
         assert _all_open(fleet) == {"e0", "e2"}
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_host_that_starts_knows_of_an_evacuation_before_it_knows_an_upstream() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_starting_host_applies_an_evacuation_before_it_uses_an_upstream() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for is_away in (False, True):
             host = make_host(
                 fleet.network, fleet.backend, f"late-{is_away}", seeds=(fleet.members[0].name,)
@@ -257,106 +257,106 @@
             await host.control.start()
             for _ in range(400):
                 await asyncio.sleep(0.01)
-                assert "e1" not in _start_first_segment(host)
-            assert _start_first_segment(host) == {"e0", "e2"}
+                assert "e1" not in _open_engines(host)
+            assert _open_engines(host) == {"e0", "e2"}
             assert host.control.evacuations.has_read
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_all_hosts_that_start_together_know_of_an_evacuation() -> None:
-    async def play() -> None:
+def test_hosts_that_start_together_apply_an_evacuation() -> None:
+    async def scenario() -> None:
         fleet = Fleet()
         for domain in range(3):
             fleet.set_engine(f"e{domain}", domain=f"domain-{domain}")
         fleet.evacuate("domain-2")
         await fleet.start(count=9, domains=3, engines=0)
-        assert [_start_first_segment(host) for host in fleet.hosts] == [{"e0", "e1"}] * 9
+        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e1"}] * 9
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("frozen", [1, 3, 4])
-def test_evacuation_is_in_force_in_time_though_coordinators_stand_still(frozen: int) -> None:
-    async def scene(fleet: Fleet) -> None:
-        dark = fleet.coordinators[:frozen]
-        for host in dark:
+def test_evacuation_is_in_force_in_time_when_coordinators_are_frozen(frozen: int) -> None:
+    async def scenario(fleet: Fleet) -> None:
+        frozen_hosts = fleet.coordinators[:frozen]
+        for host in frozen_hosts:
             fleet.freeze(host)
         fleet.evacuate("domain-1")
-        await asyncio.sleep(BOUND_S)
-        left = [host for host in fleet.hosts if host not in dark]
-        assert [_start_first_segment(host) for host in left] == [{"e0", "e2"}] * len(left)
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        remaining = [host for host in fleet.hosts if host not in frozen_hosts]
+        assert [_open_engines(host) for host in remaining] == [{"e0", "e2"}] * len(remaining)
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_evacuation_is_heard_of_by_a_host_whose_source_stands_still() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_evacuation_reaches_a_host_when_its_source_is_frozen() -> None:
+    async def scenario(fleet: Fleet) -> None:
         member = fleet.members[0]
         source = member.control.evacuations_feed.source
         fleet.freeze(next(host for host in fleet.hosts if host.name == source))
         fleet.evacuate("domain-1")
-        await asyncio.sleep(BOUND_S / 2)
-        assert _start_first_segment(member) == {"e0", "e2"}
+        await asyncio.sleep(MAX_PROPAGATION_S / 2)
+        assert _open_engines(member) == {"e0", "e2"}
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_host_that_was_cut_off_learns_what_changed_meanwhile() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_isolated_host_catches_up_when_it_is_reconnected() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
-        await asyncio.sleep(AT_ONCE_S)
-        cut = fleet.members[0]
-        fleet.freeze(cut)
+        await asyncio.sleep(PROPAGATION_S)
+        isolated = fleet.members[0]
+        fleet.freeze(isolated)
         fleet.take_back("domain-1")
         fleet.evacuate("domain-0")
         await asyncio.sleep(3)
-        assert _start_first_segment(cut) == {"e0", "e2"}
+        assert _open_engines(isolated) == {"e0", "e2"}
         fleet.network.thaw()
-        cut.store.set_down(False)
-        await asyncio.sleep(BOUND_S)
-        assert _start_first_segment(cut) == {"e1", "e2"}
+        isolated.store.set_down(False)
+        await asyncio.sleep(MAX_PROPAGATION_S)
+        assert _open_engines(isolated) == {"e1", "e2"}
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-def test_what_waits_for_an_evacuated_engine_gets_another() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_waiting_generation_gets_another_engine_when_a_domain_is_evacuated() -> None:
+    async def scenario(fleet: Fleet) -> None:
         filler = fleet.members[1]
         for engine in ("e0", "e1", "e2"):
             filler.begin(f"filler of {engine}", at=engine, tokens=31_000)
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         waiting = asyncio.create_task(fleet.members[0].ask("r", left_ms=8000))
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         fleet.evacuate("domain-1")
         filler.end("filler of e1")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert not waiting.done()
         filler.end("filler of e2")
         assert (await waiting).upstream == "e2"
 
-    _play(scene)
+    _run_with_fleet(scenario)
 
 
-class _Decider:
-    """Gives engines in turn, as one does that has not heard of an evacuation."""
+class _OutdatedPlacer:
+    """Places generations like a decider that does not know of an evacuation."""
 
     def __init__(self, *engines: str) -> None:
         self._engines = list(engines)
 
     async def place(self, *, ask: Any) -> PlaceAnswer:
-        """Give the next engine that is not excluded, or refuse."""
-        left = [engine for engine in self._engines if engine not in ask.excluded]
-        if not left:
+        """Return the next engine that is not excluded, or a refusal."""
+        remaining = [engine for engine in self._engines if engine not in ask.excluded]
+        if not remaining:
             return PlaceAnswer(serial=ask.serial, kind=PlaceKind.REFUSE)
-        return PlaceAnswer(serial=ask.serial, kind=PlaceKind.SEND, upstream=left[0])
+        return PlaceAnswer(serial=ask.serial, kind=PlaceKind.SEND, upstream=remaining[0])
 
 
-def test_host_does_not_use_what_a_decider_gives_that_knows_less() -> None:
-    async def play() -> None:
+def test_host_skips_an_evacuated_engine_when_an_outdated_decider_chooses_it() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x", domain="a"), make_entry("y", domain="b"))
         bench.upstreams.evacuated.add("a")
-        admission = Admission(parts=bench.parts, placer=_Decider("x", "y"))
+        admission = Admission(parts=bench.parts, placer=_OutdatedPlacer("x", "y"))
         routed = route_request(
             make_request(prompt=1000), make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
         )
@@ -366,39 +366,37 @@
         found = await admission.find_engine(routed=routed, excluded=frozenset())
         assert isinstance(found, Failure)
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_plain_request_goes_elsewhere_also_a_second_time_and_is_refused_when_nothing_is_left() -> (
-    None
-):
-    async def play() -> None:
+def test_plain_request_avoids_evacuated_upstreams_and_is_refused_when_none_is_left() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x", domain="a"), make_entry("y", domain="b"))
         bench.upstreams.evacuated.add("a")
         bench.caller.hang.add("y")
         request = route_request(make_request(), make_route())
         task = asyncio.create_task(
-            PlainForwarder(routed=request, parts=bench.parts).serve(_caller())
+            PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
         )
         await asyncio.sleep(1.9)
         assert bench.caller.asked == ["y"]
         task.cancel()
         bench.upstreams.evacuated.add("b")
-        refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(_caller())
+        refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
         assert refusal is not None
         assert refusal.kind is RefusalKind.OVERLOADED
         assert refusal.retry_after_ms is not None
         assert bench.caller.asked == ["y"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def _caller() -> FakeResponder:
+def _make_responder() -> FakeResponder:
     return FakeResponder()
 
 
-def test_run_goes_on_only_where_requests_may_be_sent() -> None:
-    async def play() -> None:
+def test_run_resumes_only_on_engines_that_are_not_evacuated() -> None:
+    async def scenario() -> None:
         x, y = make_entry("x", domain="a"), make_entry("y", domain="b")
         bench = make_bench(x, y)
         routed = route_request(make_request(prompt=1000), make_route(kind=RouteKind.STREAMING))
@@ -418,19 +416,19 @@
         )
         assert bench.caller.asked == ["x"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_no_engine_of_an_evacuated_domain_takes_work_though_all_others_leave() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_evacuated_engine_gets_no_work_when_all_others_leave() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
         fleet.set_engine("e0", state="leaving")
         fleet.set_engine("e2", state="leaving", domain="domain-2")
-        await asyncio.sleep(AT_ONCE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for host in fleet.hosts:
             parts = host.control.coordinator._parts
             assert UpstreamId("e1") not in {
                 entry.upstream for entry in eligible_upstreams(parts, SERVICE)
             }
 
-    _play(scene)
+    _run_with_fleet(scenario)
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -1,7 +1,7 @@
-"""What hosts know of evacuations through lost, late and repeated news, as a state machine.
+"""State machine test of how hosts learn evacuations through lost, late and repeated messages.
 
-The pattern: operators evacuate and take back failure domains in quick succession while some hosts
-read the store and the others hear from these, over links that lose, delay and repeat messages.
+Operators evacuate and restore failure domains in quick succession. Some hosts read the store, the
+others follow these readers over links that drop, delay and repeat messages.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 HOSTS = READERS + MEMBERS
 
 
-class _StoppedClock:
-    """Time that passes when it is told to."""
+class _ManualClock:
+    """Clock that only advances explicitly."""
 
     def __init__(self) -> None:
         self.at = 1
@@ -54,7 +54,7 @@
 
 
 class _Host:
-    """A host's feed and what it knows."""
+    """A host's feed and the evacuations it knows."""
 
     def __init__(self, name: str, machine: EvacuationMachine) -> None:
         self.name = HostId(name)
@@ -67,7 +67,7 @@
         )
 
     def heartbeat(self) -> Heartbeat:
-        """Return what it tells of itself."""
+        """Return the host's heartbeat."""
         return Heartbeat(revision=0, evacuations=self.feed.reached)
 
 
@@ -76,66 +76,66 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.time = _StoppedClock()
+        self.time = _ManualClock()
         self.clock = cast(Clock, self.time)
         self.domains_at: dict[int, frozenset[str]] = {1: frozenset()}
         self.revision = 1
-        self.on_way: list[tuple[HostId, HostId, Message]] = []
+        self.in_flight: list[tuple[HostId, HostId, Message]] = []
         self.hosts = {name: _Host(name, self) for name in HOSTS}
 
     def send(self, sender: HostId, receiver: HostId, message: Message) -> bool:
-        """Put a message on its way."""
-        self.on_way.append((sender, receiver, message))
+        """Add a message to those in flight."""
+        self.in_flight.append((sender, receiver, message))
         return True
 
     @initialize()
     def begin(self) -> None:
-        """Let members hear from one of the readers."""
+        """Let each member follow one of the readers."""
         for number, name in enumerate(MEMBERS):
             self.hosts[name].feed.follow(HostId(READERS[number]))
 
     @rule(domain=st.sampled_from(DOMAINS))
     def toggle(self, domain: str) -> None:
-        """Evacuate a failure domain, or take it back."""
+        """Evacuate a failure domain, or end its evacuation."""
         self.revision += 1
         self.domains_at[self.revision] = self.domains_at[self.revision - 1] ^ {domain}
 
     @rule(name=st.sampled_from(READERS))
     def read_all(self, name: str) -> None:
-        """Let a reader read the store after it missed changes."""
+        """Let a reader read the full state after it missed changes."""
         self.hosts[name].feed.on_snapshot(self._snapshot())
 
     @rule(name=st.sampled_from(READERS))
     def read_changes(self, name: str) -> None:
-        """Let a reader's watch bring the changes since it looked last."""
+        """Deliver the changes since a reader's last revision through its watch."""
         feed = self.hosts[name].feed
         if feed.reached and feed.reached < self.revision:
             feed.on_changes(self._changes_after(feed.reached))
 
     @rule(number=st.integers(0, 20), repeats=st.booleans())
     def deliver(self, number: int, repeats: bool) -> None:
-        """Deliver any message on its way, and perhaps once more later."""
-        if self.on_way:
-            message = self.on_way[number % len(self.on_way)]
+        """Deliver a message in flight, and keep it for another delivery if it repeats."""
+        if self.in_flight:
+            message = self.in_flight[number % len(self.in_flight)]
             if not repeats:
-                self.on_way.remove(message)
-            self._take(*message)
+                self.in_flight.remove(message)
+            self._receive(*message)
 
     @rule(number=st.integers(0, 20))
-    def lose(self, number: int) -> None:
-        """Lose a message."""
-        if self.on_way:
-            del self.on_way[number % len(self.on_way)]
+    def drop(self, number: int) -> None:
+        """Drop a message."""
+        if self.in_flight:
+            del self.in_flight[number % len(self.in_flight)]
 
     @rule(name=st.sampled_from(MEMBERS), source=st.sampled_from(READERS))
-    def hear_from(self, name: str, source: str) -> None:
-        """Let a member hear from a reader, which may be another one."""
+    def follow_reader(self, name: str, source: str) -> None:
+        """Let a member follow a reader, possibly another one."""
         self.hosts[name].feed.follow(HostId(source))
 
     @rule(name=st.sampled_from(HOSTS))
     def restart(self, name: str) -> None:
-        """Start a host anew; what was on its way to it is lost."""
-        self.on_way = [one for one in self.on_way if name not in one[:2]]
+        """Restart a host; messages in flight from or to it are lost."""
+        self.in_flight = [one for one in self.in_flight if name not in one[:2]]
         self.hosts[name] = _Host(name, self)
         for other in self.hosts.values():
             other.feed.on_gone(HostId(name))
@@ -145,13 +145,13 @@
 
     @rule()
     def settle(self) -> None:
-        """Let all messages arrive and all hosts tell how far they are: then all know the same."""
+        """Deliver all messages and heartbeats; all hosts must then know the newest state."""
         for name in READERS:
             self.read_all(name)
         for _ in range(4):
             self._deliver_all()
             for sender, receiver in self._pairs():
-                self._take(sender, receiver, self.hosts[sender].heartbeat())
+                self._receive(sender, receiver, self.hosts[sender].heartbeat())
             self.time.at += BEHIND_MS
         self._deliver_all()
         newest = self.domains_at[self.revision]
@@ -159,18 +159,18 @@
             assert host.evacuations.domains == newest, host.name
 
     @invariant()
-    def knowledge_is_of_one_moment(self) -> None:
-        """What a host knows is what the store held at the revision that the host has reached."""
+    def state_matches_one_revision(self) -> None:
+        """Each host's state equals that of the store at the revision the host has reached."""
         for host in self.hosts.values():
             if host.feed.reached:
                 assert host.evacuations.domains == self.domains_at[host.feed.reached], host.name
             assert host.evacuations.has_read is bool(host.feed.reached)
 
     def _deliver_all(self) -> None:
-        while self.on_way:
-            self._take(*self.on_way.pop(0))
+        while self.in_flight:
+            self._receive(*self.in_flight.pop(0))
 
-    def _take(self, sender: HostId, receiver: HostId, message: Message) -> None:
+    def _receive(self, sender: HostId, receiver: HostId, message: Message) -> None:
         before = self.hosts[receiver].feed.reached
         self.hosts[receiver].feed.on_message(sender, message)
         assert self.hosts[receiver].feed.reached >= before
--- a/testing/test_forwarding_admission.py
+++ b/testing/test_forwarding_admission.py
@@ -1,4 +1,4 @@
-"""Who waits for room, who goes first, and who is refused at once."""
+"""Admission of generations: waiting for capacity, order of placement and immediate refusals."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from testing._gateway_fakes import route_request
 from testing._virtual_time import run_virtually
 
-FULL = 31_000
+FULL_TOKENS = 31_000
 TARGET_MS = 1500
 Found = Result[UpstreamEntry, Refusal]
 
 
-def _fill(bench: Bench, name: str = "filler", tokens: int = FULL) -> RequestId:
-    """Take most of an engine's memory."""
+def _fill(bench: Bench, name: str = "filler", tokens: int = FULL_TOKENS) -> RequestId:
+    """Use most of an engine's memory."""
     request = RequestId(name)
     upstream = bench.upstreams.entries[0].upstream
     bench.work.begin(
@@ -40,7 +40,7 @@
     return request
 
 
-def _ask(
+def _find_engine(
     bench: Bench,
     admission: Admission,
     name: str,
@@ -50,9 +50,10 @@
     left_of_ms: int | None = None,
     target_ms: int = TARGET_MS,
 ) -> asyncio.Task[Found]:
-    """Ask for an engine.
+    """Request an engine.
 
-    :param left_of_ms: What the caller has left of its route's 39 s, when it came back.
+    :param left_of_ms: Time that a retrying caller has left of its route's 39 s; ``None`` for a
+        first attempt.
     """
     route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000, target_ms=target_ms)
     request = make_request(name=name, prompt=prompt, longest=longest)
@@ -63,40 +64,40 @@
     return asyncio.create_task(admission.find_engine(routed=routed, excluded=frozenset()))
 
 
-def _made() -> tuple[Bench, Admission]:
+def _make_admission() -> tuple[Bench, Admission]:
     bench = make_bench(make_entry("x"))
     return bench, Admission(parts=bench.parts, placer=bench.alone.client)
 
 
-def test_generation_gets_an_engine_at_once_when_there_is_room() -> None:
-    async def play() -> bool:
-        bench, admission = _made()
-        return isinstance(await _ask(bench, admission, "1"), Success)
+def test_generation_gets_an_engine_at_once_when_there_is_capacity() -> None:
+    async def scenario() -> bool:
+        bench, admission = _make_admission()
+        return isinstance(await _find_engine(bench, admission, "1"), Success)
 
-    assert run_virtually(play())
+    assert run_virtually(scenario())
 
 
-def test_generation_gets_its_engine_when_another_one_ends() -> None:
-    async def play() -> tuple[bool, bool]:
-        bench, admission = _made()
+def test_generation_gets_an_engine_when_another_generation_ends() -> None:
+    async def scenario() -> tuple[bool, bool]:
+        bench, admission = _make_admission()
         filler = _fill(bench)
-        waiting = _ask(bench, admission, "1")
+        waiting = _find_engine(bench, admission, "1")
         await asyncio.sleep(0.5)
         before = waiting.done()
         bench.work.end(request=filler)
         return before, isinstance(await waiting, Success)
 
-    assert run_virtually(play()) == (False, True)
+    assert run_virtually(scenario()) == (False, True)
 
 
-def test_generation_is_refused_as_not_run_when_there_is_no_room_for_long() -> None:
-    async def play() -> tuple[int, Found]:
-        bench, admission = _made()
+def test_generation_is_refused_as_not_run_when_capacity_stays_exhausted() -> None:
+    async def scenario() -> tuple[int, Found]:
+        bench, admission = _make_admission()
         _fill(bench)
-        found = await _ask(bench, admission, "1")
+        found = await _find_engine(bench, admission, "1")
         return bench.parts.clock.now(), found
 
-    waited, found = run_virtually(play())
+    waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
     refusal = found.failure()
     assert refusal.kind is RefusalKind.OVERLOADED
@@ -104,47 +105,49 @@
     assert TARGET_MS + MAX_LATE_WAIT_MS - 50 <= waited <= TARGET_MS + MAX_LATE_WAIT_MS + 100
 
 
-def test_caller_that_comes_back_late_is_refused_at_once_when_there_is_no_room() -> None:
-    async def play() -> tuple[int, Found]:
-        bench, admission = _made()
+def test_late_retry_is_refused_at_once_when_there_is_no_capacity() -> None:
+    async def scenario() -> tuple[int, Found]:
+        bench, admission = _make_admission()
         _fill(bench)
-        found = await _ask(bench, admission, "1", left_of_ms=30_000)
+        found = await _find_engine(bench, admission, "1", left_of_ms=30_000)
         return bench.parts.clock.now(), found
 
-    waited, found = run_virtually(play())
+    waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
     assert waited < 100
 
 
-def test_caller_that_comes_back_late_is_served_when_there_is_room() -> None:
-    async def play() -> bool:
-        bench, admission = _made()
-        return isinstance(await _ask(bench, admission, "1", left_of_ms=30_000), Success)
+def test_late_retry_is_served_when_there_is_capacity() -> None:
+    async def scenario() -> bool:
+        bench, admission = _make_admission()
+        return isinstance(await _find_engine(bench, admission, "1", left_of_ms=30_000), Success)
 
-    assert run_virtually(play())
+    assert run_virtually(scenario())
 
 
-def test_caller_that_came_back_gets_the_room_that_is_left_a_moment_later() -> None:
-    async def play() -> tuple[bool, bool]:
-        bench, admission = _made()
+def test_late_retry_gets_an_engine_when_capacity_is_freed_within_its_wait() -> None:
+    async def scenario() -> tuple[bool, bool]:
+        bench, admission = _make_admission()
         filler = _fill(bench)
-        # It was refused once, and its first event is a second late.
-        came_back = _ask(bench, admission, "1", left_of_ms=39_000 - TARGET_MS - 1000)
+        # The caller was refused once, and its first event is a second late.
+        retry = _find_engine(bench, admission, "1", left_of_ms=39_000 - TARGET_MS - 1000)
         await asyncio.sleep(1)
-        before = came_back.done()
+        before = retry.done()
         bench.work.end(request=filler)
-        return before, isinstance(await came_back, Success)
+        return before, isinstance(await retry, Success)
 
-    assert run_virtually(play()) == (False, True)
+    assert run_virtually(scenario()) == (False, True)
 
 
-def test_what_can_be_in_time_goes_before_what_is_late() -> None:
-    async def play() -> list[str]:
-        bench, admission = _made()
+def test_generation_on_time_is_placed_before_a_late_one() -> None:
+    async def scenario() -> list[str]:
+        bench, admission = _make_admission()
         filler = _fill(bench)
-        late = _ask(bench, admission, "late", prompt=15_000, left_of_ms=39_000 - TARGET_MS - 1000)
+        late = _find_engine(
+            bench, admission, "late", prompt=15_000, left_of_ms=39_000 - TARGET_MS - 1000
+        )
         await asyncio.sleep(0.1)
-        fresh = _ask(bench, admission, "fresh", prompt=15_000)
+        fresh = _find_engine(bench, admission, "fresh", prompt=15_000)
         await asyncio.sleep(0.1)
         bench.work.end(request=filler)
         await fresh
@@ -152,30 +155,30 @@
         late.cancel()
         return order
 
-    assert run_virtually(play()) == ["fresh"]
+    assert run_virtually(scenario()) == ["fresh"]
 
 
 @pytest.mark.parametrize(("longest", "left_ms"), [(2000, 30_000), (2000, 3000), (100, 6000)])
-def test_nothing_waits_so_long_that_its_answer_can_not_end_in_time(
-    longest: int, left_ms: int
-) -> None:
-    async def play() -> int:
-        bench, admission = _made()
+def test_wait_leaves_time_for_the_answer_before_the_deadline(longest: int, left_ms: int) -> None:
+    async def scenario() -> int:
+        bench, admission = _make_admission()
         _fill(bench)
-        await _ask(bench, admission, "1", longest=longest, left_of_ms=left_ms)
+        await _find_engine(bench, admission, "1", longest=longest, left_of_ms=left_ms)
         return bench.parts.clock.now()
 
-    assert run_virtually(play()) <= max(left_ms - RESPONSE_RESERVE_MS, 0) + 100
+    assert run_virtually(scenario()) <= max(left_ms - RESPONSE_RESERVE_MS, 0) + 100
 
 
-def test_short_answers_go_first_and_then_the_first_to_come() -> None:
-    async def play() -> list[str]:
-        bench, admission = _made()
+def test_short_generations_are_placed_first_then_in_arrival_order() -> None:
+    async def scenario() -> list[str]:
+        bench, admission = _make_admission()
         filler = _fill(bench)
         order: list[str] = []
 
         async def keep(name: str, longest: int) -> None:
-            await _ask(bench, admission, name, prompt=20_000, longest=longest, target_ms=4000)
+            await _find_engine(
+                bench, admission, name, prompt=20_000, longest=longest, target_ms=4000
+            )
             order.append(name)
             bench.work.end(request=RequestId(name))
 
@@ -187,15 +190,15 @@
         await asyncio.gather(*tasks)
         return order
 
-    assert run_virtually(play()) == ["short", "long-1", "long-2"]
+    assert run_virtually(scenario()) == ["short", "long-1", "long-2"]
 
 
-def test_memory_is_promised_only_once_when_several_wait() -> None:
-    async def play() -> int:
-        bench, admission = _made()
+def test_memory_is_reserved_only_once_when_several_generations_wait() -> None:
+    async def scenario() -> int:
+        bench, admission = _make_admission()
         filler = _fill(bench)
         tasks = [
-            _ask(bench, admission, str(number), prompt=14_000, target_ms=30_000)
+            _find_engine(bench, admission, str(number), prompt=14_000, target_ms=30_000)
             for number in range(4)
         ]
         await asyncio.sleep(0.1)
@@ -203,25 +206,25 @@
         await asyncio.sleep(0.1)
         return sum(task.done() for task in tasks)
 
-    assert run_virtually(play()) == 2
+    assert run_virtually(scenario()) == 2
 
 
-def test_generation_that_is_given_up_leaves_the_queue() -> None:
-    async def play() -> int:
-        bench, admission = _made()
+def test_generation_leaves_the_queue_when_it_is_cancelled() -> None:
+    async def scenario() -> int:
+        bench, admission = _make_admission()
         _fill(bench)
-        waiting = _ask(bench, admission, "1")
+        waiting = _find_engine(bench, admission, "1")
         await asyncio.sleep(0.1)
         waiting.cancel()
         await asyncio.sleep(0.1)
         return bench.alone.coordinator.queue.waiting
 
-    assert run_virtually(play()) == 0
+    assert run_virtually(scenario()) == 0
 
 
 @pytest.mark.parametrize("excluded", [True, False])
-def test_engine_that_refused_is_not_chosen_again(excluded: bool) -> None:
-    async def play() -> str:
+def test_engine_is_not_chosen_when_it_is_excluded(excluded: bool) -> None:
+    async def scenario() -> str:
         bench = make_bench(make_entry("x"), make_entry("y"))
         admission = Admission(parts=bench.parts, placer=bench.alone.client)
         _fill(bench, tokens=10_000)
@@ -232,4 +235,4 @@
         entry: UpstreamEntry = found.unwrap()
         return entry.upstream
 
-    assert run_virtually(play()) == ("x" if excluded else "y")
+    assert run_virtually(scenario()) == ("x" if excluded else "y")
--- a/testing/test_forwarding_dispatcher.py
+++ b/testing/test_forwarding_dispatcher.py
@@ -1,4 +1,4 @@
-"""Every request gets one answer in time, whatever its route and its host's state."""
+"""Every request gets exactly one response in time, in every state of its host."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 STREAM = make_route(kind=RouteKind.STREAMING, prefix="/s/", timeout_ms=39_000, name="stream")
 
 
-class Scene:
-    """A dispatcher over fakes."""
+class DispatcherHarness:
+    """A dispatcher built on fakes."""
 
     def __init__(self) -> None:
         self.bench: Bench = make_bench(make_entry("x"))
@@ -50,7 +50,7 @@
         )
 
     async def ask(self, request: CallerRequest) -> FakeResponder:
-        """Return what the caller gets."""
+        """Return what the caller receives."""
         responder = FakeResponder()
         await self.dispatcher.serve(request, responder)
         return responder
@@ -64,134 +64,134 @@
     return make_request(path="/s/x", prompt=100, longest=longest)
 
 
-def test_request_is_answered_by_its_route() -> None:
-    async def play() -> None:
-        responder = await Scene().ask(make_request())
+def test_request_is_answered_when_its_route_matches() -> None:
+    async def scenario() -> None:
+        responder = await DispatcherHarness().ask(make_request())
         assert (responder.status, responder.body) == (200, b"answer")
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_host_that_knows_no_declarations_refuses_so_that_callers_come_back() -> None:
-    async def play() -> None:
-        scene = Scene()
-        scene.bench.tables.table = None
-        responder = await scene.ask(make_request())
+def test_host_refuses_with_a_retry_delay_when_it_has_no_declarations() -> None:
+    async def scenario() -> None:
+        harness = DispatcherHarness()
+        harness.bench.tables.table = None
+        responder = await harness.ask(make_request())
         assert responder.refusal is not None
         assert responder.refusal.kind is RefusalKind.NOT_READY
         assert responder.refusal.retry_after_ms is not None
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("path", ["/b/x", "/a", "/ab/x", "/"])
-def test_request_without_a_route_is_told_so(path: str) -> None:
-    async def play() -> None:
-        scene = Scene()
-        responder = await scene.ask(make_request(path=path))
+def test_request_is_refused_as_unknown_route_when_no_route_matches(path: str) -> None:
+    async def scenario() -> None:
+        harness = DispatcherHarness()
+        responder = await harness.ask(make_request(path=path))
         assert _kind(responder) is RefusalKind.UNKNOWN_ROUTE
-        assert scene.bench.caller.requests == []
+        assert harness.bench.caller.requests == []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_caller_gets_an_answer_at_the_time_of_its_route() -> None:
-    async def play() -> tuple[RefusalKind | None, int]:
-        scene = Scene()
-        scene.bench.caller.hang = {"x"}
-        responder = await scene.ask(make_request())
-        return _kind(responder), scene.bench.parts.clock.now()
+def test_request_times_out_at_the_timeout_of_its_route() -> None:
+    async def scenario() -> tuple[RefusalKind | None, int]:
+        harness = DispatcherHarness()
+        harness.bench.caller.hang = {"x"}
+        responder = await harness.ask(make_request())
+        return _kind(responder), harness.bench.parts.clock.now()
 
-    assert run_virtually(play()) == (RefusalKind.TIMED_OUT, PLAIN.timeout_ms)
+    assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, PLAIN.timeout_ms)
 
 
-def test_caller_that_waits_less_than_its_route_allows_gets_its_answer_sooner() -> None:
-    async def play() -> tuple[RefusalKind | None, int]:
-        scene = Scene()
-        scene.bench.caller.hang = {"x"}
-        responder = await scene.ask(replace(make_request(), time_left_ms=700))
-        return _kind(responder), scene.bench.parts.clock.now()
+def test_request_times_out_earlier_when_the_caller_sets_a_shorter_deadline() -> None:
+    async def scenario() -> tuple[RefusalKind | None, int]:
+        harness = DispatcherHarness()
+        harness.bench.caller.hang = {"x"}
+        responder = await harness.ask(replace(make_request(), time_left_ms=700))
+        return _kind(responder), harness.bench.parts.clock.now()
 
-    assert run_virtually(play()) == (RefusalKind.TIMED_OUT, 700)
+    assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, 700)
 
 
-def test_request_whose_time_is_over_when_it_comes_is_answered_at_once() -> None:
-    async def play() -> int:
-        scene = Scene()
-        scene.bench.caller.hang = {"x"}
+def test_request_times_out_at_once_when_its_deadline_has_passed_on_arrival() -> None:
+    async def scenario() -> int:
+        harness = DispatcherHarness()
+        harness.bench.caller.hang = {"x"}
         request = replace(make_request(), arrived=Millis(0), time_left_ms=0)
-        assert _kind(await scene.ask(request)) is RefusalKind.TIMED_OUT
-        return scene.bench.parts.clock.now()
+        assert _kind(await harness.ask(request)) is RefusalKind.TIMED_OUT
+        return harness.bench.parts.clock.now()
 
-    assert run_virtually(play()) <= 1
+    assert run_virtually(scenario()) <= 1
 
 
-def test_stream_that_has_begun_is_broken_off_and_never_answered_twice() -> None:
-    async def play() -> None:
-        scene = Scene()
-        scene.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n", None]))
-        responder = await scene.ask(_generation())
+def test_started_stream_is_aborted_without_a_second_response_when_it_fails() -> None:
+    async def scenario() -> None:
+        harness = DispatcherHarness()
+        harness.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n", None]))
+        responder = await harness.ask(_generation())
         assert (responder.status, responder.refusal) == (200, None)
         assert responder.aborted
         assert not responder.ended
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stopping_host_sends_long_generations_elsewhere_and_serves_the_rest() -> None:
-    async def play() -> None:
-        scene = Scene()
-        scene.is_stopping = True
-        scene.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n"]))
-        refused = await scene.ask(_generation())
+def test_stopping_host_refuses_only_long_generations() -> None:
+    async def scenario() -> None:
+        harness = DispatcherHarness()
+        harness.is_stopping = True
+        harness.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n"]))
+        refused = await harness.ask(_generation())
         assert refused.refusal is not None
         assert refused.refusal.kind is RefusalKind.OVERLOADED
         assert refused.refusal.retry_after_ms is not None
         assert refused.refusal.retry_after_ms < 100
-        assert scene.bench.caller.requests == []
-        assert (await scene.ask(_generation(longest=40))).ended
-        assert (await scene.ask(make_request())).ended
+        assert harness.bench.caller.requests == []
+        assert (await harness.ask(_generation(longest=40))).ended
+        assert (await harness.ask(make_request())).ended
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_host_counts_what_it_answers() -> None:
-    async def play() -> None:
-        scene = Scene()
-        scene.bench.caller.hang = {"x"}
-        asking = asyncio.create_task(scene.ask(make_request()))
+def test_host_counts_requests_in_progress() -> None:
+    async def scenario() -> None:
+        harness = DispatcherHarness()
+        harness.bench.caller.hang = {"x"}
+        serving = asyncio.create_task(harness.ask(make_request()))
         await asyncio.sleep(0.1)
-        assert scene.dispatcher.running == 1
-        await asking
-        assert scene.dispatcher.running == 0
+        assert harness.dispatcher.running == 1
+        await serving
+        assert harness.dispatcher.running == 0
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_request_that_crashes_what_runs_it_reaches_few_upstreams() -> None:
-    async def play() -> tuple[int, RefusalKind | None]:
-        scene = Scene()
+def test_request_that_crashes_upstreams_is_quarantined_after_three() -> None:
+    async def scenario() -> tuple[int, RefusalKind | None]:
+        harness = DispatcherHarness()
         names = [f"e{number}" for number in range(12)]
-        scene.bench.upstreams.entries = [make_entry(name) for name in names]
+        harness.bench.upstreams.entries = [make_entry(name) for name in names]
         lost = ExchangeError(ExchangeFailure.LOST, "crashed")
         for name in names:
-            scene.bench.caller.set(name, lost)
+            harness.bench.caller.set(name, lost)
         for _ in range(10):
-            responder = await scene.ask(_generation())
-        return len(scene.bench.caller.requests), _kind(responder)
+            responder = await harness.ask(_generation())
+        return len(harness.bench.caller.requests), _kind(responder)
 
-    assert run_virtually(play()) == (3, RefusalKind.QUARANTINED)
+    assert run_virtually(scenario()) == (3, RefusalKind.QUARANTINED)
 
 
-def test_request_beside_one_that_crashes_upstreams_is_served() -> None:
-    async def play() -> FakeResponder:
-        scene = Scene()
+def test_request_is_served_when_another_request_crashes_upstreams() -> None:
+    async def scenario() -> FakeResponder:
+        harness = DispatcherHarness()
         for name in ("a", "b", "c"):
             other = make_request(name="other", path="/s/other", prompt=100)
             fingerprint = route_request(other, STREAM).fingerprint
-            scene.bench.parts.suspects.note_broken(
+            harness.bench.parts.suspects.note_broken(
                 fingerprint=fingerprint, upstream=UpstreamId(name)
             )
-        return await scene.ask(make_request())
+        return await harness.ask(make_request())
 
-    assert run_virtually(play()).ended
+    assert run_virtually(scenario()).ended
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -1,4 +1,4 @@
-"""Streams leave engines that go, and copies are taken before where a notice would be too short."""
+"""Streams move off leaving engines; runs are copied in advance if a notice would be too short."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 from testing._move_harness import MoveHarness
 from testing._virtual_time import run_virtually
 
-QUIET_S = 5
+SETTLE_S = 5
 
 
-def test_run_is_copied_then_stopped_and_goes_on_when_its_engine_leaves() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.leave("x")
+def test_run_is_copied_then_stopped_and_resumed_when_its_engine_leaves() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.leave("x")
         await asyncio.sleep(1.0)
-        assert scene.bench.engines.copies == [("1", "x", "y", False), ("1", "x", "y", True)]
+        assert harness.bench.engines.copies == [("1", "x", "y", False), ("1", "x", "y", True)]
         (resume_target,) = run.stops
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.holder.upstream) == ("y", "x")
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_that_has_a_copy_only_needs_the_rest() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="z")
-        scene.leave("x")
+def test_only_the_rest_of_a_run_is_copied_when_it_has_a_copy() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="z")
+        harness.leave("x")
         await asyncio.sleep(1.0)
-        assert scene.bench.engines.copies == [("1", "x", "z", True)]
+        assert harness.bench.engines.copies == [("1", "x", "z", True)]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copies_of_one_engine_go_one_after_the_other_dearest_first() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
+def test_runs_of_a_leaving_engine_are_copied_one_at_a_time_longest_first() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
         for name, made in (("young", 10), ("old", 2000), ("middle", 500)):
-            scene.add(name, at="x", made=made)
-        scene.leave("x")
+            harness.add(name, at="x", made=made)
+        harness.leave("x")
         await asyncio.sleep(1.4)
-        asked = [(request, stop) for request, _, _, stop in scene.bench.engines.copies]
-        assert asked == [
+        copied = [(request, stop) for request, _, _, stop in harness.bench.engines.copies]
+        assert copied == [
             ("old", False),
             ("old", True),
             ("middle", False),
@@ -62,311 +62,311 @@
             ("young", True),
         ]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_that_broke_off_is_stopped_before_it_goes_on_from_its_copy() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        resume_target = await scene.movers.recover(run, scene.entry("x"))  # type: ignore[arg-type]
-        assert scene.bench.engines.copies == [("1", "x", "y", True)]
+def test_interrupted_run_is_stopped_before_it_resumes_from_its_copy() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
+        assert harness.bench.engines.copies == [("1", "x", "y", True)]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.holder.upstream) == ("y", "x")
         assert resume_target.copy != "c"
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("failure", [CopyFailure.UNKNOWN_RUN, CopyFailure.LOST])
-def test_run_goes_on_from_its_copy_when_its_engine_knows_it_no_more(failure: CopyFailure) -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.engines.failures.append(copy_failure(failure))
-        resume_target = await scene.movers.recover(run, scene.entry("x"))  # type: ignore[arg-type]
+def test_run_resumes_from_its_copy_when_its_engine_can_not_stop_it(failure: CopyFailure) -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.engines.failures.append(copy_failure(failure))
+        resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.copy) == ("y", "c")
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_goes_on_from_its_copy_when_its_engine_does_not_answer() -> None:
-    async def play() -> int:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.engines.takes_ms = 60_000
-        resume_target = await scene.movers.recover(run, scene.entry("x"))  # type: ignore[arg-type]
+def test_run_resumes_from_its_copy_when_its_engine_does_not_respond() -> None:
+    async def scenario() -> int:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.engines.takes_ms = 60_000
+        resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
-        return scene.bench.parts.clock.now()
+        return harness.bench.parts.clock.now()
 
-    assert run_virtually(play()) == RECOVERY_STOP_TIMEOUT_MS
+    assert run_virtually(scenario()) == RECOVERY_STOP_TIMEOUT_MS
 
 
-def test_run_that_has_not_begun_is_moved_after_its_first_event() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x", begun=False)
-        scene.leave("x")
+def test_run_is_moved_after_its_first_event_when_its_engine_leaves_before() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x", begun=False)
+        harness.leave("x")
         await asyncio.sleep(0.5)
-        assert scene.bench.engines.copies == []
-        scene.begin(run)
+        assert harness.bench.engines.copies == []
+        harness.begin(run)
         await asyncio.sleep(0.5)
-        assert len(scene.bench.engines.copies) == 2
+        assert len(harness.bench.engines.copies) == 2
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_that_an_engine_takes_while_it_leaves_is_moved() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.leave("x")
-        run = scene.add("1", at="x")
+def test_run_is_moved_when_its_engine_was_already_leaving() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.leave("x")
+        run = harness.add("1", at="x")
         await asyncio.sleep(0.5)
         assert len(run.stops) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_another_engine_is_tried_when_one_has_no_room() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        run = scene.add("1", at="x")
-        scene.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
-        scene.leave("x")
+def test_another_target_is_tried_when_one_has_no_memory() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        run = harness.add("1", at="x")
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.leave("x")
         await asyncio.sleep(1.0)
-        targets = [target for _, _, target, _ in scene.bench.engines.copies]
+        targets = [target for _, _, target, _ in harness.bench.engines.copies]
         assert len(set(targets)) == 2
         assert targets[1] == targets[2]
         assert len(run.stops) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_goes_on_at_its_source_when_that_stopped_it_and_kept_its_memory() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, kept="k"))
-        scene.leave("x")
+def test_run_resumes_at_its_source_when_the_source_stopped_it_and_retained_its_cache() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, kept="k"))
+        harness.leave("x")
         await asyncio.sleep(0.3)
         resume_target = run.stops[0]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.copy) == ("x", "k")
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_is_not_copied_when_that_would_come_too_late() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x", begun=False)
-        scene.leave("x")
+def test_run_is_not_copied_when_its_engine_is_gone_too_soon() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x", begun=False)
+        harness.leave("x")
         await asyncio.sleep(1.45)
-        scene.begin(run)
+        harness.begin(run)
         await asyncio.sleep(1.0)
-        assert scene.bench.engines.copies == []
+        assert harness.bench.engines.copies == []
         assert run.stops == []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_runs_get_copies_in_quiet_times_when_too_many_are_on_one_engine() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
+def test_runs_are_copied_in_advance_when_too_many_are_on_one_engine() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
         for number in range(5):
-            scene.add(str(number), at="x")
-        scene.fill("y", tokens=18_000)
-        await asyncio.sleep(QUIET_S)
-        copied = {request for request, *_ in scene.bench.engines.copies}
-        # 10,000 tokens fit the notice, so three of five runs with 4,000 each need a copy.
+            harness.add(str(number), at="x")
+        harness.fill("y", tokens=18_000)
+        await asyncio.sleep(SETTLE_S)
+        copied = {request for request, *_ in harness.bench.engines.copies}
+        # The notice suffices for 10,000 tokens, so three of five runs with 4,000 each need a copy.
         assert len(copied) == 3
-        assert all(not stop for *_, stop in scene.bench.engines.copies)
+        assert all(not stop for *_, stop in harness.bench.engines.copies)
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_runs_get_copies_in_case_of_a_failure_only_where_memory_is_spare() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
+def test_runs_are_copied_against_failures_only_when_memory_is_spare() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
         for number in range(2):
-            scene.add(str(number), at="x")
-        scene.fill("y", tokens=16_000)
-        await asyncio.sleep(QUIET_S)
-        copied = {request for request, *_ in scene.bench.engines.copies}
+            harness.add(str(number), at="x")
+        harness.fill("y", tokens=16_000)
+        await asyncio.sleep(SETTLE_S)
+        copied = {request for request, *_ in harness.bench.engines.copies}
         # Six tenths of 34,000 tokens are 20,400, so one of two runs with 4,000 each fits.
         assert len(copied) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_links_are_kept_for_what_leaves_when_an_engine_goes() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
+def test_advance_copies_are_postponed_while_an_engine_leaves() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
         for number in range(5):
-            scene.add(str(number), at="x")
-        scene.leave("z")
+            harness.add(str(number), at="x")
+        harness.leave("z")
         await asyncio.sleep(1.5)
-        before = list(scene.bench.engines.copies)
-        await asyncio.sleep(QUIET_S)
+        before = list(harness.bench.engines.copies)
+        await asyncio.sleep(SETTLE_S)
         assert before == []
-        assert scene.bench.engines.copies != []
+        assert harness.bench.engines.copies != []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copy_is_renewed_before_its_engine_drops_it() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.add("1", at="x")
-        await asyncio.sleep(3 * QUIET_S)
-        asked = [request for request, *_ in scene.bench.engines.copies]
-        assert len(set(asked)) == 1
-        assert 4 <= len(asked) <= 7
+def test_copy_is_renewed_before_it_expires() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.add("1", at="x")
+        await asyncio.sleep(3 * SETTLE_S)
+        copied = [request for request, *_ in harness.bench.engines.copies]
+        assert len(set(copied)) == 1
+        assert 4 <= len(copied) <= 7
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copies_taken_ahead_are_dropped_when_their_engine_needs_the_memory() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
+def test_advance_copies_are_evicted_when_their_engine_needs_the_memory() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
         await asyncio.sleep(1.0)
-        # A run that goes on makes a token each 9 ms.
-        assert 4000 <= scene.bench.totals()[UpstreamId("y")].yielding_tokens <= 4150
-        scene.fill("y", tokens=31_000)
+        # A continuing run produces a token every 9 ms.
+        assert 4000 <= harness.bench.totals()[UpstreamId("y")].yielding_tokens <= 4150
+        harness.fill("y", tokens=31_000)
         await asyncio.sleep(1.0)
         assert run.snapshot is None
-        assert len(scene.bench.engines.dropped) == 1
-        assert scene.bench.totals()[UpstreamId("y")].yielding_tokens == 0
+        assert len(harness.bench.engines.dropped) == 1
+        assert harness.bench.totals()[UpstreamId("y")].yielding_tokens == 0
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copy_of_a_run_that_must_leave_does_not_yield() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
-        scene.fill("y", tokens=31_000)
-        scene.bench.engines.takes_ms = 1000
-        scene.leave("x")
+def test_copy_is_not_evicted_when_its_run_must_move() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+        harness.fill("y", tokens=31_000)
+        harness.bench.engines.takes_ms = 1000
+        harness.leave("x")
         await asyncio.sleep(0.5)
-        assert scene.bench.engines.dropped == []
-        total = scene.bench.totals()[UpstreamId("y")]
+        assert harness.bench.engines.dropped == []
+        total = harness.bench.totals()[UpstreamId("y")]
         assert total.yielding_tokens == 0
         assert 4000 <= total.copy_tokens <= 4150
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_waits_for_room_as_long_as_its_engine_stays() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        scene.fill("y", tokens=31_000)
-        scene.leave("x")
+def test_run_waits_for_capacity_until_its_engine_is_gone() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        harness.fill("y", tokens=31_000)
+        harness.leave("x")
         await asyncio.sleep(0.5)
-        assert scene.bench.engines.copies == []
-        scene.bench.work.end(request=RequestId("filler of y"))
+        assert harness.bench.engines.copies == []
+        harness.bench.work.end(request=RequestId("filler of y"))
         await asyncio.sleep(0.5)
         assert len(run.stops) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_runs_move_to_the_emptier_engine_that_has_copies_of_them() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        runs = [scene.add(str(number), at="x") for number in range(5)]
+def test_runs_move_to_a_less_loaded_engine_that_holds_their_copies() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        runs = [harness.add(str(number), at="x") for number in range(5)]
         for run in runs[:4]:
-            scene.hold(run, at="y")
-        await asyncio.sleep(QUIET_S)
+            harness.hold(run, at="y")
+        await asyncio.sleep(SETTLE_S)
         moved = [run for run in runs if run.stops]
-        # Five to none, then four to one; three to two would only turn round.
+        # Five to none, then four to one; from three to two, a move would only swap the two engines.
         assert len(moved) == 2
-        # Only the rest of each was copied; runs that stay have their copies renewed besides.
-        first = {request: stop for request, *_, stop in reversed(scene.bench.engines.copies)}
+        # Only the rest of each moved run was copied; the copies of other runs are renewed too.
+        first = {request: stop for request, *_, stop in reversed(harness.bench.engines.copies)}
         assert all(first[run.request] for run in moved)
-        assert sum(stop for *_, stop in scene.bench.engines.copies) == 2
+        assert sum(stop for *_, stop in harness.bench.engines.copies) == 2
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_nothing_is_evened_out_while_an_engine_leaves() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        runs = [scene.add(str(number), at="x") for number in range(4)]
+def test_load_is_not_balanced_while_an_engine_leaves() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        runs = [harness.add(str(number), at="x") for number in range(4)]
         for run in runs:
-            scene.hold(run, at="y")
-        scene.leave("z")
+            harness.hold(run, at="y")
+        harness.leave("z")
         await asyncio.sleep(1.4)
-        assert scene.bench.engines.copies == []
+        assert harness.bench.engines.copies == []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_that_begins_on_a_leaving_engine_learns_when_that_goes() -> None:
-    async def play() -> int:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.leaves_in_ms = 2000
-        scene.leave("x")
+def test_departure_time_is_queried_when_a_run_starts_on_a_leaving_engine() -> None:
+    async def scenario() -> int:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.leaves_in_ms = 2000
+        harness.leave("x")
         await asyncio.sleep(0.3)
-        scene.add("1", at="x")
-        scene.fill("y", tokens=31_000)
+        harness.add("1", at="x")
+        harness.fill("y", tokens=31_000)
         await asyncio.sleep(0.6)
-        return scene.departures.gone_at(UpstreamId("x"))
+        return harness.departures.gone_at(UpstreamId("x"))
 
-    assert run_virtually(play()) == REPORT_MS + 2000 - REPORT_LAG_MS
+    assert run_virtually(scenario()) == REPORT_MS + 2000 - REPORT_LAG_MS
 
 
-def test_copy_ahead_that_is_under_way_at_the_notice_is_used() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        scene.bench.engines.takes_ms = 300
-        run = scene.add("1", at="x")
-        while not scene.bench.engines.copies:
+def test_advance_copy_in_progress_is_used_when_the_notice_arrives() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        harness.bench.engines.takes_ms = 300
+        run = harness.add("1", at="x")
+        while not harness.bench.engines.copies:
             await asyncio.sleep(0.01)
-        scene.leave("x")
+        harness.leave("x")
         await asyncio.sleep(1.4)
-        assert [stop for *_, stop in scene.bench.engines.copies] == [False, True]
-        assert len({target for _, _, target, _ in scene.bench.engines.copies}) == 1
+        assert [stop for *_, stop in harness.bench.engines.copies] == [False, True]
+        assert len({target for _, _, target, _ in harness.bench.engines.copies}) == 1
         assert len(run.stops) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_older_copy_is_freed_when_a_run_is_copied_to_another_engine() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.upstreams.leaving.add("y")
+def test_previous_copy_is_freed_when_a_run_is_copied_to_another_engine() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.upstreams.leaving.add("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
         assert run.snapshot.entry.upstream == "z"
-        assert scene.bench.engines.dropped == [("y", "c")]
+        assert harness.bench.engines.dropped == [("y", "c")]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_leaves_for_an_engine_that_has_room_before_copies_yield() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z", "w")
-        scene.fill("z", tokens=20_000)
-        ahead = [scene.add(f"ahead {number}", at="w") for number in range(8)]
+def test_run_moves_to_an_engine_with_free_memory_before_copies_are_evicted() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z", "w")
+        harness.fill("z", tokens=20_000)
+        ahead = [harness.add(f"ahead {number}", at="w") for number in range(8)]
         for run in ahead:
-            scene.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
-        leaving = scene.add("1", at="x")
-        scene.leave("x")
+            harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+        leaving = harness.add("1", at="x")
+        harness.leave("x")
         await asyncio.sleep(1.0)
         (resume_target,) = leaving.stops
         assert resume_target is not None
         assert resume_target.entry.upstream == "z"
 
-    run_virtually(play())
+    run_virtually(scenario())
--- a/testing/test_forwarding_events.py
+++ b/testing/test_forwarding_events.py
@@ -1,4 +1,4 @@
-"""Streams are passed on by whole events."""
+"""The event reader splits a stream into complete events."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     data=st.lists(st.text(alphabet="abc \r:", max_size=8), min_size=1, max_size=6),
     cuts=st.lists(st.integers(min_value=0, max_value=200), max_size=8),
 )
-def test_events_are_the_same_however_the_bytes_are_cut(data: list[str], cuts: list[int]) -> None:
+def test_events_do_not_depend_on_chunk_boundaries(data: list[str], cuts: list[int]) -> None:
     whole = b"".join(_event(number, text) for number, text in enumerate(data, start=1))
     places = sorted({min(cut, len(whole)) for cut in cuts} | {0, len(whole)})
     reader = EventReader()
@@ -34,7 +34,7 @@
     assert reader.is_empty
 
 
-def test_rest_is_kept_when_an_event_is_not_whole() -> None:
+def test_bytes_are_buffered_when_an_event_is_incomplete() -> None:
     reader = EventReader()
     assert reader.feed(b"id: 1\ndata: x") == []
     assert not reader.is_empty
@@ -47,6 +47,6 @@
 
 
 @pytest.mark.parametrize("text", [b"data: x\n\n", b"id: x\n\n", b"\n\n"])
-def test_bytes_are_refused_when_an_event_has_no_number(text: bytes) -> None:
+def test_error_is_raised_when_an_event_has_no_number(text: bytes) -> None:
     with pytest.raises(EventError):
         EventReader().feed(text)
--- a/testing/test_forwarding_health.py
+++ b/testing/test_forwarding_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that fail with good health checks are found from requests, by all hosts together."""
+"""Upstreams that pass health checks but fail requests are ejected by all hosts together."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
     return [entry.upstream for entry in health.usable(ENTRIES)]
 
 
-def test_upstream_rests_after_bad_answers_and_is_tried_again() -> None:
-    async def play() -> None:
+def test_upstream_is_ejected_after_failures_and_readmitted_later() -> None:
+    async def scenario() -> None:
         health = _health()
         for _ in range(3):
             health.note_bad(upstream=X)
@@ -37,11 +37,11 @@
         await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["x", "y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_upstream_rests_longer_when_it_fails_again_after_its_rest() -> None:
-    async def play() -> None:
+def test_upstream_is_ejected_for_longer_when_it_fails_again() -> None:
+    async def scenario() -> None:
         health = _health()
         for _ in range(2):
             for _ in range(3):
@@ -49,11 +49,11 @@
             await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_bad_answers_of_long_ago_do_not_count() -> None:
-    async def play() -> None:
+def test_failures_are_ignored_when_they_are_older_than_the_window() -> None:
+    async def scenario() -> None:
         health = _health()
         health.note_bad(upstream=X)
         health.note_bad(upstream=X)
@@ -61,11 +61,11 @@
         health.note_bad(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_upstream_rests_when_hosts_saw_enough_together() -> None:
-    async def play() -> None:
+def test_upstream_is_ejected_when_all_hosts_together_saw_enough_failures() -> None:
+    async def scenario() -> None:
         health = _health()
         health.note_bad(upstream=X)
         for host in ("a", "b"):
@@ -73,11 +73,11 @@
             health.on_peer(host=HostId(host), tallies=tallies)
         assert _usable(health) == ["y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_what_a_host_saw_is_dropped_when_it_is_gone() -> None:
-    async def play() -> None:
+def test_failures_seen_by_a_host_are_dropped_when_the_host_is_gone() -> None:
+    async def scenario() -> None:
         health = _health()
         health.note_bad(upstream=X)
         health.on_peer(host=HostId("a"), tallies=AnswerTallies(upstreams={"x": [0, 1]}))
@@ -85,33 +85,33 @@
         health.note_bad(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_peers_hear_of_bad_answers_until_there_are_none() -> None:
-    async def play() -> list[AnswerTallies]:
+def test_failures_are_published_until_there_are_none() -> None:
+    async def scenario() -> list[AnswerTallies]:
         health = _health()
-        told: list[AnswerTallies] = []
-        health.news.subscribe(told.append)
+        published: list[AnswerTallies] = []
+        health.news.subscribe(published.append)
         health.note_good(upstream=Y)
         await asyncio.sleep(TELL_MS / 1000)
-        assert told == []
+        assert published == []
         health.note_good(upstream=X)
         health.note_bad(upstream=X)
         await asyncio.sleep((2 * WINDOW_MS) / 1000)
-        return told
+        return published
 
-    assert run_virtually(play()) == [
+    assert run_virtually(scenario()) == [
         AnswerTallies(upstreams={"x": [1, 1]}),
         AnswerTallies(upstreams={}),
     ]
 
 
-def test_upstream_does_not_rest_when_its_service_is_unknown() -> None:
-    async def play() -> None:
+def test_upstream_is_not_ejected_when_its_service_is_unknown() -> None:
+    async def scenario() -> None:
         health = UpstreamHealth(service_of=lambda _: None, clock=Clock())
         for _ in range(9):
             health.note_bad(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
-    run_virtually(play())
+    run_virtually(scenario())
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -1,8 +1,8 @@
-"""Copies taken while nothing tells of engines that leave.
+"""Copies taken while the store does not report leaving engines.
 
-The load it answers: the store is away for eight seconds, while one of seven engines goes every
-three seconds and its address refuses connections from then on. On one such day 33 of 58 copies in
-that time were meant for three engines that were gone, and nine streams were cut without a copy.
+Guards against losing streams when the store is unavailable for eight seconds while one of seven
+engines leaves every three seconds and then refuses connections. In one such run 33 of 58 copies
+were sent to three engines that were gone, and nine streams were cut without a copy.
 """
 
 from __future__ import annotations
@@ -30,226 +30,226 @@
 from testing._move_harness import MoveHarness
 from testing._virtual_time import run_virtually
 
-QUIET_S = 5
-FEW = 2
-"""Runs of 4,000 tokens on one engine that its notice is long enough for."""
+SETTLE_S = 5
+RUNS_WITHIN_NOTICE = 2
+"""Number of runs of 4,000 tokens on one engine that can be moved within its notice."""
 
 
-def _copied(scene: MoveHarness) -> set[str]:
-    return {request for request, *_ in scene.bench.engines.copies}
+def _copied(harness: MoveHarness) -> set[str]:
+    return {request for request, *_ in harness.bench.engines.copies}
 
 
-def _fill_for_spare_copies(scene: MoveHarness) -> None:
-    """Leave less memory than copies get that only a failure without notice would need."""
-    scene.fill("y", tokens=20_000)
+def _fill_for_spare_copies(harness: MoveHarness) -> None:
+    """Leave too little free memory for copies that only guard against sudden failures."""
+    harness.fill("y", tokens=20_000)
 
 
-def test_runs_have_no_copies_where_the_notice_suffices_and_memory_is_short() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        _fill_for_spare_copies(scene)
-        for number in range(FEW):
-            scene.add(str(number), at="x")
-        await asyncio.sleep(QUIET_S)
-        assert _copied(scene) == set()
+def test_runs_have_no_copies_when_the_notice_suffices_and_memory_is_short() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        _fill_for_spare_copies(harness)
+        for number in range(RUNS_WITHIN_NOTICE):
+            harness.add(str(number), at="x")
+        await asyncio.sleep(SETTLE_S)
+        assert _copied(harness) == set()
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_runs_have_copies_while_the_store_does_not_tell_of_engines_that_leave() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        _fill_for_spare_copies(scene)
-        scene.lose_store()
-        for number in range(FEW):
-            scene.add(str(number), at="x")
-        await asyncio.sleep(QUIET_S)
-        assert _copied(scene) == {"0", "1"}
+def test_runs_have_copies_while_the_store_is_unavailable() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        _fill_for_spare_copies(harness)
+        harness.lose_store()
+        for number in range(RUNS_WITHIN_NOTICE):
+            harness.add(str(number), at="x")
+        await asyncio.sleep(SETTLE_S)
+        assert _copied(harness) == {"0", "1"}
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copy_moves_to_another_engine_when_its_holder_cannot_be_reached() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y", "z")
-        run = scene.add("1", at="x")
-        scene.hold(run, at="y")
-        scene.bench.upstreams.down.append("y")
+def test_run_is_copied_to_another_engine_when_the_copy_holder_is_unreachable() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y", "z")
+        run = harness.add("1", at="x")
+        harness.hold(run, at="y")
+        harness.bench.upstreams.down.append("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
         assert run.snapshot.entry.upstream == "z"
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_engine_that_takes_no_copy_and_does_not_answer_is_noted_as_down() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
-        scene.add("1", at="x")
+def test_engine_is_marked_down_when_it_refuses_a_copy_and_does_not_respond() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert scene.bench.upstreams.down == ["y"]
+        assert harness.bench.upstreams.down == ["y"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_engine_that_takes_no_copy_and_answers_is_not_noted_as_down() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.staying.add("y")
-        scene.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
-        scene.add("1", at="x")
+def test_engine_is_not_marked_down_when_it_refuses_a_copy_and_responds() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.staying.add("y")
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert scene.bench.upstreams.down == []
+        assert harness.bench.upstreams.down == []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_whose_copy_fails_does_not_keep_the_others_from_having_theirs() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.staying.add("y")
-        stuck = scene.add("stuck", at="x", made=3000)
-        scene.hold(stuck, at="y")
-        scene.bench.engines.refused.add("stuck")
+def test_other_runs_are_copied_when_copies_of_one_run_fail() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.staying.add("y")
+        stuck = harness.add("stuck", at="x", made=3000)
+        harness.hold(stuck, at="y")
+        harness.bench.engines.refused.add("stuck")
         await asyncio.sleep(RENEW_MS / 1000)
         for name in ("b", "c"):
-            scene.add(name, at="x")
-        await asyncio.sleep(QUIET_S)
-        assert _copied(scene) == {"stuck", "b", "c"}
-        assert scene.bench.upstreams.get(UpstreamId("y")) is not None
+            harness.add(name, at="x")
+        await asyncio.sleep(SETTLE_S)
+        assert _copied(harness) == {"stuck", "b", "c"}
+        assert harness.bench.upstreams.get(UpstreamId("y")) is not None
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_engine_that_takes_no_copy_since_it_leaves_gets_no_new_work() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.leaves_in_ms = 1800
-        scene.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
-        scene.add("1", at="x")
+def test_engine_is_marked_leaving_when_it_refuses_a_copy_and_reports_leaving() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.leaves_in_ms = 1800
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert scene.bench.upstreams.leaving == {"y"}
+        assert harness.bench.upstreams.leaving == {"y"}
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @asynccontextmanager
-async def _watched(scene: MoveHarness) -> AsyncIterator[None]:
-    task = asyncio.create_task(scene.coordinator.loops()[0])
+async def _run_departure_watch(harness: MoveHarness) -> AsyncIterator[None]:
+    task = asyncio.create_task(harness.coordinator.loops()[0])
     try:
         yield
     finally:
         task.cancel()
 
 
-def test_run_leaves_an_engine_that_reports_its_end_while_the_store_is_away() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.lose_store()
-        scene.bench.engines.leaves_in_ms = 1800
-        scene.bench.engines.staying.add("y")
-        run = scene.add("1", at="x")
-        async with _watched(scene):
+def test_run_moves_when_its_engine_reports_leaving_while_the_store_is_unavailable() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.lose_store()
+        harness.bench.engines.leaves_in_ms = 1800
+        harness.bench.engines.staying.add("y")
+        run = harness.add("1", at="x")
+        async with _run_departure_watch(harness):
             await asyncio.sleep(1.5)
-        assert scene.bench.upstreams.leaving == {"x"}
+        assert harness.bench.upstreams.leaving == {"x"}
         assert [
             resume_target is not None and resume_target.entry.upstream
             for resume_target in run.stops
         ] == ["y"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_end_that_an_engine_reports_is_kept_also_when_it_comes_soon() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.lose_store()
-        scene.bench.engines.leaves_in_ms = REPORT_LAG_MS + 400
-        scene.add("1", at="x")
-        async with _watched(scene):
-            while not scene.bench.upstreams.leaving:
+def test_reported_departure_time_is_used_when_it_is_near() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.lose_store()
+        harness.bench.engines.leaves_in_ms = REPORT_LAG_MS + 400
+        harness.add("1", at="x")
+        async with _run_departure_watch(harness):
+            while not harness.bench.upstreams.leaving:
                 await asyncio.sleep(0.01)
-            left_ms = scene.departures.gone_at(UpstreamId("x")) - scene.bench.parts.clock.now()
+            left_ms = harness.departures.gone_at(UpstreamId("x")) - harness.bench.parts.clock.now()
         assert 380 <= left_ms <= 400
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_engines_are_not_asked_while_the_store_tells() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        scene.add("1", at="x")
-        async with _watched(scene):
-            await asyncio.sleep(QUIET_S)
-        assert scene.bench.engines.reports == 0
+def test_engines_are_not_polled_while_the_store_is_available() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        harness.add("1", at="x")
+        async with _run_departure_watch(harness):
+            await asyncio.sleep(SETTLE_S)
+        assert harness.bench.engines.reports == 0
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("others", [0, 8])
-def test_hosts_that_use_an_engine_ask_it_together_as_often_as_one(others: int) -> None:
-    async def play() -> int:
-        scene = MoveHarness("x", "y")
-        scene.lose_store()
-        scene.bench.engines.staying.add("x")
-        scene.add("1", at="x")
+def test_poll_rate_of_an_engine_does_not_depend_on_the_number_of_hosts(others: int) -> None:
+    async def scenario() -> int:
+        harness = MoveHarness("x", "y")
+        harness.lose_store()
+        harness.bench.engines.staying.add("x")
+        harness.add("1", at="x")
         for number in range(others):
             use = RunUse(request=f"r{number}", upstream="x", tokens=100, begun_ms=0)
             runs = HostRuns(number=1, decider=HOST, runs=[use])
-            scene.coordinator.on_message(HostId(f"peer-{number}"), runs)
-        async with _watched(scene):
+            harness.coordinator.on_message(HostId(f"peer-{number}"), runs)
+        async with _run_departure_watch(harness):
             await asyncio.sleep(60)
-        return scene.bench.engines.reports
+        return harness.bench.engines.reports
 
-    # One ask in 300 ms makes 200 in a minute.
-    assert 140 <= run_virtually(play()) <= 260
+    # One query every 300 ms makes 200 in a minute.
+    assert 140 <= run_virtually(scenario()) <= 260
 
 
-def test_engine_is_not_asked_by_a_host_for_which_another_one_decides() -> None:
-    async def play() -> int:
-        scene = MoveHarness("x", "y")
-        scene.lose_store()
+def test_engine_is_not_polled_by_a_host_that_follows_another_decider() -> None:
+    async def scenario() -> int:
+        harness = MoveHarness("x", "y")
+        harness.lose_store()
         use = RunUse(request="r", upstream="x", tokens=100, begun_ms=0)
         runs = HostRuns(number=1, decider="another", runs=[use])
-        scene.coordinator.on_message(HostId("peer"), runs)
-        async with _watched(scene):
+        harness.coordinator.on_message(HostId("peer"), runs)
+        async with _run_departure_watch(harness):
             await asyncio.sleep(10)
-        return scene.bench.engines.reports
+        return harness.bench.engines.reports
 
-    assert run_virtually(play()) == 0
+    assert run_virtually(scenario()) == 0
 
 
-def test_engine_whose_answer_ends_its_connection_is_asked_once_a_second_and_left() -> None:
-    async def play() -> int:
-        scene = MoveHarness("x", "y")
-        scene.bench.engines.staying.add("x")
-        scene.add("1", at="x")
+def test_engine_is_queried_once_a_second_when_its_responses_close_connections() -> None:
+    async def scenario() -> int:
+        harness = MoveHarness("x", "y")
+        harness.bench.engines.staying.add("x")
+        harness.add("1", at="x")
         for _ in range(5):
-            scene.movers.on_connection_closing(UpstreamId("x"))
+            harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(MIN_LEAVING_QUERY_INTERVAL_MS / 1000)
-        scene.bench.engines.staying.clear()
-        scene.bench.engines.leaves_in_ms = 1800
-        scene.movers.on_connection_closing(UpstreamId("x"))
+        harness.bench.engines.staying.clear()
+        harness.bench.engines.leaves_in_ms = 1800
+        harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(0.1)
-        assert scene.bench.upstreams.leaving == {"x"}
-        return scene.bench.engines.reports
+        assert harness.bench.upstreams.leaving == {"x"}
+        return harness.bench.engines.reports
 
-    # The second finds that it leaves; evacuation does not ask again when it goes.
-    assert run_virtually(play()) == 2
+    # The second query finds that the engine is leaving; the evacuation does not query it again.
+    assert run_virtually(scenario()) == 2
 
 
-def test_copy_that_is_renewed_stays_though_its_engine_wrote_its_entry_anew() -> None:
-    async def play() -> None:
-        scene = MoveHarness("x", "y")
-        run = scene.add("1", at="x")
-        copier = Copier(parts=scene.bench.parts)
+def test_renewed_copy_is_not_freed_when_the_entry_of_its_holder_changes() -> None:
+    async def scenario() -> None:
+        harness = MoveHarness("x", "y")
+        run = harness.add("1", at="x")
+        copier = Copier(parts=harness.bench.parts)
         stream = cast(StreamRun, run)
-        held = await copier.snapshot(stream, scene.entry("x"), scene.entry("y"), ahead=True)
-        assert held is not None
-        scene.bench.upstreams.entries[1] = replace(scene.entry("y"), cold_ms=1)
-        await copier.snapshot(stream, scene.entry("x"), scene.entry("y"), ahead=True)
+        snapshot = await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
+        assert snapshot is not None
+        harness.bench.upstreams.entries[1] = replace(harness.entry("y"), cold_ms=1)
+        await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
         await asyncio.sleep(0.1)
-        assert scene.bench.engines.dropped == []
+        assert harness.bench.engines.dropped == []
 
-    run_virtually(play())
+    run_virtually(scenario())
--- a/testing/test_forwarding_stream.py
+++ b/testing/test_forwarding_stream.py
@@ -1,4 +1,4 @@
-"""A stream reaches its caller whole, in order and from one run, whatever its engines do."""
+"""A stream reaches its caller complete, in order and from one run, whatever its engines do."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
     return [f"id: {number}\ndata: {number}\n\n".encode() for number in numbers]
 
 
-class Hooks:
-    """Keeps what a stream tells."""
+class RecordingHooks:
+    """Records the state changes of a stream."""
 
     def __init__(self) -> None:
         self.engines: list[str] = []
@@ -50,12 +50,12 @@
         self.stopped: list[str] = []
 
     def on_engine(self, run: StreamRun) -> None:
-        """Keep the engine."""
+        """Record the engine."""
         assert run.entry is not None
         self.engines.append(run.entry.upstream)
 
     async def recover(self, run: StreamRun, source: UpstreamEntry) -> ResumeTarget | None:
-        """Go on from the copy."""
+        """Return the current copy as the resume target."""
         self.recoveries += 1
         self.stopped.append(source.upstream)
         snapshot = run.snapshot
@@ -66,11 +66,13 @@
         )
 
     def on_snapshot_unused(self, snapshot: Snapshot) -> None:
-        """Keep the copy."""
+        """Record the copy."""
         self.unused.append(snapshot)
 
 
-def _run(bench: Bench, *, hooks: Hooks | None = None) -> tuple[StreamRun, FakeResponder]:
+def _make_run(
+    bench: Bench, *, hooks: RecordingHooks | None = None
+) -> tuple[StreamRun, FakeResponder]:
     route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000, attempts=1)
     responder = FakeResponder()
     run = StreamRun(
@@ -78,26 +80,26 @@
         responder=responder,
         parts=bench.parts,
         admission=Admission(parts=bench.parts, placer=bench.alone.client),
-        hooks=hooks or Hooks(),
+        hooks=hooks or RecordingHooks(),
     )
     return run, responder
 
 
-def _numbers(responder: FakeResponder) -> list[int]:
+def _event_numbers(responder: FakeResponder) -> list[int]:
     lines = responder.body.decode().splitlines()
     return [int(line.removeprefix("id: ")) for line in lines if line.startswith("id: ")]
 
 
-def test_stream_is_whole_when_its_engine_ends_it() -> None:
-    async def play() -> None:
+def test_stream_is_complete_when_its_engine_ends_it() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=_events(1, 2, 3)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         assert await run.serve() is None
-        assert _numbers(responder) == [1, 2, 3]
+        assert _event_numbers(responder) == [1, 2, 3]
         assert responder.ended
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize(
@@ -109,52 +111,52 @@
         [b"no event\n\n"],
     ],
 )
-def test_stream_never_looks_whole_when_its_engine_breaks_off(
+def test_stream_never_looks_complete_when_its_engine_breaks_off(
     chunks: list[bytes | None],
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"), make_entry("y"))
         for name in "xy":
             bench.caller.set(name, FakeResponse(chunks=list(chunks)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         refusal = await run.serve()
         assert refusal is not None
         assert refusal.kind is RefusalKind.UPSTREAM_FAILED
         assert not responder.ended
         assert len(bench.caller.requests) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_is_begun_elsewhere_only_when_it_has_not_run() -> None:
-    async def play() -> None:
+def test_stream_is_started_on_another_engine_when_it_has_not_run() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"), make_entry("y"), make_entry("z"))
         bench.caller.set("x", NOT_SENT)
         bench.caller.set("y", FakeResponse(status=503, not_executed=True))
         bench.caller.set("z", FakeResponse(chunks=_events(1)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         assert await run.serve() is None
-        assert _numbers(responder) == [1]
+        assert _event_numbers(responder) == [1]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_is_begun_where_an_engine_answers_when_most_have_crashed() -> None:
-    async def play() -> list[int]:
+def test_stream_is_started_on_a_live_engine_when_most_have_crashed() -> None:
+    async def scenario() -> list[int]:
         names = ("a", "b", "c", "d", "e", "f")
         bench = make_bench(*(make_entry(name) for name in names), slack=0.0)
         for name in names[:-1]:
             bench.caller.set(name, NOT_SENT)
         bench.caller.set("f", FakeResponse(chunks=_events(1)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         assert await run.serve() is None
-        return _numbers(responder)
+        return _event_numbers(responder)
 
-    assert run_virtually(play()) == [1]
+    assert run_virtually(scenario()) == [1]
 
 
-def test_stream_that_waits_is_refused_as_not_run_when_copies_of_it_crash_upstreams() -> None:
-    async def play() -> None:
+def test_waiting_stream_is_refused_as_not_run_when_identical_requests_crash_upstreams() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         filler = RequestId("filler")
         bench.work.begin(
@@ -164,7 +166,7 @@
             tokens=FILLER_TOKENS,
             is_long=True,
         )
-        run, _ = _run(bench)
+        run, _ = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         await asyncio.sleep(0.5)
         fingerprint = route_request(make_request(prompt=100), make_route()).fingerprint
@@ -177,72 +179,72 @@
         assert not bench.caller.requests
         assert bench.work.uses() == []
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_is_not_begun_again_when_its_first_answer_is_lost() -> None:
-    async def play() -> None:
+def test_stream_is_not_restarted_when_its_first_response_is_lost() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"), make_entry("y"))
         for name in "xy":
             bench.caller.set(name, LOST)
-        run, _ = _run(bench)
+        run, _ = _make_run(bench)
         refusal = await run.serve()
         assert refusal is not None
         assert refusal.kind is RefusalKind.UPSTREAM_FAILED
         assert len(bench.caller.requests) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_goes_on_after_the_last_event_when_its_run_is_moved() -> None:
-    async def play() -> None:
+def test_stream_resumes_after_the_last_event_when_its_run_is_moved() -> None:
+    async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
         bench = make_bench(x, y)
         bench.upstreams.leaving.add("y")
         slow = FakeResponse(chunks=_events(*range(1, 100)), pause_ms=10)
         bench.caller.set("x", slow)
         bench.caller.set("y", FakeResponse(chunks=_events(4, 5)))
-        hooks = Hooks()
-        run, responder = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, responder = _make_run(bench, hooks=hooks)
         serving = asyncio.create_task(run.serve())
-        while len(_numbers(responder)) < 3:
+        while len(_event_numbers(responder)) < 3:
             await asyncio.sleep(0.001)
         run.begin_stop()
         slow.close()
         run.finish_stop(ResumeTarget(entry=y, holder=x, copy="c"))
         assert await serving is None
-        assert _numbers(responder) == [1, 2, 3, 4, 5]
+        assert _event_numbers(responder) == [1, 2, 3, 4, 5]
         assert responder.ended
-        order = bench.caller.requests[-1]
-        assert order.continuation is not None
-        assert (order.continuation.copy, order.continuation.after_event) == ("c", 3)
-        assert order.continuation.holder == x.address
+        request = bench.caller.requests[-1]
+        assert request.continuation is not None
+        assert (request.continuation.copy, request.continuation.after_event) == ("c", 3)
+        assert request.continuation.holder == x.address
         assert hooks.engines == ["x", "y"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_events_that_come_twice_after_a_move_are_passed_on_once() -> None:
-    async def play() -> None:
+def test_duplicate_events_after_a_move_are_relayed_once() -> None:
+    async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
         bench = make_bench(x)
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2, 3), None]))
         bench.caller.set("y", FakeResponse(chunks=_events(2, 3, 4)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         run._resume_targets.append(ResumeTarget(entry=y, holder=x, copy="c"))
         assert await run.serve() is None
-        assert _numbers(responder) == [1, 2, 3, 4]
+        assert _event_numbers(responder) == [1, 2, 3, 4]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_waits_for_its_copy_when_its_engine_has_stopped_it() -> None:
-    async def play() -> None:
+def test_stream_waits_for_its_copy_when_its_engine_has_stopped_the_run() -> None:
+    async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
         bench = make_bench(x)
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
         bench.caller.set("y", FakeResponse(chunks=_events(3)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -251,16 +253,16 @@
         assert not serving.done()
         run.finish_stop(ResumeTarget(entry=y, holder=x, copy="c"))
         assert await serving is None
-        assert _numbers(responder) == [1, 2, 3]
+        assert _event_numbers(responder) == [1, 2, 3]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_ends_as_failed_when_its_stopped_run_has_no_copy() -> None:
-    async def play() -> None:
+def test_stream_fails_when_its_stopped_run_has_no_copy() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -270,80 +272,80 @@
         assert await serving is not None
         assert not responder.ended
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_next_copy_is_tried_when_a_continuation_is_refused() -> None:
-    async def play() -> None:
+def test_next_copy_is_tried_when_an_engine_refuses_to_resume() -> None:
+    async def scenario() -> None:
         x, y, z = make_entry("x"), make_entry("y"), make_entry("z")
         bench = make_bench(x)
         bench.caller.set("x", FakeResponse(chunks=[*_events(1), None]))
         bench.caller.set("y", FakeResponse(status=503, not_executed=True))
         bench.caller.set("z", FakeResponse(chunks=_events(2)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         run._resume_targets += [
             ResumeTarget(entry=y, holder=x, copy="1"),
             ResumeTarget(entry=z, holder=x, copy="2"),
         ]
         assert await run.serve() is None
-        assert _numbers(responder) == [1, 2]
+        assert _event_numbers(responder) == [1, 2]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 def _snapshot(bench: Bench, name: str) -> Snapshot:
     return Snapshot(entry=make_entry(name), copy="c", taken=bench.parts.clock.now())
 
 
-def test_stream_goes_on_from_its_copy_when_its_engine_crashes() -> None:
-    async def play() -> None:
+def test_stream_resumes_from_its_copy_when_its_engine_crashes() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
         bench.caller.set("y", FakeResponse(chunks=_events(3)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
         run.snapshot = _snapshot(bench, "y")
         assert await serving is None
-        assert _numbers(responder) == [1, 2, 3]
+        assert _event_numbers(responder) == [1, 2, 3]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_goes_on_from_its_copy_when_its_engine_goes_silent() -> None:
-    async def play() -> int:
+def test_stream_resumes_from_its_copy_when_its_engine_goes_silent() -> None:
+    async def scenario() -> int:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=_events(*range(1, 9)), pause_ms=3000))
         bench.caller.set("y", FakeResponse(chunks=_events(2)))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
         run.snapshot = _snapshot(bench, "y")
         assert await serving is None
-        assert _numbers(responder) == [1, 2]
+        assert _event_numbers(responder) == [1, 2]
         return bench.parts.clock.now()
 
-    assert run_virtually(play()) == 3000 + IDLE_TIMEOUT_MS
+    assert run_virtually(scenario()) == 3000 + IDLE_TIMEOUT_MS
 
 
 def test_stream_waits_for_a_silent_engine_when_there_is_no_copy() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=6000))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         assert await run.serve() is None
-        assert _numbers(responder) == [1, 2]
+        assert _event_numbers(responder) == [1, 2]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_that_breaks_off_again_and_again_takes_few_engines_with_it() -> None:
-    async def play() -> None:
+def test_recoveries_of_a_stream_are_limited_when_it_breaks_off_repeatedly() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
-        hooks = Hooks()
-        run, _ = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, _ = _make_run(bench, hooks=hooks)
         for number in range(1, 20):
             bench.caller.reactions.setdefault("x", deque()).append(
                 FakeResponse(chunks=[*_events(number), None], pause_ms=10)
@@ -355,15 +357,15 @@
         assert await serving is not None
         assert len(bench.caller.requests) == 1 + MAX_RECOVERIES
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_copy_is_freed_when_the_stream_ends_without_it() -> None:
-    async def play() -> None:
+def test_copy_is_freed_when_the_stream_ends_without_using_it() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         bench.caller.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=10))
-        hooks = Hooks()
-        run, _ = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, _ = _make_run(bench, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -373,15 +375,15 @@
         assert hooks.unused == [snapshot]
         assert bench.totals() == {}
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_engine_is_told_when_its_caller_leaves() -> None:
-    async def play() -> None:
+def test_engine_connection_is_closed_when_the_caller_disconnects() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
         answer = FakeResponse(chunks=_events(*range(1, 100)), pause_ms=10)
         bench.caller.set("x", answer)
-        run, _ = _run(bench)
+        run, _ = _make_run(bench)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -390,27 +392,27 @@
         assert answer.closed
         assert UpstreamId("x") not in bench.totals()
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_failure_of_an_engine_is_passed_on_as_it_is() -> None:
-    async def play() -> None:
+def test_engine_error_is_forwarded_unchanged() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"), make_entry("y"))
         for name in "xy":
             bench.caller.set(name, FakeResponse(status=500, chunks=[b"failed"]))
-        run, responder = _run(bench)
+        run, responder = _make_run(bench)
         assert await run.serve() is None
         assert (responder.status, responder.body) == (500, b"failed")
         assert len(bench.caller.requests) == 1
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_stream_goes_on_from_a_copy_each_time_when_its_engines_leave() -> None:
-    async def play() -> None:
+def test_stream_resumes_each_time_when_its_engines_leave() -> None:
+    async def scenario() -> None:
         bench = make_bench(make_entry("x"))
-        hooks = Hooks()
-        run, responder = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, responder = _make_run(bench, hooks=hooks)
         bench.upstreams.leaving.add("y")
         legs = 2 * MAX_RECOVERIES + 1
         answers = [FakeResponse(chunks=[*_events(n), None], pause_ms=10) for n in range(1, legs)]
@@ -421,22 +423,22 @@
             run.snapshot = run.snapshot or _snapshot(bench, "y")
             await asyncio.sleep(0.001)
         assert await serving is None
-        assert _numbers(responder) == list(range(1, legs + 1))
+        assert _event_numbers(responder) == list(range(1, legs + 1))
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("is_source_gone", [False, True])
-def test_stream_goes_on_when_the_engine_with_its_copy_refuses_it_at_first(
+def test_stream_resumes_when_the_copy_holder_refuses_it_at_first(
     is_source_gone: bool,
 ) -> None:
-    async def play() -> list[str]:
+    async def scenario() -> list[str]:
         bench = make_bench(make_entry("x"), make_entry("y"))
         refusal = FakeResponse(status=503, not_executed=True, chunks=[])
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
         bench.caller.set("y", refusal, FakeResponse(chunks=_events(3)))
-        hooks = Hooks()
-        run, responder = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, responder = _make_run(bench, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -445,19 +447,19 @@
         if not is_source_gone:
             bench.caller.reactions["x"].append(FakeResponse(chunks=_events(3)))
         assert await serving is None
-        assert _numbers(responder) == [1, 2, 3]
+        assert _event_numbers(responder) == [1, 2, 3]
         return bench.caller.asked
 
-    asked = run_virtually(play())
+    asked = run_virtually(scenario())
     assert asked[-2:] == (["y", "y"] if is_source_gone else ["y", "x"])
 
 
-def test_stream_does_not_go_on_twice_when_a_continuation_may_run() -> None:
-    async def play() -> list[str]:
+def test_stream_is_not_resumed_twice_when_a_resumed_run_may_be_active() -> None:
+    async def scenario() -> list[str]:
         bench = make_bench(make_entry("x"), make_entry("y"))
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
         bench.caller.set("y", LOST)
-        run, _ = _run(bench, hooks=Hooks())
+        run, _ = _make_run(bench, hooks=RecordingHooks())
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -466,23 +468,23 @@
         assert await serving is not None
         return bench.caller.asked
 
-    assert run_virtually(play()) == ["x", "y"]
+    assert run_virtually(scenario()) == ["x", "y"]
 
 
-def test_engine_that_may_go_on_is_stopped_before_the_other_end_of_the_copy_goes_on() -> None:
-    async def play() -> tuple[list[str], list[str]]:
+def test_engine_that_may_run_a_stream_is_stopped_before_the_other_copy_holder_resumes_it() -> None:
+    async def scenario() -> tuple[list[str], list[str]]:
         bench = make_bench(make_entry("x"), make_entry("y"))
         bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
         bench.caller.hang = {"y"}
-        hooks = Hooks()
-        run, responder = _run(bench, hooks=hooks)
+        hooks = RecordingHooks()
+        run, responder = _make_run(bench, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
         bench.caller.reactions["x"].append(FakeResponse(chunks=_events(3)))
         run.snapshot = _snapshot(bench, "y")
         assert await serving is None
-        assert _numbers(responder) == [1, 2, 3]
+        assert _event_numbers(responder) == [1, 2, 3]
         return bench.caller.asked, hooks.stopped
 
-    assert run_virtually(play()) == (["x", "y", "x"], ["x", "y"])
+    assert run_virtually(scenario()) == (["x", "y", "x"], ["x", "y"])
--- a/testing/test_forwarding_work.py
+++ b/testing/test_forwarding_work.py
@@ -1,4 +1,4 @@
-"""What a host tells of its generations, and when."""
+"""What a host reports about its generations, and when."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     work.begin(request=REQUEST, upstream=at, prompt_tokens=1000, tokens=1000, is_long=True)
 
 
-def test_change_is_told_once_however_often_it_is_recorded() -> None:
-    async def play() -> list[str]:
+def test_change_is_published_once_when_it_is_recorded_twice() -> None:
+    async def scenario() -> list[str]:
         work = LocalWorkload(clock=Clock())
-        told: list[str] = []
+        published: list[str] = []
         step = "begin"
-        work.changes.subscribe(lambda _: told.append(step))
+        work.changes.subscribe(lambda _: published.append(step))
         _begin(work)
         _begin(work)
         step = "first event"
@@ -38,13 +38,13 @@
         step = "end"
         work.end(request=REQUEST)
         work.end(request=REQUEST)
-        return told
+        return published
 
-    assert run_virtually(play()) == ["begin", "first event", "copy", "moving", "end"]
+    assert run_virtually(scenario()) == ["begin", "first event", "copy", "moving", "end"]
 
 
-def test_ages_are_told_as_they_are_when_they_are_asked_for() -> None:
-    async def play() -> tuple[int, int, int]:
+def test_ages_are_computed_when_they_are_read() -> None:
+    async def scenario() -> tuple[int, int, int]:
         work = LocalWorkload(clock=Clock())
         _begin(work)
         before = work.uses()[0].begun_ms
@@ -55,11 +55,11 @@
         use = work.uses()[0]
         return before, use.begun_ms, use.copy_ms
 
-    assert run_virtually(play()) == (-1, 500, 200)
+    assert run_virtually(scenario()) == (-1, 500, 200)
 
 
-def test_generation_that_goes_on_at_another_engine_has_not_begun_there() -> None:
-    async def play() -> None:
+def test_generation_has_no_first_event_when_it_is_resumed_on_another_engine() -> None:
+    async def scenario() -> None:
         work = LocalWorkload(clock=Clock())
         _begin(work)
         work.progress(request=REQUEST, tokens=1400, made=400)
@@ -69,11 +69,11 @@
         (use,) = work.uses()
         assert (use.upstream, use.begun_ms, use.tokens, use.made) == (Y, -1, 1400, 400)
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_nothing_is_told_of_a_generation_that_is_over() -> None:
-    async def play() -> None:
+def test_generation_is_not_reported_when_it_has_ended() -> None:
+    async def scenario() -> None:
         work = LocalWorkload(clock=Clock())
         _begin(work)
         work.end(request=REQUEST)
@@ -81,4 +81,4 @@
         work.set_copy(request=REQUEST, copy_at=Y)
         assert work.uses() == []
 
-    run_virtually(play())
+    run_virtually(scenario())
