--- a/src/tanagerscale/forwarding/_crash_evidence.py
+++ b/src/tanagerscale/forwarding/_crash_evidence.py
@@ -16,13 +16,17 @@
     return suspects.known > 0 and suspects.is_refused(routed.fingerprint)
 
 
-def note_broken(routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry) -> None:
+def record_broken_response(
+    routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry
+) -> None:
     """Record a truncated response, unless its upstream is leaving."""
     if not parts.gate.is_leaving(entry.upstream):
         parts.suspects.note_broken(fingerprint=routed.fingerprint, upstream=entry.upstream)
 
 
-def note_whole(routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry) -> None:
+def record_complete_response(
+    routed: RoutedRequest, parts: ForwardingParts, entry: UpstreamEntry
+) -> None:
     """Record a complete response."""
     if parts.suspects.known:
         parts.suspects.note_whole(fingerprint=routed.fingerprint, upstream=entry.upstream)
--- a/src/tanagerscale/forwarding/_events.py
+++ b/src/tanagerscale/forwarding/_events.py
@@ -52,11 +52,11 @@
             if len(self._rest) > MAX_EVENT_BYTES:
                 raise EventError("An event has no end; choose another engine.")
             return []
-        whole = bytes(self._rest[: end + len(EVENT_DELIMITER)])
+        complete = bytes(self._rest[: end + len(EVENT_DELIMITER)])
         del self._rest[: end + len(EVENT_DELIMITER)]
         return [
             Event(_parse_event_id(text), text + EVENT_DELIMITER)
-            for text in whole[: -len(EVENT_DELIMITER)].split(EVENT_DELIMITER)
+            for text in complete[: -len(EVENT_DELIMITER)].split(EVENT_DELIMITER)
         ]
 
 
--- a/src/tanagerscale/forwarding/_plain.py
+++ b/src/tanagerscale/forwarding/_plain.py
@@ -15,8 +15,8 @@
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import get_logger
-from tanagerscale.forwarding._crash_evidence import note_broken
-from tanagerscale.forwarding._crash_evidence import note_whole
+from tanagerscale.forwarding._crash_evidence import record_broken_response
+from tanagerscale.forwarding._crash_evidence import record_complete_response
 from tanagerscale.forwarding._execution import ExecutionRecord
 from tanagerscale.forwarding._parts import ForwardingParts
 from tanagerscale.forwarding._refusals import no_upstream
@@ -221,7 +221,7 @@
     ) -> _CompleteResponse | None:
         self._record.note_run(entry.upstream)
         self._parts.gate.note_up(upstream=entry.upstream)
-        note_whole(self._routed, self._parts, entry)
+        record_complete_response(self._routed, self._parts, entry)
         self._parts.metrics.attempts.labels("answered").inc()
         self._log("An upstream has answered.", entry, status=response.status)
         complete = _CompleteResponse(
@@ -239,7 +239,7 @@
             self._parts.gate.note_down(upstream=entry.upstream)
         else:
             self._record.note_run(entry.upstream)
-            note_broken(self._routed, self._parts, entry)
+            record_broken_response(self._routed, self._parts, entry)
         self._refusal = upstream_failed(cause=error.detail)
         self._parts.metrics.attempts.labels(error.failure.value).inc()
         self._log("An attempt failed.", entry, failure=error.failure.value, detail=error.detail)
--- a/src/tanagerscale/forwarding/_relay.py
+++ b/src/tanagerscale/forwarding/_relay.py
@@ -78,9 +78,9 @@
             return str(error)
         return None if reader.is_empty else "the answer ended within an event"
 
-    def note_whole(self, segment: StreamSegment) -> None:
+    def note_stream_end(self, segment: StreamSegment) -> None:
         """Record the proper end of the stream."""
-        self._sender.note_whole(segment.entry)
+        self._sender.note_complete_response(segment.entry)
         self._parts.metrics.longest_gap_ms.observe(self._longest_gap_ms)
         self._sender.log(
             "A stream is whole.",
--- a/src/tanagerscale/forwarding/_segments.py
+++ b/src/tanagerscale/forwarding/_segments.py
@@ -12,8 +12,8 @@
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
-from tanagerscale.forwarding._crash_evidence import note_broken
-from tanagerscale.forwarding._crash_evidence import note_whole
+from tanagerscale.forwarding._crash_evidence import record_broken_response
+from tanagerscale.forwarding._crash_evidence import record_complete_response
 from tanagerscale.forwarding._demand import is_long
 from tanagerscale.forwarding._parts import ForwardingParts
 from tanagerscale.forwarding._snapshots import ResumeTarget
@@ -176,15 +176,15 @@
         if not self._parts.gate.is_leaving(entry.upstream):
             self._parts.health.note_bad(upstream=entry.upstream)
 
-    def note_broken(self, entry: UpstreamEntry) -> None:
+    def note_broken_response(self, entry: UpstreamEntry) -> None:
         """Record a truncated response; the request may have crashed its engine."""
         self.note_bad(entry)
-        note_broken(self._routed, self._parts, entry)
+        record_broken_response(self._routed, self._parts, entry)
 
-    def note_whole(self, entry: UpstreamEntry) -> None:
+    def note_complete_response(self, entry: UpstreamEntry) -> None:
         """Record a complete response."""
         self._parts.health.note_good(upstream=entry.upstream)
-        note_whole(self._routed, self._parts, entry)
+        record_complete_response(self._routed, self._parts, entry)
 
     def log(self, message: str, entry: UpstreamEntry, **inputs: object) -> None:
         """Log a message about this request at an engine."""
--- a/src/tanagerscale/forwarding/_stream.py
+++ b/src/tanagerscale/forwarding/_stream.py
@@ -248,7 +248,7 @@
             self._parts.gate.note_down(upstream=entry.upstream)
         else:
             self._record.note_run(entry.upstream)
-            self._sender.note_broken(entry)
+            self._sender.note_broken_response(entry)
         self._parts.metrics.attempts.labels(error.failure.value).inc()
         self._sender.log("An attempt failed.", entry, detail=error.detail, sent=not not_sent)
         return upstream_failed(cause=error.detail)
@@ -287,7 +287,7 @@
             )
             if cause is None:
                 await self._responder.end()
-                self._relay.note_whole(self._segment)
+                self._relay.note_stream_end(self._segment)
                 return None
             segment = await self._resume_elsewhere(self._segment, cause)
             self._parts.metrics.moves.labels("lost" if segment is None else "moved").inc()
@@ -316,7 +316,7 @@
         broken = segment.entry
         self._sender.log("A leg ended early.", broken, detail=cause, at=self._relay.last_event)
         if self._pending_stop is None and not self._resume_targets:
-            self._sender.note_broken(broken)
+            self._sender.note_broken_response(broken)
         segment.close()
         self._is_switching = True
         try:
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -146,7 +146,7 @@
 
 
 def make_request(
-    *, name: str = "request", path: str = "/a/x", prompt: int | None = None, longest: int = 2000
+    *, name: str = "request", path: str = "/a/x", prompt: int | None = None, max_tokens: int = 2000
 ) -> CallerRequest:
     """Return a request; with ``prompt`` tokens it is a language model request."""
     demand = None
@@ -154,7 +154,7 @@
         demand = Demand(
             model=ModelId("m"),
             prompt_tokens=prompt,
-            max_tokens=longest,
+            max_tokens=max_tokens,
             expected_tokens=None,
             parts=(),
         )
@@ -568,6 +568,6 @@
     return movers
 
 
-def copy_failure(failure: CopyFailure, *, kept: str | None = None) -> CopyError:
+def copy_failure(failure: CopyFailure, *, retained_copy: str | None = None) -> CopyError:
     """Return a failed copy."""
-    return CopyError(failure=failure, detail="as told", retained_copy=kept)
+    return CopyError(failure=failure, detail="as told", retained_copy=retained_copy)
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -40,7 +40,7 @@
     ended: bool = False
     snapshot: Snapshot | None = None
     copy_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    stops: list[ResumeTarget | None] = field(default_factory=list)
+    resume_targets: list[ResumeTarget | None] = field(default_factory=list)
     began: asyncio.Event = field(default_factory=asyncio.Event)
     on_move: Callable[[FakeRun], None] | None = None
 
@@ -54,7 +54,7 @@
 
     def finish_stop(self, resume_target: ResumeTarget | None) -> None:
         """Record the resume target and resume there."""
-        self.stops.append(resume_target)
+        self.resume_targets.append(resume_target)
         if resume_target is not None:
             self.entry = resume_target.entry
             self.snapshot = None
@@ -118,7 +118,7 @@
         run.began.set()
         self.bench.work.progress(request=run.request, tokens=run.tokens, made=run.made)
 
-    def hold(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
+    def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
         run.snapshot = Snapshot(entry=self.entry(at), copy="c", taken=taken)
         self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
@@ -133,7 +133,7 @@
             is_long=False,
         )
 
-    def lose_store(self) -> None:
+    def disconnect_store(self) -> None:
         """Simulate an unavailable store, which reports no more leaving engines."""
         self.bench.upstreams.is_current = False
         self.coordinator.on_currency(False)
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of how hosts learn evacuations through lost, late and repeated messages.
+"""State machine test of how hosts receive evacuations through lost, late and repeated messages.
 
 Operators evacuate and restore failure domains in quick succession. Some hosts read the store, the
 others follow these readers over links that drop, delay and repeat messages.
--- a/testing/test_forwarding_admission.py
+++ b/testing/test_forwarding_admission.py
@@ -46,7 +46,7 @@
     name: str,
     *,
     prompt: int = 3000,
-    longest: int = 2000,
+    max_tokens: int = 2000,
     left_of_ms: int | None = None,
     target_ms: int = TARGET_MS,
 ) -> asyncio.Task[Found]:
@@ -56,7 +56,7 @@
         first attempt.
     """
     route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000, target_ms=target_ms)
-    request = make_request(name=name, prompt=prompt, longest=longest)
+    request = make_request(name=name, prompt=prompt, max_tokens=max_tokens)
     if left_of_ms is not None:
         fields = {field: getattr(request, field) for field in request.__struct_fields__}
         request = type(request)(**{**fields, "time_left_ms": left_of_ms})
@@ -158,12 +158,12 @@
     assert run_virtually(scenario()) == ["fresh"]
 
 
-@pytest.mark.parametrize(("longest", "left_ms"), [(2000, 30_000), (2000, 3000), (100, 6000)])
-def test_wait_leaves_time_for_the_answer_before_the_deadline(longest: int, left_ms: int) -> None:
+@pytest.mark.parametrize(("max_tokens", "left_ms"), [(2000, 30_000), (2000, 3000), (100, 6000)])
+def test_wait_leaves_time_for_the_answer_before_the_deadline(max_tokens: int, left_ms: int) -> None:
     async def scenario() -> int:
         bench, admission = _make_admission()
         _fill(bench)
-        await _find_engine(bench, admission, "1", longest=longest, left_of_ms=left_ms)
+        await _find_engine(bench, admission, "1", max_tokens=max_tokens, left_of_ms=left_ms)
         return bench.parts.clock.now()
 
     assert run_virtually(scenario()) <= max(left_ms - RESPONSE_RESERVE_MS, 0) + 100
@@ -175,16 +175,16 @@
         filler = _fill(bench)
         order: list[str] = []
 
-        async def keep(name: str, longest: int) -> None:
+        async def keep(name: str, max_tokens: int) -> None:
             await _find_engine(
-                bench, admission, name, prompt=20_000, longest=longest, target_ms=4000
+                bench, admission, name, prompt=20_000, max_tokens=max_tokens, target_ms=4000
             )
             order.append(name)
             bench.work.end(request=RequestId(name))
 
         tasks = []
-        for name, longest in (("long-1", 2000), ("long-2", 2000), ("short", 40)):
-            tasks.append(asyncio.create_task(keep(name, longest)))
+        for name, max_tokens in (("long-1", 2000), ("long-2", 2000), ("short", 40)):
+            tasks.append(asyncio.create_task(keep(name, max_tokens)))
             await asyncio.sleep(0.05)
         bench.work.end(request=filler)
         await asyncio.gather(*tasks)
--- a/testing/test_forwarding_dispatcher.py
+++ b/testing/test_forwarding_dispatcher.py
@@ -60,8 +60,8 @@
     return None if responder.refusal is None else responder.refusal.kind
 
 
-def _generation(longest: int = 2000) -> CallerRequest:
-    return make_request(path="/s/x", prompt=100, longest=longest)
+def _generation(max_tokens: int = 2000) -> CallerRequest:
+    return make_request(path="/s/x", prompt=100, max_tokens=max_tokens)
 
 
 def test_request_is_answered_when_its_route_matches() -> None:
@@ -149,7 +149,7 @@
         assert refused.refusal.retry_after_ms is not None
         assert refused.refusal.retry_after_ms < 100
         assert harness.bench.caller.requests == []
-        assert (await harness.ask(_generation(longest=40))).ended
+        assert (await harness.ask(_generation(max_tokens=40))).ended
         assert (await harness.ask(make_request())).ended
 
     run_virtually(scenario())
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -26,7 +26,7 @@
         harness.leave("x")
         await asyncio.sleep(1.0)
         assert harness.bench.engines.copies == [("1", "x", "y", False), ("1", "x", "y", True)]
-        (resume_target,) = run.stops
+        (resume_target,) = run.resume_targets
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.holder.upstream) == ("y", "x")
 
@@ -37,7 +37,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
-        harness.hold(run, at="z")
+        harness.add_copy(run, at="z")
         harness.leave("x")
         await asyncio.sleep(1.0)
         assert harness.bench.engines.copies == [("1", "x", "z", True)]
@@ -69,7 +69,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert harness.bench.engines.copies == [("1", "x", "y", True)]
         assert resume_target is not None
@@ -84,7 +84,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         harness.bench.engines.failures.append(copy_failure(failure))
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
@@ -97,7 +97,7 @@
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         harness.bench.engines.takes_ms = 60_000
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
@@ -126,7 +126,7 @@
         harness.leave("x")
         run = harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert len(run.stops) == 1
+        assert len(run.resume_targets) == 1
 
     run_virtually(scenario())
 
@@ -141,7 +141,7 @@
         targets = [target for _, _, target, _ in harness.bench.engines.copies]
         assert len(set(targets)) == 2
         assert targets[1] == targets[2]
-        assert len(run.stops) == 1
+        assert len(run.resume_targets) == 1
 
     run_virtually(scenario())
 
@@ -150,11 +150,11 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, kept="k"))
+        harness.add_copy(run, at="y")
+        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, retained_copy="k"))
         harness.leave("x")
         await asyncio.sleep(0.3)
-        resume_target = run.stops[0]
+        resume_target = run.resume_targets[0]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.copy) == ("x", "k")
 
@@ -170,7 +170,7 @@
         harness.begin(run)
         await asyncio.sleep(1.0)
         assert harness.bench.engines.copies == []
-        assert run.stops == []
+        assert run.resume_targets == []
 
     run_virtually(scenario())
 
@@ -251,7 +251,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
         harness.fill("y", tokens=31_000)
         harness.bench.engines.takes_ms = 1000
@@ -275,7 +275,7 @@
         assert harness.bench.engines.copies == []
         harness.bench.work.end(request=RequestId("filler of y"))
         await asyncio.sleep(0.5)
-        assert len(run.stops) == 1
+        assert len(run.resume_targets) == 1
 
     run_virtually(scenario())
 
@@ -285,9 +285,9 @@
         harness = MoveHarness("x", "y")
         runs = [harness.add(str(number), at="x") for number in range(5)]
         for run in runs[:4]:
-            harness.hold(run, at="y")
+            harness.add_copy(run, at="y")
         await asyncio.sleep(SETTLE_S)
-        moved = [run for run in runs if run.stops]
+        moved = [run for run in runs if run.resume_targets]
         # Five to none, then four to one; from three to two, a move would only swap the two engines.
         assert len(moved) == 2
         # Only the rest of each moved run was copied; the copies of other runs are renewed too.
@@ -303,7 +303,7 @@
         harness = MoveHarness("x", "y", "z")
         runs = [harness.add(str(number), at="x") for number in range(4)]
         for run in runs:
-            harness.hold(run, at="y")
+            harness.add_copy(run, at="y")
         harness.leave("z")
         await asyncio.sleep(1.4)
         assert harness.bench.engines.copies == []
@@ -336,7 +336,7 @@
         await asyncio.sleep(1.4)
         assert [stop for *_, stop in harness.bench.engines.copies] == [False, True]
         assert len({target for _, _, target, _ in harness.bench.engines.copies}) == 1
-        assert len(run.stops) == 1
+        assert len(run.resume_targets) == 1
 
     run_virtually(scenario())
 
@@ -345,7 +345,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         harness.bench.upstreams.leaving.add("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
@@ -365,7 +365,7 @@
         leaving = harness.add("1", at="x")
         harness.leave("x")
         await asyncio.sleep(1.0)
-        (resume_target,) = leaving.stops
+        (resume_target,) = leaving.resume_targets
         assert resume_target is not None
         assert resume_target.entry.upstream == "z"
 
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -60,7 +60,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         _fill_for_spare_copies(harness)
-        harness.lose_store()
+        harness.disconnect_store()
         for number in range(RUNS_WITHIN_NOTICE):
             harness.add(str(number), at="x")
         await asyncio.sleep(SETTLE_S)
@@ -73,7 +73,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
-        harness.hold(run, at="y")
+        harness.add_copy(run, at="y")
         harness.bench.upstreams.down.append("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
@@ -110,7 +110,7 @@
         harness = MoveHarness("x", "y")
         harness.bench.engines.staying.add("y")
         stuck = harness.add("stuck", at="x", made=3000)
-        harness.hold(stuck, at="y")
+        harness.add_copy(stuck, at="y")
         harness.bench.engines.refused.add("stuck")
         await asyncio.sleep(RENEW_MS / 1000)
         for name in ("b", "c"):
@@ -146,7 +146,7 @@
 def test_run_moves_when_its_engine_reports_leaving_while_the_store_is_unavailable() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.lose_store()
+        harness.disconnect_store()
         harness.bench.engines.leaves_in_ms = 1800
         harness.bench.engines.staying.add("y")
         run = harness.add("1", at="x")
@@ -155,7 +155,7 @@
         assert harness.bench.upstreams.leaving == {"x"}
         assert [
             resume_target is not None and resume_target.entry.upstream
-            for resume_target in run.stops
+            for resume_target in run.resume_targets
         ] == ["y"]
 
     run_virtually(scenario())
@@ -164,7 +164,7 @@
 def test_reported_departure_time_is_used_when_it_is_near() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.lose_store()
+        harness.disconnect_store()
         harness.bench.engines.leaves_in_ms = REPORT_LAG_MS + 400
         harness.add("1", at="x")
         async with _run_departure_watch(harness):
@@ -191,7 +191,7 @@
 def test_poll_rate_of_an_engine_does_not_depend_on_the_number_of_hosts(others: int) -> None:
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
-        harness.lose_store()
+        harness.disconnect_store()
         harness.bench.engines.staying.add("x")
         harness.add("1", at="x")
         for number in range(others):
@@ -209,7 +209,7 @@
 def test_engine_is_not_polled_by_a_host_that_follows_another_decider() -> None:
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
-        harness.lose_store()
+        harness.disconnect_store()
         use = RunUse(request="r", upstream="x", tokens=100, begun_ms=0)
         runs = HostRuns(number=1, decider="another", runs=[use])
         harness.coordinator.on_message(HostId("peer"), runs)
