--- a/testing/_moving_scene.py
+++ b/testing/_move_harness.py
@@ -1,4 +1,4 @@
-"""Streams on engines that leave, and what moves them, over fakes."""
+"""Test harness for moving streams off leaving engines, built on fakes."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from tanagerscale.core import RequestId
 from tanagerscale.core import UpstreamId
 from tanagerscale.forwarding import RoutedRequest
-from tanagerscale.forwarding._hops import Hop
-from tanagerscale.forwarding._hops import Snapshot
+from tanagerscale.forwarding._snapshots import ResumeTarget
+from tanagerscale.forwarding._snapshots import Snapshot
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import UpstreamEntry
 from testing._gateway_fakes import Bench
 from testing._gateway_fakes import make_bench
 from testing._gateway_fakes import make_entry
-from testing._gateway_fakes import make_movers
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
+from testing._gateway_fakes import make_stream_mover
 from testing._gateway_fakes import route_request
 
 LONG_AGO = Millis(0)
@@ -28,7 +28,7 @@
 
 @dataclass(eq=False, slots=True)
 class FakeRun:
-    """A stream on an engine, as those see it that move streams."""
+    """A stream on an engine, with the interface that the mover uses."""
 
     routed: RoutedRequest
     entry: UpstreamEntry | None
@@ -39,8 +39,8 @@
     begun: bool = True
     ended: bool = False
     snapshot: Snapshot | None = None
-    copying: asyncio.Lock = field(default_factory=asyncio.Lock)
-    stops: list[Hop | None] = field(default_factory=list)
+    copy_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    resume_targets: list[ResumeTarget | None] = field(default_factory=list)
     began: asyncio.Event = field(default_factory=asyncio.Event)
     on_move: Callable[[FakeRun], None] | None = None
 
@@ -49,28 +49,28 @@
         if not self.begun:
             await self.began.wait()
 
-    def expect_stop(self) -> None:
+    def begin_stop(self) -> None:
         """Do nothing."""
 
-    def stopped(self, hop: Hop | None) -> None:
-        """Go on elsewhere."""
-        self.stops.append(hop)
-        if hop is not None:
-            self.entry = hop.entry
+    def finish_stop(self, resume_target: ResumeTarget | None) -> None:
+        """Record the resume target and resume there."""
+        self.resume_targets.append(resume_target)
+        if resume_target is not None:
+            self.entry = resume_target.entry
             self.snapshot = None
             if self.on_move is not None:
                 self.on_move(self)
 
 
-class Scene:
-    """Engines, streams on them, and what moves these."""
+class MoveHarness:
+    """Engines, the streams on them and their mover."""
 
     def __init__(self, *names: str) -> None:
         self.bench: Bench = make_bench(*(make_entry(name) for name in names))
         self.alone = self.bench.alone
         self.coordinator = self.alone.coordinator
         self.departures = self.coordinator.departures
-        self.movers = make_movers(self.bench)
+        self.movers = make_stream_mover(self.bench)
         self.runs = self.movers.runs
 
     def entry(self, name: str) -> UpstreamEntry:
@@ -82,7 +82,7 @@
     def add(
         self, name: str, *, at: str, tokens: int = 4000, made: int = 1000, begun: bool = True
     ) -> FakeRun:
-        """Put a stream on an engine."""
+        """Add a stream on an engine."""
         route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
         routed = route_request(make_request(name=name, prompt=tokens - made), route)
         run = FakeRun(
@@ -113,18 +113,18 @@
             self.begin(run)
 
     def begin(self, run: FakeRun) -> None:
-        """Let a stream begin to answer."""
+        """Record the first event of a stream."""
         run.begun = True
         run.began.set()
         self.bench.work.progress(request=run.request, tokens=run.tokens, made=run.made)
 
-    def hold(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
+    def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
         run.snapshot = Snapshot(entry=self.entry(at), copy="c", taken=taken)
         self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
 
     def fill(self, name: str, *, tokens: int) -> None:
-        """Take memory of an engine with what needs no copies."""
+        """Use memory of an engine for a generation that needs no copies."""
         self.bench.work.begin(
             request=RequestId(f"filler of {name}"),
             upstream=UpstreamId(name),
@@ -133,12 +133,12 @@
             is_long=False,
         )
 
-    def lose_store(self) -> None:
-        """Let the store tell of no more engines that leave."""
+    def disconnect_store(self) -> None:
+        """Simulate an unavailable store, which reports no more leaving engines."""
         self.bench.upstreams.is_current = False
         self.coordinator.on_currency(False)
 
     def leave(self, name: str) -> None:
-        """Let an engine leave."""
+        """Mark an engine as leaving."""
         self.bench.upstreams.leaving.add(name)
         self.alone.on_leaving(UpstreamId(name))
