--- a/src/tanagerscale/daemon/_admission.py
+++ b/src/tanagerscale/daemon/_admission.py
@@ -11,7 +11,7 @@
 from tanagerscale.core import Execution
 from tanagerscale.core import Problem
 from tanagerscale.core import ProblemKind
-from tanagerscale.dispatch import spread_return
+from tanagerscale.dispatch import add_retry_jitter
 
 RETRY_BUSY_MS = 1000
 
@@ -43,7 +43,7 @@
         :param account: Who asks.
         """
         if self._total >= self._limit:
-            return spread_return(problem=_BUSY, rng=self._rng)
+            return add_retry_jitter(problem=_BUSY, rng=self._rng)
         self._inside[account] += 1
         self._total += 1
         self._empty.clear()
--- a/src/tanagerscale/daemon/_control.py
+++ b/src/tanagerscale/daemon/_control.py
@@ -129,7 +129,7 @@
     members = {
         spec.engine
         for each in make_cells(engines=declarations.engines.values())
-        if each.cell == cell
+        if each.cell_id == cell
         for spec in each.specs
     }
     whole = DeclarationSet(
--- a/src/tanagerscale/daemon/_host.py
+++ b/src/tanagerscale/daemon/_host.py
@@ -37,7 +37,7 @@
 from tanagerscale.declarations import Declarations
 from tanagerscale.declarations import Follower
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.entry import CompletionParts
 from tanagerscale.entry import Completions
 from tanagerscale.entry import Entry
@@ -136,7 +136,7 @@
             await asyncio.wait_for(self._door.wait_empty(), grace_s)
         except TimeoutError:
             _log.warning("Streams are handed over; their callers hold cursors.")
-            self._canceller.hand_over()
+            self._canceller.disable_delayed_cancellations()
         await self._control.stop()
         await self._services.drain()
         await self._runner.cleanup()
@@ -215,7 +215,7 @@
             clock=self._clock,
             rng=self._rng,
             engine_clients=self._engines.client_of,
-            learn=self._schedulers.learn,
+            observe_length=self._schedulers.learn,
         )
         self._control = EngineControl(
             store=self._store,
@@ -272,11 +272,11 @@
             rng=self._rng,
             is_live=self._glue.is_live,
         )
-        self._dispatch = DispatchParts(
+        self._dispatch = DispatchContext(
             router=self._router,
             client_of=self._engines.client_of,
-            notes=notes,
-            crashes=self._crashes,
+            observer=notes,
+            crash_watch=self._crashes,
             retries=retries,
             canceller=self._canceller,
             meter=self._meter,
--- a/src/tanagerscale/daemon/_peers.py
+++ b/src/tanagerscale/daemon/_peers.py
@@ -108,7 +108,7 @@
         if not hosts:
             return
         live = [entry for entry in hosts if entry.state is ListedState.LIVE]
-        self._router.set_known_hosts(max(1, len(live)))
+        self._router.set_expected_hosts(max(1, len(live)))
         others = frozenset(HostId(entry.id) for entry in live) - {self._mesh.host}
         self._limits.set_peers(peers=others)
         self._spread.hosts_are_known()
@@ -117,7 +117,7 @@
         if isinstance(received.message, Heartbeat):
             self._limits.on_heartbeat(host=received.host, heartbeat=received.message)
         elif isinstance(received.message, Attached):
-            self._canceller.leave_to_peer(attempt=AttemptId(received.message.attempt))
+            self._canceller.on_caller_moved(attempt=AttemptId(received.message.attempt))
 
     def _on_declarations(self, declarations: Declarations) -> None:
         self._keys.set_accounts(accounts=declarations.accounts)
--- a/src/tanagerscale/dispatch/_attempt.py
+++ b/src/tanagerscale/dispatch/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: from its dispatch to an engine to its end there."""
+"""Execution of one attempt on an engine, including resumes of its connection."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 
-RESUME_PAUSE_MS = 100
+RESUME_DELAY_MS = 100
 MAX_SILENT_RESUMES = 1
 MAX_IDLE_RESUMES = 80
-"""Resumes that an engine answers without any new token before the attempt is given up.
+"""Maximum number of consecutive resumes without a new token before the attempt counts as lost.
 
-An engine that answers still holds the attempt, such as a preempted one that waits for memory.
+An engine that replies still holds the attempt, for example a preempted one that waits for memory.
 """
 
 _log = get_logger(part="dispatch")
@@ -45,21 +45,21 @@
     NOT_SENT = "not-sent"
     """The engine could not be reached, so nothing ran."""
     REFUSED = "refused"
-    """The engine refused before it ran anything."""
+    """The engine refused the attempt before running it."""
     CRASHED = "crashed"
-    """The engine died, or came back without the attempt."""
+    """The engine crashed, or restarted without the attempt."""
     LOST = "lost"
-    """The attempt failed or was cut off, and its engine may live."""
+    """The attempt failed or its connection was lost, but the engine may still run."""
     DIFFERS = "differs"
-    """The replay differs from what was delivered."""
+    """The replay differs from the delivered tokens."""
 
 
 class AttemptOutcome(Struct, frozen=True, kw_only=True):
-    """The end of an attempt.
+    """The result of an attempt.
 
-    :param end: How it ended.
-    :param detail: One sentence for the log.
-    :param refusal: The engine's refusal, if that is what ended it.
+    :param end: How the attempt ended.
+    :param detail: Explanation in one sentence for the log.
+    :param refusal: Refusal by the engine, if it ended the attempt.
     """
 
     end: AttemptEnd
@@ -69,14 +69,14 @@
 
 @final
 class Attempt:
-    """Follows one attempt through broken and silent connections.
+    """Runs one attempt and resumes it after broken or stalled connections.
 
-    :param attempt: Its id.
-    :param client: The engine.
+    :param attempt: Id of the attempt.
+    :param client: Client of the engine.
     :param relay: Position in the generation.
-    :param sink: Takes the accepted tokens.
-    :param report: Told how many tokens the attempt has made.
-    :param clock: Times the pauses between resumes.
+    :param sink: Delivers the accepted tokens.
+    :param on_progress: Called with the number of tokens that the attempt has generated.
+    :param clock: Clock used for the delays between resumes.
     """
 
     def __init__(
@@ -86,42 +86,42 @@
         client: EngineClient,
         relay: Relay,
         sink: Sink,
-        report: Callable[[int], None],
+        on_progress: Callable[[int], None],
         clock: Clock,
     ) -> None:
         self._attempt = attempt
         self._client = client
         self._relay = relay
         self._sink = sink
-        self._report = report
+        self._on_progress = on_progress
         self._clock = clock
         self._accepted = False
-        self._silent = 0
-        self._idle = 0
+        self._silent_resumes = 0
+        self._idle_resumes = 0
 
     @property
     def accepted(self) -> bool:
-        """Whether the engine has begun a reply."""
+        """Whether the engine has started to reply."""
         return self._accepted
 
     async def run(self, *, request: EngineRequest) -> AttemptOutcome:
-        """Send the attempt and follow it to its end.
+        """Send the request and follow the attempt to its end.
 
-        :param request: What the engine is to generate.
+        :param request: Request to the engine.
         """
         self._relay.begin(attempt=self._attempt)
         outcome = await self._follow(self._client.generate(request=request))
         return await self._resume_until_end(outcome)
 
     async def resume(self) -> AttemptOutcome:
-        """Follow an attempt that another host has sent."""
+        """Follow an attempt that another host has started."""
         self._accepted = True
         self._relay.follow(attempt=self._attempt)
         return await self._resume_until_end(None)
 
     async def _resume_until_end(self, outcome: AttemptOutcome | None) -> AttemptOutcome:
         while outcome is None:
-            if self._silent > MAX_SILENT_RESUMES or self._idle > MAX_IDLE_RESUMES:
+            if self._silent_resumes > MAX_SILENT_RESUMES or self._idle_resumes > MAX_IDLE_RESUMES:
                 return AttemptOutcome(end=AttemptEnd.LOST, detail="The engine made no progress.")
             offset = self._relay.next_offset
             outcome = await self._follow(
@@ -132,14 +132,14 @@
     async def _follow(
         self, batches: TokenBatches, *, resumed: bool = False
     ) -> AttemptOutcome | None:
-        """Take batches until the attempt ends or the connection must be made anew."""
+        """Process batches until the attempt ends; ``None`` means that it must be resumed."""
         before = self._relay.next_offset
         replied = False
         try:
             async for batch in batches:
-                # This runs for each token, and a class pattern costs twice what this does.
+                # This runs for each token, and matching a class pattern takes twice as long.
                 if isinstance(batch, Failure):
-                    return await self._after_error(batch.failure(), before, replied, resumed)
+                    return await self._handle_error(batch.failure(), before, replied, resumed)
                 replied = True
                 self._accepted = True
                 texts, fault = self._relay.accept(events=batch.unwrap())
@@ -148,18 +148,18 @@
                 if self._relay.finish is not None:
                     return AttemptOutcome(end=AttemptEnd.FINISHED)
                 if fault is not None:
-                    return await self._after_fault(fault, before)
+                    return await self._handle_fault(fault, before)
         finally:
             await batches.aclose()
         return None
 
     def _deliver(self, texts: Sequence[str]) -> Awaitable[None]:
         relay = self._relay
-        self._report(relay.next_offset)
+        self._on_progress(relay.next_offset)
         return self._sink.deliver(texts=texts, offset=relay.delivered, checksum=relay.checksum)
 
-    async def _after_fault(self, fault: RelayFault, before: int) -> AttemptOutcome | None:
-        _log.warning("Events were refused.", attempt=self._attempt, fault=fault.value)
+    async def _handle_fault(self, fault: RelayFault, before: int) -> AttemptOutcome | None:
+        _log.warning("Token events were rejected.", attempt=self._attempt, fault=fault.value)
         if fault is RelayFault.DIFFERS:
             return AttemptOutcome(end=AttemptEnd.DIFFERS, detail="The replay differs.")
         if fault is RelayFault.ENDED_BADLY:
@@ -167,31 +167,36 @@
         await self._count_resume(before, replied=True)
         return None
 
-    async def _after_error(
+    async def _handle_error(
         self, error: UpstreamError, before: int, replied: bool, resumed: bool
     ) -> AttemptOutcome | None:
         if error.kind is UpstreamErrorKind.REFUSED and error.refusal is not None:
-            return self._after_refusal(error.refusal, resumed)
+            return self._handle_refusal(error.refusal, resumed)
         if error.kind is UpstreamErrorKind.NOT_SENT:
             end = AttemptEnd.CRASHED if resumed else AttemptEnd.NOT_SENT
             return AttemptOutcome(end=end, detail=error.detail)
-        _log.info("A reply stopped.", attempt=self._attempt, kind=error.kind.value, offset=before)
+        _log.info(
+            "The reply of an engine was interrupted.",
+            attempt=self._attempt,
+            kind=error.kind.value,
+            offset=before,
+        )
         await self._count_resume(before, replied=replied)
         return None
 
     async def _count_resume(self, before: int, *, replied: bool) -> None:
         if self._relay.next_offset > before:
-            self._silent = 0
-            self._idle = 0
+            self._silent_resumes = 0
+            self._idle_resumes = 0
             return
-        self._idle += 1
-        self._silent = 0 if replied else self._silent + 1
-        await self._clock.sleep(RESUME_PAUSE_MS)
+        self._idle_resumes += 1
+        self._silent_resumes = 0 if replied else self._silent_resumes + 1
+        await self._clock.sleep(RESUME_DELAY_MS)
 
-    def _after_refusal(self, refusal: Refusal, resumed: bool) -> AttemptOutcome:
+    def _handle_refusal(self, refusal: Refusal, resumed: bool) -> AttemptOutcome:
         if not resumed:
             return AttemptOutcome(end=AttemptEnd.REFUSED, refusal=refusal, detail=refusal.detail)
-        # An engine that had begun the attempt and knows nothing of it now has died in between.
+        # An engine that has started the attempt and no longer has it must have crashed in between.
         if self._accepted and refusal.kind is RefusalKind.UNKNOWN_GENERATION:
             return AttemptOutcome(end=AttemptEnd.CRASHED, detail="The engine lost the attempt.")
         return AttemptOutcome(end=AttemptEnd.LOST, detail="The engine refused to resume.")
--- a/src/tanagerscale/dispatch/_cancel.py
+++ b/src/tanagerscale/dispatch/_cancel.py
@@ -1,4 +1,4 @@
-"""Cancellation of attempts that were given up."""
+"""Cancellation of abandoned attempts on engines."""
 
 from __future__ import annotations
 
@@ -16,90 +16,93 @@
 from tanagerscale.upstreams import EngineClient
 from tanagerscale.upstreams import UpstreamErrorKind
 
-TRIES = 5
-FIRST_PAUSE_MS = 200
-MAX_PENDING = 4096
-MAX_LEFT_TO_PEERS = 4096
-"""Attempts remembered whose callers went to other hosts, so that their leaving cancels nothing."""
+MAX_TRIES = 5
+INITIAL_BACKOFF_MS = 200
+MAX_PENDING_CANCELLATIONS = 4096
+MAX_MOVED_ATTEMPTS = 4096
+"""Number of attempts remembered as moved to other hosts, whose delayed cancellation is skipped."""
 
 _log = get_logger(part="dispatch")
 
 
 @final
 class Canceller:
-    """Tells engines to stop attempts, in the background.
+    """Cancels attempts on engines in background tasks.
 
-    An attempt that goes on costs engine time and nothing else, since no token of it is accepted;
-    so a cancellation is tried a few times and then left.
+    An attempt that is not cancelled only costs engine time, because none of its tokens are
+    accepted. A cancellation is therefore tried a limited number of times and then abandoned.
 
     :param client_of: Returns the client of an engine.
-    :param clock: Times the pauses.
+    :param clock: Clock used for delays.
     """
 
     def __init__(self, *, client_of: Callable[[UpstreamId], EngineClient], clock: Clock) -> None:
         self._client_of = client_of
         self._clock = clock
         self._tasks: dict[AttemptId, asyncio.Task[None]] = {}
-        self._left_to_peers: OrderedDict[AttemptId, None] = OrderedDict()
-        self._handing_over = False
+        self._moved_to_peers: OrderedDict[AttemptId, None] = OrderedDict()
+        self._delayed_cancellations_disabled = False
 
     def cancel(self, *, attempt: AttemptId, engine: UpstreamId, after_ms: int = 0) -> None:
         """Start to cancel an attempt.
 
-        :param attempt: The attempt.
-        :param engine: Where it runs.
-        :param after_ms: Pause before the first try.
+        :param attempt: Id of the attempt.
+        :param engine: Engine that runs it.
+        :param after_ms: Delay before the first try; a delayed cancellation is skipped if the
+            caller continues the attempt at another host.
         """
-        # The word that a caller has come back may be quicker than the sight of its leaving.
-        if after_ms > 0 and (self._handing_over or attempt in self._left_to_peers):
+        # The message that the caller moved may arrive before its disconnection is detected.
+        if after_ms > 0 and (
+            self._delayed_cancellations_disabled or attempt in self._moved_to_peers
+        ):
             return
-        if len(self._tasks) >= MAX_PENDING:
-            _log.warning("Too many cancellations wait; one was left out.", attempt=attempt)
+        if len(self._tasks) >= MAX_PENDING_CANCELLATIONS:
+            _log.warning("Too many pending cancellations; one was skipped.", attempt=attempt)
             return
         task = asyncio.ensure_future(self._cancel(attempt, engine, after_ms))
         self._tasks[attempt] = task
         task.add_done_callback(lambda _task: self._tasks.pop(attempt, None))
 
-    def hand_over(self) -> None:
-        """Let attempts go on whose callers may come back, since this host is stopping."""
-        self._handing_over = True
+    def disable_delayed_cancellations(self) -> None:
+        """Skip new delayed cancellations, as callers may reconnect elsewhere after a host stop."""
+        self._delayed_cancellations_disabled = True
 
-    def keep(self, *, attempt: AttemptId) -> None:
-        """Let an attempt go on, since its caller has come back to this host.
+    def on_caller_returned(self, *, attempt: AttemptId) -> None:
+        """Abort the cancellation of an attempt whose caller has reconnected to this host.
 
-        :param attempt: The attempt.
+        :param attempt: Id of the attempt.
         """
-        self._left_to_peers.pop(attempt, None)
-        self._drop(attempt)
+        self._moved_to_peers.pop(attempt, None)
+        self._abort_cancellation(attempt)
 
-    def leave_to_peer(self, *, attempt: AttemptId) -> None:
-        """Let an attempt go on, since its caller goes on with it at another host.
+    def on_caller_moved(self, *, attempt: AttemptId) -> None:
+        """Abort the cancellation of an attempt whose caller continues it at another host.
 
-        :param attempt: The attempt.
+        :param attempt: Id of the attempt.
         """
-        self._left_to_peers[attempt] = None
-        if len(self._left_to_peers) > MAX_LEFT_TO_PEERS:
-            self._left_to_peers.popitem(last=False)
-        self._drop(attempt)
+        self._moved_to_peers[attempt] = None
+        if len(self._moved_to_peers) > MAX_MOVED_ATTEMPTS:
+            self._moved_to_peers.popitem(last=False)
+        self._abort_cancellation(attempt)
 
-    def _drop(self, attempt: AttemptId) -> None:
+    def _abort_cancellation(self, attempt: AttemptId) -> None:
         task = self._tasks.pop(attempt, None)
         if task is not None:
             task.cancel()
 
     async def drain(self) -> None:
-        """Wait for the cancellations under way."""
+        """Wait for the pending cancellations."""
         if self._tasks:
             await asyncio.wait(set(self._tasks.values()))
 
     async def _cancel(self, attempt: AttemptId, engine: UpstreamId, after_ms: int) -> None:
         await self._clock.sleep(after_ms)
-        pause = FIRST_PAUSE_MS
-        for _ in range(TRIES):
+        backoff_ms = INITIAL_BACKOFF_MS
+        for _ in range(MAX_TRIES):
             match await self._client_of(engine).cancel(attempt=attempt):
                 case Failure(error) if error.kind is not UpstreamErrorKind.NOT_SENT:
-                    await self._clock.sleep(pause)
-                    pause *= 2
+                    await self._clock.sleep(backoff_ms)
+                    backoff_ms *= 2
                 case _:
                     return
         _log.warning("An attempt could not be cancelled.", attempt=attempt, engine=engine)
--- a/src/tanagerscale/dispatch/_progress.py
+++ b/src/tanagerscale/dispatch/_progress.py
@@ -1,4 +1,4 @@
-"""State that a generation keeps between its attempts."""
+"""State of a generation across its attempts."""
 
 from __future__ import annotations
 
@@ -10,18 +10,21 @@
 
 
 class GenerationProgress(Struct, kw_only=True):
-    """State that a generation keeps between its attempts.
+    """State of a generation across its attempts.
 
-    :param began: When the request arrived.
+    :param started_at: When the request arrived.
     :param excluded: Engines that failed on the request.
     :param not_admitted: Engines on which the crash watch does not admit the request at present.
     :param waiting_since: When the current wait for an engine began, or ``None`` if not waiting.
+    :param attempts: Number of attempts started.
+    :param lost_attempts: Number of attempts that failed after an engine may have started them.
+    :param may_have_run: Whether an engine may have executed the request.
     """
 
-    began: Millis
+    started_at: Millis
     excluded: set[UpstreamId] = field(default_factory=set)
     not_admitted: set[UpstreamId] = field(default_factory=set)
     waiting_since: Millis | None = None
     attempts: int = 0
-    lost: int = 0
+    lost_attempts: int = 0
     may_have_run: bool = False
--- a/src/tanagerscale/dispatch/_relay.py
+++ b/src/tanagerscale/dispatch/_relay.py
@@ -1,4 +1,4 @@
-"""The relay: accepts only the next tokens of the one current attempt."""
+"""Relay that accepts only the next tokens of the current attempt of a generation."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
 
 @unique
 class RelayFault(Enum):
-    """Why a batch was not taken to its end."""
+    """Why a batch of events was not accepted completely."""
 
     FOREIGN = "foreign"
     """An event names another attempt."""
     GAP = "gap"
     """Tokens are missing."""
     ENDED_BADLY = "ended-badly"
-    """The engine says that the generation ended without being whole."""
+    """The engine reports that the generation ended before it was complete."""
     DIFFERS = "differs"
-    """A replay differs from what was delivered."""
+    """A replay differs from the delivered tokens."""
 
 
 @final
 class Relay:
-    """Position in one generation, through all the attempts that make it.
+    """Tracks the position in one generation across all its attempts.
 
-    A second attempt after delivery began is a replay: its tokens are held against the delivered
-    ones by a checksum and suppressed up to the delivered offset.
+    An attempt that starts after tokens were delivered is a replay: its tokens are compared with the
+    delivered ones by a checksum and suppressed up to the delivered offset.
+
+    :param offset: Number of tokens already delivered.
+    :param checksum: Running CRC-32 of the text of these tokens.
     """
 
     def __init__(self, *, offset: int = 0, checksum: int = 0) -> None:
@@ -47,61 +50,62 @@
 
     @property
     def delivered(self) -> int:
-        """Tokens handed on so far."""
+        """Number of tokens delivered so far."""
         return self._delivered
 
     @property
     def checksum(self) -> int:
-        """Running checksum of the tokens handed on."""
+        """Running CRC-32 of the text of the delivered tokens."""
         return self._checksum
 
     @property
     def next_offset(self) -> int:
-        """Offset of the token that the current attempt is to send next."""
+        """Offset of the next token expected from the current attempt."""
         return self._next
 
     @property
     def finish(self) -> FinishReason | None:
-        """Why the generation ended, once it is whole."""
+        """Why the generation ended; ``None`` until it is complete."""
         return self._finish
 
     def begin(self, *, attempt: AttemptId) -> None:
-        """Make an attempt the only one whose tokens count, from its first token on.
+        """Accept only the tokens of an attempt, starting at its first token.
 
-        :param attempt: The new attempt.
+        :param attempt: Id of the new attempt.
         """
         self._attempt = attempt
         self._next = 0
         self._replay_checksum = 0
 
     def follow(self, *, attempt: AttemptId) -> None:
-        """Make an attempt the only one whose tokens count, from the delivered offset on.
+        """Accept only the tokens of an attempt, starting at the delivered offset.
 
-        :param attempt: The attempt that made the delivered tokens.
+        :param attempt: Id of the attempt that generated the delivered tokens.
         """
         self._attempt = attempt
         self._next = self._delivered
         self._replay_checksum = self._checksum
 
     def restart(self) -> None:
-        """Forget undelivered tokens, so that another attempt may make them anew.
+        """Reset the delivered position, so that another attempt may generate a different answer.
 
-        Only the caller knows that nothing has reached its reader; it then calls this.
+        Must be called only if no token has reached the client, which only the caller knows.
         """
         self._delivered = 0
         self._checksum = 0
 
     def accept(self, *, events: Sequence[TokenEvent]) -> tuple[list[str], RelayFault | None]:
-        """Return the texts to hand on, and what was wrong with the rest.
+        """Return the texts to deliver, and the fault of the first rejected event, if any.
 
         :param events: Events in the order of their arrival.
-        :returns: New tokens in order; a fault means that the events from it on were dropped.
+        :returns: Texts of new tokens in order, and the fault; on a fault the event that caused it
+            and all later events are dropped.
         """
         texts: list[str] = []
         for event in events:
             if event.attempt_id != self._attempt:
                 return texts, RelayFault.FOREIGN
-            # Nearly every event is the next token; this branch takes it without a call.
+            # Nearly every event is the next token; this branch handles it without a function call.
             if (
                 event.offset == self._delivered
                 and event.offset == self._next
@@ -117,7 +121,7 @@
                 return texts, self._end(event)
             if event.offset < self._next:
                 continue
-            if not self._suppress(event.text):
+            if not self._check_replayed(event.text):
                 return texts, RelayFault.DIFFERS
         return texts, None
 
@@ -129,8 +133,8 @@
         self._finish = event.finish_reason
         return None
 
-    def _suppress(self, text: str) -> bool:
-        """Pass over a delivered token that a replay makes again; false when it differs."""
+    def _check_replayed(self, text: str) -> bool:
+        """Skip a replayed token; return false if the replay differs from the delivered tokens."""
         self._next += 1
         self._replay_checksum = crc32(text.encode(), self._replay_checksum)
         return self._next < self._delivered or self._replay_checksum == self._checksum
--- a/src/tanagerscale/dispatch/_requests.py
+++ b/src/tanagerscale/dispatch/_requests.py
@@ -1,4 +1,4 @@
-"""What a generation asks of routing and of engines."""
+"""Conversion of generation requests into requests to routing and to engines."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     excluded: frozenset[UpstreamId],
     sheddable: bool,
 ) -> PlacementRequest:
-    """Return what routing is asked for.
+    """Return the placement request of a generation.
 
-    :param request: The checked request.
+    :param request: Validated request.
     :param arrived: When the wait began; unchanged on a repeat, to keep the queue position.
-    :param excluded: Engines not to choose.
+    :param excluded: Engines that must not be selected.
     :param sheddable: Whether the request may be refused under overload.
     """
     return PlacementRequest(
@@ -43,9 +43,9 @@
 
 
 def engine_request(*, request: GenerationRequest, attempt: AttemptId) -> EngineRequest:
-    """Return what an engine is sent.
+    """Return the request that is sent to an engine.
 
-    :param request: The checked request.
+    :param request: Validated request.
     :param attempt: Id of the attempt.
     """
     return EngineRequest(
--- a/src/tanagerscale/dispatch/_types.py
+++ b/src/tanagerscale/dispatch/_types.py
@@ -1,4 +1,4 @@
-"""What dispatch works with and what it asks of its neighbours."""
+"""Data types of dispatch and the interfaces that it requires."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 class GenerationRequest(Struct, frozen=True, kw_only=True):
-    """A checked request for a generation.
+    """A validated request for a generation.
 
-    :param generation: Id of the generation, which the caller knows as the request id.
-    :param account: Client account that asks.
+    :param generation: Id of the generation, returned to the caller as the request id.
+    :param account: Client account that sent the request.
     :param model: Declared model.
-    :param version: Its version, fixed for all attempts.
+    :param version: Version of the model, fixed for all attempts.
     :param adapter: Declared adapter, or the empty string.
     :param prompt: Text to continue.
-    :param prompt_tokens: Estimated length of the prompt.
-    :param max_tokens: Longest answer.
-    :param seed: Fixed for all attempts, so that a replay makes the same tokens.
-    :param priority: 0 goes first.
-    :param request_class: Name for the kind of request, or the empty string.
+    :param prompt_tokens: Estimated number of tokens in the prompt.
+    :param max_tokens: Maximum number of tokens in the answer.
+    :param seed: Sampling seed, fixed for all attempts so that a replay generates the same tokens.
+    :param priority: Scheduling priority; 0 is the highest.
+    :param request_class: Name of the kind of request, or the empty string.
     :param prefix: Hash of the shared part of the prompt, or the empty string.
-    :param prefix_tokens: Estimated length of that part.
-    :param whole: Whether nothing reaches the caller before the answer is complete.
-    :param fingerprint: Recognises the same request from the same account.
+    :param prefix_tokens: Estimated number of tokens in that part.
+    :param whole: Whether the answer is sent to the caller only once it is complete.
+    :param fingerprint: Identifies repeats of the same request by the same account.
     """
 
     generation: GenerationId
@@ -56,12 +56,12 @@
 
 
 class ResumePoint(Struct, frozen=True, kw_only=True):
-    """Where a generation stands that another host has dispatched.
+    """Position at which to resume a generation that another host has dispatched.
 
-    :param attempt: The attempt that runs.
-    :param engine: Where it runs.
-    :param offset: Tokens that the caller holds.
-    :param checksum: Running CRC-32 of their text.
+    :param attempt: Id of the running attempt.
+    :param engine: Engine that runs it.
+    :param offset: Number of tokens that the caller has received.
+    :param checksum: Running CRC-32 of the text of these tokens.
     """
 
     attempt: AttemptId
@@ -71,35 +71,36 @@
 
 
 class Sink(Protocol):
-    """Takes the accepted tokens of one generation to its caller."""
+    """Delivers the accepted tokens of one generation to its caller."""
 
     @property
     def cancel_after_ms(self) -> int | None:
-        """How long an attempt goes on when its caller leaves; ``None`` means to its end."""
+        """Time in ms until an attempt is cancelled after its caller leaves; ``None`` for never."""
 
     async def begin(self, *, attempt: AttemptId, engine: UpstreamId) -> None:
-        """Learn which attempt makes the tokens from now on."""
+        """Set the attempt that generates the following tokens."""
 
     def deliver(self, *, texts: Sequence[str], offset: int, checksum: int) -> Awaitable[None]:
-        """Hand tokens on.
+        """Deliver tokens.
 
-        :param texts: The tokens, in order.
-        :param offset: Tokens of the generation up to and with these.
-        :param checksum: Running checksum of their text.
+        :param texts: Texts of the tokens, in order.
+        :param offset: Number of tokens of the generation up to and including these.
+        :param checksum: Running CRC-32 of the text of all these tokens.
         """
 
     def discard(self) -> bool:
-        """Drop tokens that have not reached the caller.
+        """Discard tokens that have not been sent to the caller.
 
-        :returns: Whether nothing has reached the caller, so that any attempt may start anew.
+        :returns: Whether nothing has been sent to the caller, so that another attempt may
+            generate a different answer.
         """
 
 
-class UpstreamNotes(Protocol):
-    """Is told how upstreams behave."""
+class UpstreamObserver(Protocol):
+    """Records successes and failures of upstreams."""
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream said that it takes no new work."""
+        """Record that an upstream refused a request because it accepts no new work."""
 
     def note_failure(self, *, upstream: UpstreamId) -> None:
         """Record that a call to an upstream failed."""
@@ -112,13 +113,13 @@
     """Keeps requests that crash upstreams from the other upstreams."""
 
     def check(self, *, fingerprint: str) -> Problem | None:
-        """Return the final answer for a request that must not run."""
+        """Return the problem for a request that must not run; ``None`` when it may run."""
 
     def excluded_engines(self, *, fingerprint: str, model: ModelId) -> frozenset[UpstreamId]:
-        """Return the engines of a model where the request may not run now."""
+        """Return the engines of a model on which the request must not run at present."""
 
     async def wait_change(self) -> None:
-        """Wait until an excluded engine may have become free, or for a short while."""
+        """Wait until the excluded engines may have changed, or until a short timeout."""
 
     async def admit(
         self,
@@ -128,25 +129,25 @@
         stop: asyncio.Event,
         progress: Callable[[], int],
     ) -> bool:
-        """Ask, immediately before sending, to run a request on an engine.
+        """Request admission of a run on an engine; called immediately before it is sent.
 
-        :param stop: Set when the run should be cancelled and tried again.
-        :param progress: Returns how many tokens the run has made.
-        :returns: Whether it may; it then counts as running until ``on_finished``.
+        :param stop: Set when the run should be cancelled and retried.
+        :param progress: Returns the number of tokens that the run has generated.
+        :returns: Whether the run is admitted; it then counts as running until ``on_finished``.
         """
 
     def on_finished(self, *, fingerprint: str, engine: UpstreamId, complete: bool) -> None:
-        """Record that a request no longer runs on an engine, for any reason but a crash."""
+        """Record that a request no longer runs on an engine, for any reason except a crash."""
 
     def on_engine_crash(self, *, engine: UpstreamId) -> None:
-        """Record that an engine died with all that it ran."""
+        """Record that an engine crashed and lost all its runs."""
 
 
-class RetryAllowance(Protocol):
-    """Bounds how much of the work may be retries."""
+class RetryLimiter(Protocol):
+    """Limits the ratio of retries to requests."""
 
     def on_request(self) -> None:
         """Record a first attempt."""
 
     def try_spend(self) -> bool:
-        """Take one retry if the budget allows it."""
+        """Consume one retry from the budget; return whether one was available."""
--- a/src/tanagerscale/entry/_completions.py
+++ b/src/tanagerscale/entry/_completions.py
@@ -33,7 +33,7 @@
 from tanagerscale.delivery import verify_cursor
 from tanagerscale.dispatch import Attempt
 from tanagerscale.dispatch import AttemptEnd
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.dispatch import Finish
 from tanagerscale.dispatch import Generation
 from tanagerscale.dispatch import GenerationRequest
@@ -67,7 +67,7 @@
     host: HostId
     cursor_key: bytes
     checker: RequestChecker
-    dispatch: DispatchParts
+    dispatch: DispatchContext
     declarations: Callable[[], Declarations]
     limits: AccountLimiter
     attached: Callable[[HostId, AttemptId], None]
@@ -116,7 +116,7 @@
 
     async def _reply_whole(self, checked: GenerationRequest, chat: bool) -> web.Response:
         sink = WholeSink()
-        generation = Generation(request=checked, sink=sink, parts=self._parts.dispatch)
+        generation = Generation(request=checked, sink=sink, context=self._parts.dispatch)
         match await self._run_counted(generation, checked):
             case Success(finish):
                 body = whole_body(checked, finish, sink.text, chat)
@@ -167,7 +167,7 @@
         generation = Generation(
             request=checked,
             sink=sink,
-            parts=self._parts.dispatch,
+            context=self._parts.dispatch,
             resume=self._resume_point(cursor) if cursor is not None else None,
         )
         # A continuation was let in with its first request, and a limit would only waste that.
@@ -179,7 +179,7 @@
 
     def _resume_point(self, cursor: Cursor) -> ResumePoint:
         attempt = AttemptId(cursor.binding.attempt)
-        self._parts.dispatch.canceller.keep(attempt=attempt)
+        self._parts.dispatch.canceller.on_caller_returned(attempt=attempt)
         self._parts.attached(HostId(cursor.binding.host), attempt)
         return ResumePoint(
             attempt=attempt,
@@ -272,7 +272,7 @@
             client=dispatch.client_of(engine),
             relay=relay,
             sink=sink,
-            report=_no_report,
+            on_progress=_no_report,
             clock=dispatch.clock,
         )
         ended = False
--- a/src/tanagerscale/routing/__init__.py
+++ b/src/tanagerscale/routing/__init__.py
@@ -1,16 +1,16 @@
-"""Which engine runs a generation: cells of engines, their owner hosts, and how to ask them."""
+"""Assignment of generations to engines: cells of engines, their owner hosts and the router."""
 
 from __future__ import annotations
 
 from tanagerscale.routing._cells import Cell
 from tanagerscale.routing._cells import CellId
 from tanagerscale.routing._cells import make_cells
-from tanagerscale.routing._cells import owner_of
+from tanagerscale.routing._cells import select_owner
 from tanagerscale.routing._protocol import PeerNetwork
 from tanagerscale.routing._protocol import Placement
 from tanagerscale.routing._protocol import PoolScheduler
 from tanagerscale.routing._protocol import Router
-from tanagerscale.routing._protocol import UpstreamOpenness
+from tanagerscale.routing._protocol import UpstreamAvailability
 from tanagerscale.routing._router import PoolRouter
 
 __all__ = [
@@ -21,7 +21,7 @@
     "PoolRouter",
     "PoolScheduler",
     "Router",
-    "UpstreamOpenness",
+    "UpstreamAvailability",
     "make_cells",
-    "owner_of",
+    "select_owner",
 ]
--- a/src/tanagerscale/routing/_deciders.py
+++ b/src/tanagerscale/routing/_cell_owners.py
@@ -1,4 +1,4 @@
-"""The cells that this host decides for, as their owner or as a fallback."""
+"""Cells that this host schedules, as their owner or as a fallback."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 
 @final
-class Deciders:
-    """Makes a cell's decider when it is first asked, and drops it when nothing is left to hold.
+class CellOwners:
+    """Creates the ``CellOwner`` of a cell on first use, and removes it when it is no longer needed.
 
-    :param make_scheduler: Makes the scheduler of one cell.
-    :param specs: Returns the engines of a cell that take new work, or ``None`` when no such
+    :param make_scheduler: Creates the scheduler of one cell.
+    :param get_specs: Returns the engines of a cell that accept new work, or ``None`` when no such
         cell is declared.
-    :param keeps: Returns whether a cell's decider stays although it holds nothing.
-    :param clock: Time.
-    :param tell: Sends a decision to a host.
+    :param is_retained: Returns whether the owner of a cell is kept while it has no reservations.
+    :param clock: Clock of this host.
+    :param send: Sends a message to an entry host.
     """
 
     def __init__(
         self,
         *,
         make_scheduler: Callable[[], PoolScheduler],
-        specs: Callable[[CellId], Sequence[EngineSpec] | None],
-        keeps: Callable[[CellId], bool],
+        get_specs: Callable[[CellId], Sequence[EngineSpec] | None],
+        is_retained: Callable[[CellId], bool],
         clock: Clock,
-        tell: Callable[[HostId, Grant | RunningRequest], None],
+        send: Callable[[HostId, Grant | RunningRequest], None],
     ) -> None:
         self._make_scheduler = make_scheduler
-        self._specs = specs
-        self._keeps = keeps
+        self._get_specs = get_specs
+        self._is_retained = is_retained
         self._clock = clock
-        self._tell = tell
+        self._send = send
         self._owners: dict[CellId, CellOwner] = {}
 
     def __iter__(self) -> Iterator[CellOwner]:
@@ -50,47 +50,47 @@
 
     @property
     def reservations(self) -> int:
-        """How many placements are held in all cells together."""
+        """Number of reservations in all cells."""
         return sum(owner.reservations for owner in self)
 
     def find(self, cell: CellId) -> CellOwner | None:
-        """Return a cell's decider if it has been asked already."""
+        """Return the owner of a cell; ``None`` when it has not been created."""
         return self._owners.get(cell)
 
-    def get(self, cell: CellId) -> CellOwner | None:
-        """Return a cell's decider; ``None`` when no such cell is declared."""
+    def get_or_create(self, cell: CellId) -> CellOwner | None:
+        """Return the owner of a cell; ``None`` when no such cell is declared."""
         owner = self._owners.get(cell)
         if owner is not None:
             return owner
-        specs = self._specs(cell)
+        specs = self._get_specs(cell)
         if specs is None:
             return None
         owner = CellOwner(
-            cell=cell, scheduler=self._make_scheduler(), clock=self._clock, tell=self._tell
+            cell=cell, scheduler=self._make_scheduler(), clock=self._clock, send=self._send
         )
         self._owners[cell] = owner
         owner.set_engines(specs)
         return owner
 
     def refresh_engines(self) -> None:
-        """Take in which engines take new work now."""
+        """Update the engines of each cell to those that accept new work now."""
         for cell, owner in self._owners.items():
-            owner.set_engines(self._specs(cell) or ())
+            owner.set_engines(self._get_specs(cell) or ())
 
     def configure(self, apply: Callable[[PoolScheduler], None]) -> None:
-        """Change the schedulers in use."""
+        """Apply a change to the scheduler of each cell."""
         for owner in self:
             owner.configure(apply)
 
     def tick(self) -> None:
-        """Let each cell decide, and drop those that hold nothing."""
+        """Run the scheduler of each cell, and remove owners that are no longer needed."""
         for cell, owner in tuple(self._owners.items()):
             owner.tick()
-            if not owner.reservations and not self._keeps(cell):
+            if not owner.reservations and not self._is_retained(cell):
                 owner.close()
                 del self._owners[cell]
 
     def close(self) -> None:
-        """Decide no more."""
+        """Cancel all scheduled decisions."""
         for owner in self:
             owner.close()
--- a/src/tanagerscale/routing/_cells.py
+++ b/src/tanagerscale/routing/_cells.py
@@ -1,4 +1,4 @@
-"""Groups of engines that one owner decides for."""
+"""Cells: groups of engines that are scheduled by a single owner host."""
 
 from __future__ import annotations
 
@@ -18,38 +18,41 @@
 
 CellId = NewType("CellId", str)
 
-CELL_ENGINES = 32
-"""Engines of a cell, about; bounds what one decision looks at and what one owner's loss costs."""
+TARGET_CELL_ENGINES = 32
+"""Approximate number of engines in a cell.
+
+It bounds the number of engines considered in one decision and the effect of losing one owner.
+"""
 
 _DIGEST_BYTES = 8
-_POOL_DIGITS = 8
-_REMEMBERED_ENGINES = 32_768
+_POOL_ID_DIGITS = 8
+_CELL_INDEX_CACHE_SIZE = 32_768
 
 
 class Cell(Struct, frozen=True, kw_only=True):
-    """Engines that hold the same models and adapters, or a part of them when they are many.
+    """Engines that hold the same models and adapters; large groups are split into several cells.
 
-    :param cell: Its id, the same on each host.
-    :param models: Models each of its engines holds.
-    :param adapters: Adapters each of its engines holds.
-    :param specs: Its engines.
+    :param cell_id: Id of the cell, the same on each host.
+    :param models: Models that each engine of the cell holds.
+    :param adapters: Adapters that each engine of the cell holds.
+    :param specs: Engines of the cell.
     """
 
-    cell: CellId
+    cell_id: CellId
     models: frozenset[str]
     adapters: frozenset[str]
     specs: tuple[EngineSpec, ...]
 
     def serves(self, *, model: str, adapter: str) -> bool:
-        """Return whether its engines are declared to hold a model and an adapter of it."""
+        """Return whether the engines are declared to hold a model and, if given, an adapter."""
         return model in self.models and (not adapter or adapter in self.adapters)
 
 
 def make_cells(*, engines: Iterable[Engine]) -> tuple[Cell, ...]:
-    """Group declared engines by what they hold, and split large groups.
+    """Group declared engines by their models and adapters, and split large groups.
 
-    An engine stays in its cell while others come and go, except for the few that move when the
-    number of cells changes.
+    Adding or removing an engine does not change the cell of any other engine, except for a few
+    engines when the number of cells changes.
     """
     pools: dict[tuple[frozenset[str], frozenset[str]], list[Engine]] = {}
     for engine in engines:
@@ -58,51 +61,56 @@
     cells = [
         cell
         for (models, adapters), members in pools.items()
-        for cell in _split(models=models, adapters=adapters, members=members)
+        for cell in _split_pool(models=models, adapters=adapters, members=members)
     ]
-    return tuple(sorted(cells, key=lambda cell: cell.cell))
+    return tuple(sorted(cells, key=lambda cell: cell.cell_id))
 
 
-def owner_of(*, cell: CellId, hosts: Sequence[HostId]) -> HostId:
-    """Return the host that decides for a cell, by rendezvous hashing.
+def select_owner(*, cell: CellId, hosts: Sequence[HostId]) -> HostId:
+    """Return the host that owns a cell, by rendezvous hashing.
 
-    Hosts that know the same hosts agree; when one leaves, only its cells change owner.
+    Hosts with the same list of hosts select the same owner. When a host leaves, only the cells
+    that it owned change owner.
 
-    :param cell: The cell.
-    :param hosts: Live hosts that stay, at least one.
+    :param cell: Id of the cell.
+    :param hosts: Live hosts that are not leaving; must not be empty.
     """
     return max(hosts, key=lambda host: rendezvous_score(cell, host))
 
 
 def rendezvous_score(item: str, node: str) -> int:
-    """Return the weight of a node for an item; the highest wins."""
+    """Return the rendezvous weight of a node for an item; the node with the highest is selected."""
     digest = hashlib.blake2b(f"{item}\n{node}".encode(), digest_size=_DIGEST_BYTES)
     return int.from_bytes(digest.digest())
 
 
-def _split(
+def _split_pool(
     *, models: frozenset[str], adapters: frozenset[str], members: Sequence[Engine]
 ) -> list[Cell]:
     names = "\n".join([*sorted(models), "", *sorted(adapters)])
-    pool = hashlib.blake2b(names.encode(), digest_size=_DIGEST_BYTES).hexdigest()[:_POOL_DIGITS]
-    ids = [CellId(f"{pool}-{index}") for index in range(ceil(len(members) / CELL_ENGINES))]
-    parts: dict[CellId, list[EngineSpec]] = {cell: [] for cell in ids}
+    pool = hashlib.blake2b(names.encode(), digest_size=_DIGEST_BYTES).hexdigest()[:_POOL_ID_DIGITS]
+    ids = [CellId(f"{pool}-{index}") for index in range(ceil(len(members) / TARGET_CELL_ENGINES))]
+    specs_by_cell: dict[CellId, list[EngineSpec]] = {cell: [] for cell in ids}
     for engine in members:
-        parts[ids[_part_of(engine.name, len(ids))]].append(_spec(engine))
+        specs_by_cell[ids[_select_cell_index(engine.name, len(ids))]].append(_build_spec(engine))
     return [
-        Cell(cell=cell, models=models, adapters=adapters, specs=tuple(specs))
-        for cell, specs in parts.items()
+        Cell(cell_id=cell, models=models, adapters=adapters, specs=tuple(specs))
+        for cell, specs in specs_by_cell.items()
         if specs
     ]
 
 
-@lru_cache(maxsize=_REMEMBERED_ENGINES)
-def _part_of(engine: str, parts: int) -> int:
-    """Return in which of a pool's cells an engine is; remembered, as declarations change often."""
-    return max(range(parts), key=lambda part: rendezvous_score(engine, str(part)))
+@lru_cache(maxsize=_CELL_INDEX_CACHE_SIZE)
+def _select_cell_index(engine: str, cells: int) -> int:
+    """Return the index of an engine's cell in its pool; cached because declarations change often.
+
+    :param engine: Name of the engine.
+    :param cells: Number of cells in the pool.
+    """
+    return max(range(cells), key=lambda index: rendezvous_score(engine, str(index)))
 
 
-def _spec(engine: Engine) -> EngineSpec:
+def _build_spec(engine: Engine) -> EngineSpec:
     return EngineSpec(
         engine=UpstreamId(engine.name),
         memory_tokens=engine.memory_tokens,
--- a/src/tanagerscale/routing/_convert.py
+++ b/src/tanagerscale/routing/_convert.py
@@ -1,4 +1,4 @@
-"""Between a placement request and its form on the wire."""
+"""Conversion between placement requests and ``Ask`` messages."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 from tanagerscale.routing._cells import CellId
 
 
-def ask_of(*, request: PlacementRequest, cell: CellId, serial: int, now: Millis) -> Ask:
-    """Return a request's form on the wire.
+def build_ask(*, request: PlacementRequest, cell: CellId, serial: int, now: Millis) -> Ask:
+    """Return the message that asks the owner of a cell to place a request.
 
-    :param request: What is asked for.
-    :param cell: The cell that is asked.
-    :param serial: Number of the placement at this host.
-    :param now: Present time of this host, whose clock the owner does not share.
+    The message carries the time waited instead of the arrival time, because the clocks of hosts
+    are not synchronised.
+
+    :param request: Request to place.
+    :param cell: Cell whose owner is asked.
+    :param serial: Serial number of the placement at this host.
+    :param now: Current time on this host's clock.
     """
     return Ask(
         cell=cell,
@@ -40,11 +43,11 @@
     )
 
 
-def request_of(*, ask: Ask, now: Millis) -> PlacementRequest:
-    """Return the request that an owner schedules.
+def parse_ask(*, ask: Ask, now: Millis) -> PlacementRequest:
+    """Return the placement request that an ``Ask`` message describes.
 
-    :param ask: What came over the wire.
-    :param now: Present time of the owner.
+    :param ask: Message from the entry host.
+    :param now: Current time on the owner's clock.
     """
     return PlacementRequest(
         generation=GenerationId(ask.generation),
--- a/src/tanagerscale/routing/_owned_cells.py
+++ b/src/tanagerscale/routing/_owned_cells.py
@@ -1,4 +1,4 @@
-"""What this host does as an owner: answer entry hosts and read engines."""
+"""Owner side of routing: answers entry hosts and polls the engines of owned cells."""
 
 from __future__ import annotations
 
@@ -17,28 +17,30 @@
 from tanagerscale.generated.messages import RunningRequest
 from tanagerscale.membership import Message
 from tanagerscale.policy import EngineSpec
+from tanagerscale.routing._cell_owners import CellOwners
 from tanagerscale.routing._cells import CellId
-from tanagerscale.routing._deciders import Deciders
 from tanagerscale.routing._owner import CellOwner
 from tanagerscale.routing._ownership import Ownership
 from tanagerscale.routing._poller import EnginePollers
 from tanagerscale.routing._protocol import PoolScheduler
-from tanagerscale.routing._protocol import UpstreamOpenness
+from tanagerscale.routing._protocol import UpstreamAvailability
 from tanagerscale.upstreams import EngineClient
 
 
 @final
 class OwnedCells:
-    """Decides for whoever asks, since hosts may differ for a moment on who the owner is.
+    """Places requests of any host that asks, whether or not this host owns the cell.
 
-    :param ownership: Which cells are this host's.
-    :param open_specs: Returns the engines of a cell that take new work, or ``None`` when no such
+    Hosts may briefly disagree on which host owns a cell.
+
+    :param ownership: Source of the cells and engines that this host owns.
+    :param open_specs: Returns the engines of a cell that accept new work, or ``None`` when no such
         cell is declared.
-    :param make_scheduler: Makes the scheduler of one cell.
-    :param gate: Is told which engines answer.
-    :param clock: Time.
-    :param tell: Sends a decision to a host.
-    :param engine_clients: Gives the client by which to read an engine, if any.
+    :param make_scheduler: Creates the scheduler of one cell.
+    :param gate: Records which engines are reachable.
+    :param clock: Clock of this host.
+    :param send: Sends a message to an entry host.
+    :param engine_clients: Returns the client that polls an engine; ``None`` disables polling.
     """
 
     def __init__(
@@ -47,68 +49,68 @@
         ownership: Ownership,
         open_specs: Callable[[CellId], Sequence[EngineSpec] | None],
         make_scheduler: Callable[[], PoolScheduler],
-        gate: UpstreamOpenness,
+        gate: UpstreamAvailability,
         clock: Clock,
-        tell: Callable[[HostId, Grant | RunningRequest], None],
+        send: Callable[[HostId, Grant | RunningRequest], None],
         engine_clients: Callable[[UpstreamId], EngineClient] | None,
     ) -> None:
         self._ownership = ownership
-        self._deciders = Deciders(
+        self._cell_owners = CellOwners(
             make_scheduler=make_scheduler,
-            specs=open_specs,
-            keeps=lambda cell: cell in ownership.owned,
+            get_specs=open_specs,
+            is_retained=lambda cell: cell in ownership.owned,
             clock=clock,
-            tell=tell,
+            send=send,
         )
         self._pollers = EnginePollers(
-            clients=engine_clients, clock=clock, gate=gate, decider=self._decider_of_engine
+            get_client=engine_clients, clock=clock, gate=gate, get_owner=self._get_owner_of_engine
         )
 
     @property
     def reservations(self) -> int:
-        """How many placements are held for any host."""
-        return self._deciders.reservations
+        """Number of reservations held for all entry hosts."""
+        return self._cell_owners.reservations
 
     def on_message(self, host: HostId, message: Message) -> None:
-        """Take in what an entry host tells; other messages are ignored."""
+        """Handle a message from an entry host; messages of other types are ignored."""
         match message:
             case Ask():
-                owner = self._deciders.get(CellId(message.cell))
+                owner = self._cell_owners.get_or_create(CellId(message.cell))
                 if owner is not None:
                     owner.on_ask(host=host, ask=message)
             case Running():
-                owner = self._deciders.get(CellId(message.ask.cell))
+                owner = self._cell_owners.get_or_create(CellId(message.ask.cell))
                 if owner is not None:
                     owner.on_running(host=host, running=message)
             case Progress():
-                owner = self._deciders.get(CellId(message.cell))
+                owner = self._cell_owners.get_or_create(CellId(message.cell))
                 if owner is not None:
                     owner.on_progress(host=host, progress=message)
             case Finished():
-                owner = self._deciders.find(CellId(message.cell))
+                owner = self._cell_owners.find(CellId(message.cell))
                 if owner is not None:
                     owner.on_finished(host=host, finished=message)
             case _:
                 pass
 
     def refresh_engines(self) -> None:
-        """Take in which engines are open, and which are this host's to read."""
-        self._deciders.refresh_engines()
+        """Update the open engines of each cell and the set of engines that this host polls."""
+        self._cell_owners.refresh_engines()
         self._pollers.set_engines(self._ownership.owned_engines)
 
     def configure(self, apply: Callable[[PoolScheduler], None]) -> None:
-        """Change the schedulers in use."""
-        self._deciders.configure(apply)
+        """Apply a change to the scheduler of each cell."""
+        self._cell_owners.configure(apply)
 
     def tick(self) -> None:
-        """Let each cell decide."""
-        self._deciders.tick()
+        """Run the scheduler of each cell."""
+        self._cell_owners.tick()
 
     async def stop(self) -> None:
-        """Decide and read no more."""
-        self._deciders.close()
+        """Stop scheduling and polling."""
+        self._cell_owners.close()
         await self._pollers.stop()
 
-    def _decider_of_engine(self, engine: UpstreamId) -> CellOwner | None:
+    def _get_owner_of_engine(self, engine: UpstreamId) -> CellOwner | None:
         cell = self._ownership.cell_of_engine(engine)
-        return None if cell is None else self._deciders.get(cell)
+        return None if cell is None else self._cell_owners.get_or_create(cell)
--- a/src/tanagerscale/routing/_placements.py
+++ b/src/tanagerscale/routing/_placements.py
@@ -1,4 +1,4 @@
-"""The placements that this host wants or holds, and what it tells owners of them."""
+"""Client side of placement: requests placements from cell owners and reports changes to them."""
 
 from __future__ import annotations
 
@@ -21,194 +21,204 @@
 from tanagerscale.generated.messages import RunningRequest
 from tanagerscale.membership import Message
 from tanagerscale.policy import PlacementRequest
+from tanagerscale.routing._cell_owners import CellOwners
+from tanagerscale.routing._cell_selector import CellSelector
 from tanagerscale.routing._cells import CellId
-from tanagerscale.routing._chooser import CellChooser
-from tanagerscale.routing._convert import ask_of
-from tanagerscale.routing._deciders import Deciders
-from tanagerscale.routing._entry import Decider
-from tanagerscale.routing._entry import Entry
-from tanagerscale.routing._entry import EntryTable
+from tanagerscale.routing._convert import build_ask
 from tanagerscale.routing._ownership import Ownership
+from tanagerscale.routing._placement_table import DecisionSource
+from tanagerscale.routing._placement_table import PlacementRecord
+from tanagerscale.routing._placement_table import PlacementTable
 from tanagerscale.routing._problems import no_upstream
 from tanagerscale.routing._problems import overloaded
 from tanagerscale.routing._problems import superseded
-from tanagerscale.routing._protocol import UpstreamOpenness
+from tanagerscale.routing._protocol import UpstreamAvailability
 
 log = get_logger(part="routing")
 
 
 @final
-class Placements:
-    """Asks owners, takes in their decisions and keeps them told.
+class PlacementClient:
+    """Sends requests to cell owners, applies their decisions and reports changes to them.
 
-    :param host: The host that this process is.
-    :param entries: Where the placements are kept.
-    :param ownership: Who decides for which cell.
-    :param chooser: Which cell to ask.
-    :param gate: Which engines take new work, as this host knows.
-    :param fallbacks: Decide while an owner is silent or has no open engine.
-    :param tell: Sends a message to a host, which may be this one.
-    :param clock: Time.
+    :param host: Id of this host.
+    :param records: Placements of this host.
+    :param ownership: Assignment of cells to owner hosts.
+    :param selector: Selects the cell to ask.
+    :param gate: Source of the engines that accept new work, as known to this host.
+    :param fallbacks: Owners of this host's shares of cells, used while the owner of a cell does not
+        answer or has no open engine.
+    :param send: Sends a message to a host, which may be this host.
+    :param clock: Clock of this host.
     """
 
     def __init__(
         self,
         *,
         host: HostId,
-        entries: EntryTable,
+        records: PlacementTable,
         ownership: Ownership,
-        chooser: CellChooser,
-        gate: UpstreamOpenness,
-        fallbacks: Deciders,
-        tell: Callable[[HostId, Message], None],
+        selector: CellSelector,
+        gate: UpstreamAvailability,
+        fallbacks: CellOwners,
+        send: Callable[[HostId, Message], None],
         clock: Clock,
     ) -> None:
         self._host = host
-        self._entries = entries
+        self._records = records
         self._ownership = ownership
-        self._chooser = chooser
+        self._selector = selector
         self._gate = gate
         self._fallbacks = fallbacks
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._serials = count(1)
 
-    def enter(self, *, request: PlacementRequest, cell: CellId) -> Entry:
-        """Begin a placement; an earlier one of the same generation is given up."""
-        former = self._entries.by_generation(request.generation)
-        if former is not None:
-            self.give_up(former, former.finished(tokens=former.tokens))
-        entry = Entry(
+    def create(self, *, request: PlacementRequest, cell: CellId) -> PlacementRecord:
+        """Create a placement; an earlier placement of the same generation is released."""
+        previous = self._records.by_generation(request.generation)
+        if previous is not None:
+            self.release(previous, previous.build_finished(tokens=previous.tokens))
+        record = PlacementRecord(
             serial=next(self._serials),
             request=request,
             cell=cell,
             outcome=asyncio.get_running_loop().create_future(),
             owner=self._ownership.owner(cell),
-            asked=self._clock.now(),
+            asked_at=self._clock.now(),
         )
-        self._entries.add(entry)
-        return entry
+        self._records.add(record)
+        return record
 
-    def ask(self, entry: Entry) -> None:
-        """Ask the owner for a place, or ask again."""
-        entry.owner = self._ownership.owner(entry.cell)
-        entry.asked = self._clock.now()
-        entry.answered = False
-        self._tell(entry.owner, self._ask_message(entry))
+    def send_ask(self, record: PlacementRecord) -> None:
+        """Ask the current owner of the cell to place the request, or repeat the ``Ask``."""
+        record.owner = self._ownership.owner(record.cell)
+        record.asked_at = self._clock.now()
+        record.answered = False
+        self._send(record.owner, self._build_ask(record))
 
-    def _ask_message(self, entry: Entry) -> Ask:
-        return ask_of(
-            request=entry.request, cell=entry.cell, serial=entry.serial, now=self._clock.now()
+    def _build_ask(self, record: PlacementRecord) -> Ask:
+        return build_ask(
+            request=record.request, cell=record.cell, serial=record.serial, now=self._clock.now()
         )
 
-    def tell_running(self, entry: Entry) -> None:
-        """Tell the present owner of a placement that it did not decide."""
-        entry.owner = self._ownership.owner(entry.cell)
+    def send_running(self, record: PlacementRecord) -> None:
+        """Report a placement to the current owner of its cell, which did not decide it."""
+        record.owner = self._ownership.owner(record.cell)
         running = Running(
-            ask=self._ask_message(entry), upstream=entry.engine or "", tokens=entry.tokens
+            ask=self._build_ask(record), upstream=record.engine or "", tokens=record.tokens
         )
-        self._tell(entry.owner, running)
+        self._send(record.owner, running)
 
-    def give_up(self, entry: Entry, finished: Finished) -> None:
-        """Forget a placement and free what is reserved for it."""
-        # Without this, ``place`` would wait forever: no decision reaches a removed entry.
-        entry.refuse(problem=superseded())
-        self._entries.remove(entry)
-        self._tell(entry.owner, finished)
-        self._leave_fallback(entry, finished)
+    def release(self, record: PlacementRecord, finished: Finished) -> None:
+        """Remove a placement and release its reservations."""
+        # Without this, ``place`` would wait forever: no decision reaches a removed record.
+        record.refuse(problem=superseded())
+        self._records.remove(record)
+        self._send(record.owner, finished)
+        self._release_fallback(record, finished)
 
-    def _leave_fallback(self, entry: Entry, finished: Finished) -> None:
-        fallback = self._fallbacks.find(entry.cell)
-        if entry.in_fallback and fallback is not None:
+    def _release_fallback(self, record: PlacementRecord, finished: Finished) -> None:
+        fallback = self._fallbacks.find(record.cell)
+        if record.in_fallback and fallback is not None:
             fallback.on_finished(host=self._host, finished=finished)
-        entry.in_fallback = False
+        record.in_fallback = False
 
     def on_running_request(self, host: HostId, request: RunningRequest) -> None:
-        """Tell an owner what it has forgotten, or never knew."""
+        """Report running placements that an owner has no reservation for."""
         for serial in request.serials:
-            entry = self._entries.by_serial(serial)
-            if entry is None or entry.cell != request.cell or entry.owner != host:
+            record = self._records.by_serial(serial)
+            if record is None or record.cell != request.cell or record.owner != host:
                 continue
-            if entry.placement is not None:
-                self.tell_running(entry)
+            if record.placement is not None:
+                self.send_running(record)
 
-    def on_grant(self, grant: Grant, *, host: HostId, decider: Decider) -> None:
-        """Take in a decision, which may come twice, late or for a placement long given up."""
-        entry = self._entries.by_serial(grant.serial)
-        if entry is None or not entry.is_meant_by(grant):
-            self._refuse(grant, host=host, decider=decider)
+    def on_grant(self, grant: Grant, *, host: HostId, source: DecisionSource) -> None:
+        """Handle a decision, which may be duplicated, delayed or for a released placement.
+
+        :param grant: The decision.
+        :param host: Host that sent it.
+        :param source: Whether an owner or this host's fallback made it.
+        """
+        record = self._records.by_serial(grant.serial)
+        if record is None or not record.matches(grant):
+            self._reject(grant, host=host, source=source)
             return
-        if decider is Decider.OWNER and host == entry.owner:
-            entry.answered = True
+        if source is DecisionSource.OWNER and host == record.owner:
+            record.answered = True
         if grant.kind is GrantKind.ADMIT:
-            self._on_admit(entry, grant, host=host, decider=decider)
+            self._on_admit(record, grant, host=host, source=source)
         elif grant.kind is GrantKind.QUEUED:
-            self._chooser.note_queue(entry.cell)
-        elif grant.kind is GrantKind.SHED and entry.placement is None:
-            self._on_shed(entry, grant)
-        elif entry.placement is not None and entry.engine == grant.upstream:
-            entry.placement.move_requested.set()
+            self._selector.record_queued(record.cell)
+        elif grant.kind is GrantKind.SHED and record.placement is None:
+            self._on_shed(record, grant)
+        elif record.placement is not None and record.engine == grant.upstream:
+            record.placement.move_requested.set()
 
-    def _on_shed(self, entry: Entry, grant: Grant) -> None:
-        """Refuse the request; if the owner has no engine for it, decide at this host instead."""
+    def _on_shed(self, record: PlacementRecord, grant: Grant) -> None:
+        """Refuse the request; if the owner has no open engine for it, place it at this host."""
         if not grant.unserved:
-            entry.refuse(problem=overloaded(retry_after_ms=grant.retry_after_ms))
-        elif not self._chooser.serves(entry.cell, entry.request):
-            self._choose_again(entry)
-        elif not entry.in_fallback:
-            self._fall_back(entry, reason="Owner has no open engine for a request")
+            record.refuse(problem=overloaded(retry_after_ms=grant.retry_after_ms))
+        elif not self._selector.can_serve(record.cell, record.request):
+            self._reselect(record)
+        elif not record.in_fallback:
+            self._start_fallback(record, reason="Owner has no open engine for a request")
 
-    def _on_admit(self, entry: Entry, grant: Grant, *, host: HostId, decider: Decider) -> None:
+    def _on_admit(
+        self, record: PlacementRecord, grant: Grant, *, host: HostId, source: DecisionSource
+    ) -> None:
         engine = UpstreamId(grant.upstream)
-        decided_by_owner = decider is Decider.OWNER and host == entry.owner
-        if entry.placement is not None:
-            self._on_second_admit(entry, grant, host=host, decider=decider)
-        elif entry.outcome.done():
-            return  # Its caller has just left, or was refused; ``place`` gives it up next.
+        decided_by_owner = source is DecisionSource.OWNER and host == record.owner
+        if record.placement is not None:
+            self._on_duplicate_admit(record, grant, host=host, source=source)
+        elif record.outcome.done():
+            return  # The caller has left or was refused; ``place`` releases the placement next.
         elif not self._gate.is_open(engine):
-            self._ask_elsewhere(entry, grant, host=host, decider=decider)
+            self._reject_engine(record, grant, host=host, source=source)
         else:
-            entry.admit(engine=engine)
-            if decider is Decider.OWNER:
-                self._leave_fallback(entry, entry.finished())
+            record.admit(engine=engine)
+            if source is DecisionSource.OWNER:
+                self._release_fallback(record, record.build_finished())
             if not decided_by_owner:
-                self.tell_running(entry)
-                self._give_back_to_former(grant, host=host, decider=decider)
+                self.send_running(record)
+                self._release_former_owner(grant, host=host, source=source)
 
-    def _give_back_to_former(self, grant: Grant, *, host: HostId, decider: Decider) -> None:
-        """Free a former owner of what its successor holds now."""
-        if decider is Decider.OWNER:
-            self._refuse(grant, host=host, decider=decider)
+    def _release_former_owner(self, grant: Grant, *, host: HostId, source: DecisionSource) -> None:
+        """Release the reservation at a former owner, as the current owner now holds it."""
+        if source is DecisionSource.OWNER:
+            self._reject(grant, host=host, source=source)
 
-    def _on_second_admit(
-        self, entry: Entry, grant: Grant, *, host: HostId, decider: Decider
+    def _on_duplicate_admit(
+        self, record: PlacementRecord, grant: Grant, *, host: HostId, source: DecisionSource
     ) -> None:
-        """Answer a decision about a placement that has its place already."""
-        if decider is Decider.OWNER and host == entry.owner:
-            if entry.engine != grant.upstream:
-                self.tell_running(entry)
+        """Handle an admission of a request that has already been placed."""
+        if source is DecisionSource.OWNER and host == record.owner:
+            if record.engine != grant.upstream:
+                self.send_running(record)
             return
-        self._refuse(grant, host=host, decider=decider)
+        self._reject(grant, host=host, source=source)
 
-    def _ask_elsewhere(self, entry: Entry, grant: Grant, *, host: HostId, decider: Decider) -> None:
-        """Turn down a place on an engine that this host knows to be leaving or unreachable."""
-        self._refuse(grant, host=host, decider=decider)
-        excluded = entry.request.excluded | {UpstreamId(grant.upstream)}
-        entry.request = msgspec.structs.replace(entry.request, excluded=excluded)
-        self._choose_again(entry)
+    def _reject_engine(
+        self, record: PlacementRecord, grant: Grant, *, host: HostId, source: DecisionSource
+    ) -> None:
+        """Reject an engine that is leaving or unreachable at this host, and ask again."""
+        self._reject(grant, host=host, source=source)
+        excluded = record.request.excluded | {UpstreamId(grant.upstream)}
+        record.request = msgspec.structs.replace(record.request, excluded=excluded)
+        self._reselect(record)
 
-    def _choose_again(self, entry: Entry) -> None:
-        """Ask another cell, or tell the caller that there is none."""
-        self._leave_fallback(entry, entry.finished())
-        cell = self._chooser.choose(entry.request)
+    def _reselect(self, record: PlacementRecord) -> None:
+        """Select a cell and ask its owner, or refuse the request if no cell can serve it."""
+        self._release_fallback(record, record.build_finished())
+        cell = self._selector.select(record.request)
         if cell is None:
-            entry.refuse(problem=no_upstream(entry.request))
+            record.refuse(problem=no_upstream(record.request))
             return
-        entry.cell = cell
-        self.ask(entry)
+        record.cell = cell
+        self.send_ask(record)
 
-    def _refuse(self, grant: Grant, *, host: HostId, decider: Decider) -> None:
-        """Give back what was granted and is not wanted, so that no reservation stays."""
+    def _reject(self, grant: Grant, *, host: HostId, source: DecisionSource) -> None:
+        """Reject an admission that is not needed, so that its reservation is released."""
         if grant.kind is not GrantKind.ADMIT:
             return
         finished = Finished(
@@ -218,79 +228,79 @@
             tokens=0,
             complete=False,
         )
-        if decider is Decider.OWNER:
-            self._tell(host, finished)
+        if source is DecisionSource.OWNER:
+            self._send(host, finished)
             return
         fallback = self._fallbacks.find(CellId(grant.cell))
         if fallback is not None:
             fallback.on_finished(host=host, finished=finished)
 
-    def reassign(self) -> None:
-        """Tell new owners what waits and what runs here."""
-        for entry in self._entries:
-            if entry.placement is not None:
-                self._reassign_placed(entry)
-            elif not self._chooser.serves(entry.cell, entry.request):
-                self._tell(entry.owner, entry.finished())
-                self._choose_again(entry)
-            elif self._ownership.owner(entry.cell) != entry.owner:
-                self._tell(entry.owner, entry.finished())
-                self.ask(entry)
+    def update_owners(self) -> None:
+        """Send waiting and running placements whose cell or owner has changed to the new owner."""
+        for record in self._records:
+            if record.placement is not None:
+                self._update_owner(record)
+            elif not self._selector.can_serve(record.cell, record.request):
+                self._send(record.owner, record.build_finished())
+                self._reselect(record)
+            elif self._ownership.owner(record.cell) != record.owner:
+                self._send(record.owner, record.build_finished())
+                self.send_ask(record)
 
-    def _reassign_placed(self, entry: Entry) -> None:
-        """Follow an engine to another cell, or its cell to another owner."""
-        engine = UpstreamId(entry.engine or "")
-        cell = self._ownership.cell_of_engine(engine) or entry.cell
-        if cell != entry.cell:
-            self._tell(entry.owner, entry.finished(tokens=entry.tokens))
-            self._leave_fallback(entry, entry.finished(tokens=entry.tokens))
-            entry.cell = cell
-            self.tell_running(entry)
-        elif self._ownership.owner(cell) != entry.owner:
-            self.tell_running(entry)
+    def _update_owner(self, record: PlacementRecord) -> None:
+        """Report a running placement if its engine's cell or the owner of the cell has changed."""
+        engine = UpstreamId(record.engine or "")
+        cell = self._ownership.cell_of_engine(engine) or record.cell
+        if cell != record.cell:
+            self._send(record.owner, record.build_finished(tokens=record.tokens))
+            self._release_fallback(record, record.build_finished(tokens=record.tokens))
+            record.cell = cell
+            self.send_running(record)
+        elif self._ownership.owner(cell) != record.owner:
+            self.send_running(record)
 
-    def repeat_asks(self) -> None:
-        """Ask again, or let this host's share decide, where an owner is silent."""
+    def resend_asks(self) -> None:
+        """Repeat due ``Ask`` messages, and use the fallback where an owner does not answer."""
         now = self._clock.now()
-        for entry in self._entries:
-            if entry.outcome.done():
+        for record in self._records:
+            if record.outcome.done():
                 continue
-            if not entry.wait_logged and entry.wait_is_long(now=now):
-                self._log_wait(entry)
-            if not entry.in_fallback and entry.answer_is_late(now=now):
-                self._fall_back(entry, reason="Owner is silent")
-            if not entry.ask_is_due(now=now):
+            if not record.wait_logged and record.is_wait_long(now=now):
+                self._log_wait(record)
+            if not record.in_fallback and record.is_answer_late(now=now):
+                self._start_fallback(record, reason="Owner does not answer")
+            if not record.is_ask_due(now=now):
                 continue
-            if self._chooser.should_leave(entry.cell, entry.request):
-                self._tell(entry.owner, entry.finished())
-                self._choose_again(entry)
+            if self._selector.should_reselect(record.cell, record.request):
+                self._send(record.owner, record.build_finished())
+                self._reselect(record)
             else:
-                self.ask(entry)
-                if entry.in_fallback:
-                    self._ask_fallback(entry)
+                self.send_ask(record)
+                if record.in_fallback:
+                    self._ask_fallback(record)
 
-    def _log_wait(self, entry: Entry) -> None:
-        entry.wait_logged = True
+    def _log_wait(self, record: PlacementRecord) -> None:
+        record.wait_logged = True
         log.info(
             "A request waits for an engine.",
-            generation=entry.request.generation,
-            cell=entry.cell,
-            owner=entry.owner,
-            answered=entry.answered,
-            excluded=sorted(entry.request.excluded),
-            waited_ms=self._clock.now() - entry.request.arrived,
+            generation=record.request.generation,
+            cell=record.cell,
+            owner=record.owner,
+            answered=record.answered,
+            excluded=sorted(record.request.excluded),
+            waited_ms=self._clock.now() - record.request.arrived,
         )
 
-    def _fall_back(self, entry: Entry, *, reason: str) -> None:
-        """Let this host's share of the cell decide too, as its owner cannot."""
-        if self._ask_fallback(entry):
-            log.info(f"{reason}; deciding alone.", cell=entry.cell, owner=entry.owner)
+    def _start_fallback(self, record: PlacementRecord, *, reason: str) -> None:
+        """Also place the request in this host's share of the cell, as the owner cannot place it."""
+        if self._ask_fallback(record):
+            log.info(f"{reason}; deciding alone.", cell=record.cell, owner=record.owner)
 
-    def _ask_fallback(self, entry: Entry) -> bool:
-        """Ask this host's share of the cell; return whether the cell is declared here."""
-        fallback = self._fallbacks.get(entry.cell)
+    def _ask_fallback(self, record: PlacementRecord) -> bool:
+        """Queue the request in this host's share of the cell; return false if it is undeclared."""
+        fallback = self._fallbacks.get_or_create(record.cell)
         if fallback is None:
             return False
-        entry.in_fallback = True
-        fallback.on_ask(host=self._host, ask=self._ask_message(entry))
+        record.in_fallback = True
+        fallback.on_ask(host=self._host, ask=self._build_ask(record))
         return True
--- a/src/tanagerscale/routing/_poller.py
+++ b/src/tanagerscale/routing/_poller.py
@@ -1,4 +1,4 @@
-"""Reads the load and the cache events of the engines this host decides for."""
+"""Polling of the load and the cache events of engines in owned cells."""
 
 from __future__ import annotations
 
@@ -16,54 +16,55 @@
 from tanagerscale.generated.upstream import LoadReport
 from tanagerscale.policy import EngineLoad
 from tanagerscale.routing._owner import CellOwner
-from tanagerscale.routing._protocol import UpstreamOpenness
+from tanagerscale.routing._protocol import UpstreamAvailability
 from tanagerscale.upstreams import EngineClient
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 
-POLL_MS = 500
-_FAILURES_OF_LOST_ENGINE = 2
+POLL_INTERVAL_MS = 500
+_LOST_AFTER_FAILURES = 2
+"""Number of consecutive failed polls after which an unreachable engine is reported as lost."""
 
 log = get_logger(part="routing")
 
 
 @final
 class EnginePollers:
-    """One task for each engine, started and stopped as cells change hands.
+    """Polls each engine in a task, which starts and stops when ownership of its cell changes.
 
-    :param clients: Gives an engine's client; ``None`` means that no engine is read.
-    :param clock: Time.
-    :param gate: Is told which engines answer, and which are leaving.
-    :param decider: Returns who decides for an engine here now.
+    :param get_client: Returns the client of an engine; ``None`` disables polling.
+    :param clock: Clock of this host.
+    :param gate: Records which engines are reachable and which are leaving.
+    :param get_owner: Returns the owner of an engine's cell on this host, or ``None``.
     """
 
     def __init__(
         self,
         *,
-        clients: Callable[[UpstreamId], EngineClient] | None,
+        get_client: Callable[[UpstreamId], EngineClient] | None,
         clock: Clock,
-        gate: UpstreamOpenness,
-        decider: Callable[[UpstreamId], CellOwner | None],
+        gate: UpstreamAvailability,
+        get_owner: Callable[[UpstreamId], CellOwner | None],
     ) -> None:
-        self._clients = clients
+        self._get_client = get_client
         self._clock = clock
         self._gate = gate
-        self._decider = decider
+        self._get_owner = get_owner
         self._tasks: dict[UpstreamId, asyncio.Task[None]] = {}
 
     def set_engines(self, engines: frozenset[UpstreamId]) -> None:
-        """Replace the engines to read."""
-        if self._clients is None:
+        """Replace the engines to poll."""
+        if self._get_client is None:
             return
         for engine in self._tasks.keys() - engines:
             self._tasks.pop(engine).cancel()
         for engine in engines - self._tasks.keys():
             self._tasks[engine] = asyncio.create_task(
-                self._poll(engine=engine, clients=self._clients)
+                self._poll(engine=engine, get_client=self._get_client)
             )
 
     async def stop(self) -> None:
-        """Read no more."""
+        """Stop polling."""
         tasks = tuple(self._tasks.values())
         self._tasks.clear()
         for task in tasks:
@@ -71,12 +72,12 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _poll(
-        self, *, engine: UpstreamId, clients: Callable[[UpstreamId], EngineClient]
+        self, *, engine: UpstreamId, get_client: Callable[[UpstreamId], EngineClient]
     ) -> None:
         failures = 0
         after = 0
         while True:
-            client = clients(engine)  # New declarations may have given it another address.
+            client = get_client(engine)  # New declarations may have changed its address.
             read = await client.load()
             if isinstance(read, Success):
                 failures = 0
@@ -85,16 +86,16 @@
             else:
                 failures += 1
                 self._on_failure(engine, read.failure(), failures=failures)
-            await self._clock.sleep(POLL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
 
     def _on_load(self, engine: UpstreamId, report: LoadReport) -> None:
         self._gate.note_up(upstream=engine)
         if report.leaving:
             self._gate.note_leaving(upstream=engine)
-        decider = self._decider(engine)
-        if decider is None:
+        owner = self._get_owner(engine)
+        if owner is None:
             return
-        decider.on_load(
+        owner.on_load(
             EngineLoad(
                 engine=engine,
                 measured=Millis(self._clock.now() - report.age_ms),
@@ -110,19 +111,19 @@
         if not isinstance(read, Success):
             return after
         events: CacheEvents = read.unwrap()
-        decider = self._decider(engine)
+        owner = self._get_owner(engine)
         for event in events.events:
-            if decider is not None:
-                decider.on_cache(engine=engine, prefix=event.prefix, stored=event.stored)
+            if owner is not None:
+                owner.on_cache(engine=engine, prefix=event.prefix, stored=event.stored)
         reached: int = events.next_sequence - 1
         return max(reached, 0)
 
     def _on_failure(self, engine: UpstreamId, error: UpstreamError, *, failures: int) -> None:
         if error.kind is UpstreamErrorKind.NOT_SENT:
             self._gate.note_down(upstream=engine)
-        if failures != _FAILURES_OF_LOST_ENGINE or error.kind is not UpstreamErrorKind.NOT_SENT:
+        if failures != _LOST_AFTER_FAILURES or error.kind is not UpstreamErrorKind.NOT_SENT:
             return
         log.warning("Engine lost.", engine=engine, cause=error.detail)
-        decider = self._decider(engine)
-        if decider is not None:
-            decider.on_engine_lost(engine=engine)
+        owner = self._get_owner(engine)
+        if owner is not None:
+            owner.on_engine_lost(engine=engine)
--- a/src/tanagerscale/routing/_problems.py
+++ b/src/tanagerscale/routing/_problems.py
@@ -1,4 +1,4 @@
-"""What callers are told when no place can be had."""
+"""Problems returned to callers whose requests cannot be placed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def no_upstream(request: PlacementRequest) -> Problem:
-    """Return the answer when no engine of the model takes work."""
+    """Return the problem for a request whose model has no engine that accepts new work."""
     return Problem(
         kind=ProblemKind.NO_UPSTREAM,
         detail=f"No engine for model {request.model} takes work now; come back later.",
@@ -21,9 +21,9 @@
 
 
 def overloaded(*, retry_after_ms: int) -> Problem:
-    """Return the answer to a request that was shed.
+    """Return the problem for a request that was shed.
 
-    :param retry_after_ms: When coming back helps, in milliseconds.
+    :param retry_after_ms: Time in milliseconds after which a retry may succeed.
     """
     return Problem(
         kind=ProblemKind.OVERLOADED,
@@ -34,7 +34,7 @@
 
 
 def superseded() -> Problem:
-    """Return the answer to a request that its caller has repeated over another connection."""
+    """Return the problem for a request that its caller has repeated over another connection."""
     return Problem(
         kind=ProblemKind.IN_PROGRESS,
         detail="This request goes on over another connection; read its answer there.",
--- a/src/tanagerscale/routing/_protocol.py
+++ b/src/tanagerscale/routing/_protocol.py
@@ -1,4 +1,4 @@
-"""What dispatch asks of routing."""
+"""Interfaces of routing: those it provides to dispatch and those it requires."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class Placement(Struct, frozen=True, kw_only=True):
-    """A place for a generation.
+    """The assignment of a generation to an engine.
 
-    :param generation: The generation.
-    :param engine: The engine that is to run it.
-    :param move_requested: Set when the generation should be cancelled there and placed again,
-        which is asked only of movable generations.
+    :param generation: Id of the generation.
+    :param engine: Engine that is to run it.
+    :param move_requested: Set when the generation should be cancelled on the engine and placed
+        again; only set for movable generations.
     """
 
     generation: GenerationId
@@ -44,85 +44,92 @@
     """Finds an engine for each generation."""
 
     async def place(self, *, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Wait for a place; cancelling the call withdraws the request.
+        """Wait until the request is placed; cancelling the call withdraws the request.
 
-        Each call that succeeds must be followed by one ``release`` for the generation.
+        Each successful call must be followed by exactly one ``release`` of the generation.
         """
 
     def adopt(self, *, request: PlacementRequest, engine: UpstreamId, tokens: int) -> Placement:
-        """Hold a generation that runs already; it must be followed by one ``release``.
+        """Register a generation that already runs; must be followed by exactly one ``release``.
 
-        :param request: What was asked for.
-        :param engine: Where it runs.
-        :param tokens: Tokens made so far.
+        :param request: Request that the engine runs.
+        :param engine: Engine that runs it.
+        :param tokens: Number of tokens generated so far.
         """
 
     def report_progress(self, *, generation: GenerationId, tokens: int) -> None:
-        """Tell how many tokens a placed generation has made so far."""
+        """Report the number of tokens that a placed generation has generated so far."""
 
     def release(
         self, *, generation: GenerationId, tokens: int, complete: bool, engine_lost: bool
     ) -> None:
-        """Tell that a generation no longer uses its engine."""
+        """Report that a generation no longer uses its engine.
+
+        :param generation: Id of the generation.
+        :param tokens: Number of tokens generated.
+        :param complete: Whether the answer is complete.
+        :param engine_lost: Whether the engine crashed.
+        """
 
 
 class PoolScheduler(Scheduler, Protocol):
-    """A scheduler whose generations other schedulers may have admitted."""
+    """A scheduler that also accounts for generations admitted by other schedulers."""
 
     def reconfigure(
         self, *, objective: Objective, accounts: Mapping[ClientAccountId, AccountSpec]
     ) -> None:
-        """Go by other declarations from now on.
+        """Replace the declarations that decisions are based on.
 
-        :param objective: What the operators weigh.
-        :param accounts: Declared accounts.
+        :param objective: Weights of the scheduling objective.
+        :param accounts: Declared client accounts.
         """
 
     def adopt(
         self, *, request: PlacementRequest, engine: UpstreamId, tokens: int, now: Millis
     ) -> None:
-        """Enter a generation that runs already.
+        """Add a generation that already runs.
 
-        :param request: What was asked for.
-        :param engine: Where it runs.
-        :param tokens: Tokens made so far.
+        :param request: Request that the engine runs.
+        :param engine: Engine that runs it.
+        :param tokens: Number of tokens generated so far.
+        :param now: Current time.
         """
 
 
 class PeerNetwork(Protocol):
-    """What routing asks of the mesh."""
+    """The part of the mesh that routing uses."""
 
     @property
     def host(self) -> HostId:
-        """The host that this process is."""
+        """Id of this host."""
 
     @property
     def messages(self) -> Observable[Received]:
-        """Messages from the peers."""
+        """Messages received from peers."""
 
     @property
     def live(self) -> Observable[tuple[PeerInfo, ...]]:
-        """The peers connected now, at once and after each change."""
+        """The connected peers, emitted on subscription and after each change."""
 
     def send(self, *, host: HostId, message: Message) -> bool:
-        """Send a message without waiting."""
+        """Send a message without blocking."""
 
 
-class UpstreamOpenness(Protocol):
-    """What routing asks of the upstream gate."""
+class UpstreamAvailability(Protocol):
+    """The part of the upstream gate that routing uses."""
 
     @property
     def changes(self) -> Observable[UpstreamId]:
-        """Each upstream whose openness may have changed."""
+        """Each upstream that may have started or stopped accepting new work."""
 
     def is_open(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream takes new work."""
+        """Return whether an upstream accepts new work."""
 
     def note_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
-        """Close a leaving upstream."""
+        """Record that an upstream is leaving and accepts no new work."""
 
     def note_down(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream could not be reached."""
+        """Record that an upstream is unreachable."""
 
     def note_up(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream has answered."""
--- a/src/tanagerscale/routing/_reporter.py
+++ b/src/tanagerscale/routing/_reporter.py
@@ -1,4 +1,4 @@
-"""Tells owners how far the generations of this host are."""
+"""Reports to owners how many tokens the generations of this host have generated."""
 
 from __future__ import annotations
 
@@ -9,61 +9,66 @@
 from tanagerscale.core import HostId
 from tanagerscale.generated.messages import Progress
 from tanagerscale.membership import Message
+from tanagerscale.routing._cell_owners import CellOwners
 from tanagerscale.routing._cells import CellId
-from tanagerscale.routing._deciders import Deciders
-from tanagerscale.routing._entry import Entry
-from tanagerscale.routing._entry import EntryTable
+from tanagerscale.routing._placement_table import PlacementRecord
+from tanagerscale.routing._placement_table import PlacementTable
 
 
 @final
 class ProgressReporter:
-    """Sends one message to each owner for all of this host's placements there.
+    """Sends the progress of all placements of a cell to its owner in one message.
 
-    :param host: The host that this process is.
-    :param entries: Its placements.
-    :param fallbacks: Its own deciders, which are told too where they decided.
-    :param tell: Sends a message to a host.
+    :param host: Id of this host.
+    :param records: Placements of this host.
+    :param fallbacks: Fallback owners on this host, which get the progress of their placements.
+    :param send: Sends a message to a host.
     """
 
     def __init__(
         self,
         *,
         host: HostId,
-        entries: EntryTable,
-        fallbacks: Deciders,
-        tell: Callable[[HostId, Message], None],
+        records: PlacementTable,
+        fallbacks: CellOwners,
+        send: Callable[[HostId, Message], None],
     ) -> None:
         self._host = host
-        self._entries = entries
+        self._records = records
         self._fallbacks = fallbacks
-        self._tell = tell
+        self._send = send
         self._changed: set[int] = set()
 
-    def note(self, entry: Entry) -> None:
-        """Record that a placement has made tokens."""
-        self._changed.add(entry.serial)
+    def mark_changed(self, record: PlacementRecord) -> None:
+        """Include a placement, which has new tokens, in the next report."""
+        self._changed.add(record.serial)
 
-    def report(self, *, everything: bool) -> None:
-        """Tell the owners.
+    def report(self, *, include_unchanged: bool) -> None:
+        """Send progress messages to the owners.
 
-        :param everything: Whether to name placements without news too, which keeps them reserved.
+        :param include_unchanged: Whether to include placements without new tokens, which renews
+            their reservations.
         """
-        groups: dict[tuple[HostId, CellId], list[Entry]] = {}
-        for entry in self._entries:
-            if entry.placement is not None and (everything or entry.serial in self._changed):
-                groups.setdefault((entry.owner, entry.cell), []).append(entry)
+        records_by_owner: dict[tuple[HostId, CellId], list[PlacementRecord]] = {}
+        for record in self._records:
+            if record.placement is not None and (
+                include_unchanged or record.serial in self._changed
+            ):
+                records_by_owner.setdefault((record.owner, record.cell), []).append(record)
         self._changed.clear()
-        for (owner, cell), entries in groups.items():
-            self._tell(owner, _progress(cell, entries))
-            mine = [entry for entry in entries if entry.in_fallback]
+        for (owner, cell), records in records_by_owner.items():
+            self._send(owner, _build_progress(cell, records))
+            fallback_records = [record for record in records if record.in_fallback]
             fallback = self._fallbacks.find(cell)
-            if mine and fallback is not None:
-                fallback.on_progress(host=self._host, progress=_progress(cell, mine))
+            if fallback_records and fallback is not None:
+                fallback.on_progress(
+                    host=self._host, progress=_build_progress(cell, fallback_records)
+                )
 
 
-def _progress(cell: CellId, entries: Sequence[Entry]) -> Progress:
+def _build_progress(cell: CellId, records: Sequence[PlacementRecord]) -> Progress:
     return Progress(
         cell=cell,
-        serials=[entry.serial for entry in entries],
-        tokens=[entry.tokens for entry in entries],
+        serials=[record.serial for record in records],
+        tokens=[record.tokens for record in records],
     )
--- a/src/tanagerscale/routing/_router.py
+++ b/src/tanagerscale/routing/_router.py
@@ -1,4 +1,4 @@
-"""Places generations by asking the owners of cells."""
+"""Router that places generations through the owners of cells."""
 
 from __future__ import annotations
 
@@ -26,122 +26,123 @@
 from tanagerscale.membership import Received
 from tanagerscale.policy import EngineSpec
 from tanagerscale.policy import PlacementRequest
+from tanagerscale.routing._cell_owners import CellOwners
+from tanagerscale.routing._cell_selector import CellSelector
 from tanagerscale.routing._cells import CellId
-from tanagerscale.routing._chooser import CellChooser
-from tanagerscale.routing._deciders import Deciders
-from tanagerscale.routing._entry import Decider
-from tanagerscale.routing._entry import EntryTable
 from tanagerscale.routing._owned_cells import OwnedCells
 from tanagerscale.routing._owner import RESERVATION_LEASE_MS
 from tanagerscale.routing._ownership import Ownership
-from tanagerscale.routing._ownership import scaled
-from tanagerscale.routing._placements import Placements
+from tanagerscale.routing._ownership import scale_spec
+from tanagerscale.routing._placement_table import DecisionSource
+from tanagerscale.routing._placement_table import PlacementTable
+from tanagerscale.routing._placements import PlacementClient
 from tanagerscale.routing._problems import no_upstream
 from tanagerscale.routing._protocol import PeerNetwork
 from tanagerscale.routing._protocol import Placement
 from tanagerscale.routing._protocol import PoolScheduler
-from tanagerscale.routing._protocol import UpstreamOpenness
+from tanagerscale.routing._protocol import UpstreamAvailability
 from tanagerscale.routing._reporter import ProgressReporter
 from tanagerscale.upstreams import EngineClient
 
-TICK_MS = 100
-PROGRESS_MS = 500
-PROGRESS_MS_PER_PLACEMENT = 8
-"""Keeps progress to about a kilobyte a second, however many placements a host holds."""
-LONGEST_PROGRESS_MS = RESERVATION_LEASE_MS // 3
-KEEP_MS = 2500
-"""How often progress names each running placement, changed or not."""
+TICK_INTERVAL_MS = 100
+MIN_PROGRESS_INTERVAL_MS = 500
+PROGRESS_INTERVAL_MS_PER_PLACEMENT = 8
+"""Limits progress messages to about a kilobyte a second for any number of placements."""
+MAX_PROGRESS_INTERVAL_MS = RESERVATION_LEASE_MS // 3
+FULL_REPORT_INTERVAL_MS = 2500
+"""Time between progress messages that include unchanged placements."""
 
 log = get_logger(part="routing")
 
 
 @final
 class PoolRouter:
-    """Asks the owner of a cell for each place, and decides for the cells this host owns.
-
-    Owners are efficiency, not safety: with none or two of them for a moment, hosts over-commit
-    or under-use engines, and each generation still has one placement at its entry host.
-
-    :param network: The other hosts.
-    :param gate: Which upstreams take new work.
-    :param make_scheduler: Makes the scheduler of one cell.
-    :param clock: Time.
-    :param rng: Spreads choices between cells.
-    :param engine_clients: Gives the client by which an owner reads an engine's load; ``None``
-        leaves engines unread.
-    :param learn: Told the lengths of answers that other hosts placed, so that this host knows
-        lengths when it becomes an owner; its own schedulers learn from what they place.
+    """Asks the owner of a cell for each placement, and schedules the cells that this host owns.
+
+    Correctness does not depend on a unique owner. While a cell has no owner or two owners, engines
+    may be overcommitted or underused, but each generation has one placement at its entry host.
+
+    :param network: Connection to the other hosts.
+    :param gate: Source of the upstreams that accept new work.
+    :param make_scheduler: Creates the scheduler of one cell.
+    :param clock: Clock of this host.
+    :param rng: Random number generator used to select among cells.
+    :param engine_clients: Returns the client with which an owner polls an engine; ``None``
+        disables polling.
+    :param observe_length: Called with the length of each complete answer that another host placed,
+        so that this host can predict lengths when it becomes an owner; its own schedulers observe
+        the answers that they place.
     """
 
     def __init__(
         self,
         *,
         network: PeerNetwork,
-        gate: UpstreamOpenness,
+        gate: UpstreamAvailability,
         make_scheduler: Callable[[], PoolScheduler],
         clock: Clock,
         rng: Random,
         engine_clients: Callable[[UpstreamId], EngineClient] | None = None,
-        learn: Callable[[PlacementRequest, int], None] = lambda _request, _tokens: None,
+        observe_length: Callable[[PlacementRequest, int], None] = lambda _request, _tokens: None,
     ) -> None:
         self._network = network
-        self._learn = learn
+        self._observe_length = observe_length
         self._gate = gate
         self._clock = clock
         self._ownership = Ownership(host=network.host)
-        self._chooser = CellChooser(ownership=self._ownership, gate=gate, clock=clock, rng=rng)
-        self._entries = EntryTable()
+        self._selector = CellSelector(ownership=self._ownership, gate=gate, clock=clock, rng=rng)
+        self._records = PlacementTable()
         self._owned = OwnedCells(
             ownership=self._ownership,
             open_specs=lambda cell: self._open_specs(cell, share=self._ownership.share),
             make_scheduler=make_scheduler,
             gate=gate,
             clock=clock,
-            tell=self._tell,
+            send=self._send,
             engine_clients=engine_clients,
         )
-        self._fallbacks = Deciders(
+        self._fallbacks = CellOwners(
             make_scheduler=make_scheduler,
-            specs=lambda cell: self._open_specs(cell, share=self._ownership.equal_share),
-            keeps=lambda _cell: False,
+            get_specs=lambda cell: self._open_specs(cell, share=self._ownership.equal_share),
+            is_retained=lambda _cell: False,
             clock=clock,
-            tell=self._on_fallback,
+            send=self._on_fallback,
         )
-        self._placements = Placements(
+        self._placement_client = PlacementClient(
             host=network.host,
-            entries=self._entries,
+            records=self._records,
             ownership=self._ownership,
-            chooser=self._chooser,
+            selector=self._selector,
             gate=gate,
             fallbacks=self._fallbacks,
-            tell=self._tell,
+            send=self._send,
             clock=clock,
         )
         self._reporter = ProgressReporter(
-            host=network.host, entries=self._entries, fallbacks=self._fallbacks, tell=self._tell
+            host=network.host, records=self._records, fallbacks=self._fallbacks, send=self._send
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._subscriptions: list[DisposableBase] = []
 
     @property
     def reservations(self) -> int:
-        """How many placements the cells decided here hold, for any host."""
+        """Number of reservations held by the cells scheduled on this host, for all entry hosts."""
         return self._owned.reservations + self._fallbacks.reservations
 
     @property
     def held(self) -> int:
-        """How many placements this host wants or holds for its callers."""
-        return len(self._entries)
+        """Number of placements that this host requests or holds for its callers."""
+        return len(self._records)
 
     @property
     def owned(self) -> tuple[CellId, ...]:
-        """The cells that this host decides for."""
+        """Ids of the cells that this host owns."""
         return self._ownership.owned
 
     def start(self) -> None:
-        """Begin to listen and to decide."""
+        """Subscribe to peers and start the background tasks."""
         self._subscriptions = [
-            self._network.live.subscribe(self._on_live),
+            self._network.live.subscribe(self._on_live_peers),
             self._network.messages.subscribe(self._on_received),
             self._gate.changes.subscribe(lambda _upstream: self._refresh_engines()),
         ]
@@ -151,7 +152,7 @@
         ]
 
     async def stop(self) -> None:
-        """Decide no more; placements keep their engines."""
+        """Stop scheduling; running generations stay on their engines."""
         for subscription in self._subscriptions:
             subscription.dispose()
         for task in self._tasks:
@@ -163,81 +164,86 @@
     def set_engines(self, engines: Sequence[Engine]) -> None:
         """Replace the declared engines."""
         self._ownership.set_engines(engines)
-        self._reassign()
+        self._on_ownership_changed()
 
     def set_leaving(self, *, leaving: bool) -> None:
-        """Give the cells owned here to other hosts, or take them back."""
+        """Hand over the cells that this host owns to other hosts, or take them back."""
         self._ownership.set_leaving(leaving=leaving)
-        self._reassign()
+        self._on_ownership_changed()
 
-    def set_known_hosts(self, known: int) -> None:
-        """Tell how many hosts there should be, so that a host cut off from them knows it is.
+    def set_expected_hosts(self, count: int) -> None:
+        """Set the number of expected hosts, from which a host detects a network partition.
 
-        :param known: Hosts that the host list shows as live, this one included.
+        :param count: Number of hosts that the host list shows as live, this one included.
         """
-        self._ownership.set_known_hosts(known)
+        self._ownership.set_expected_hosts(count)
         self._refresh_engines()
 
     def configure(self, apply: Callable[[PoolScheduler], None]) -> None:
-        """Change the schedulers in use, such as when accounts or the objective have changed.
+        """Apply a change to all schedulers, such as new accounts or a new objective.
 
-        :param apply: Called once with each scheduler; new ones are made as they should be.
+        :param apply: Called once with each existing scheduler; schedulers created later must
+            already include the change.
         """
         self._owned.configure(apply)
         self._fallbacks.configure(apply)
 
     async def place(self, *, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Wait for a place; cancelling the call withdraws the request."""
-        cell = self._chooser.choose(request)
+        """Wait until the request is placed; cancelling the call withdraws the request."""
+        cell = self._selector.select(request)
         if cell is None:
             return Failure(no_upstream(request))
-        entry = self._placements.enter(request=request, cell=cell)
-        self._placements.ask(entry)
+        record = self._placement_client.create(request=request, cell=cell)
+        self._placement_client.send_ask(record)
         try:
-            outcome = await entry.outcome
+            outcome = await record.outcome
         except asyncio.CancelledError:
-            self._placements.give_up(entry, entry.finished())
+            self._placement_client.release(record, record.build_finished())
             raise
         if isinstance(outcome, Failure):
-            self._placements.give_up(entry, entry.finished())
+            self._placement_client.release(record, record.build_finished())
         return outcome
 
     def adopt(self, *, request: PlacementRequest, engine: UpstreamId, tokens: int) -> Placement:
-        """Hold a generation that runs already, such as one resumed after its host's death.
+        """Register a generation that already runs, such as one resumed after its host failed.
 
-        It must be followed by one ``release`` like any other.
+        It must be followed by exactly one ``release``, like any other placement.
 
-        :param request: What was asked for.
-        :param engine: Where it runs.
-        :param tokens: Tokens made so far.
+        :param request: Request that the engine runs.
+        :param engine: Engine that runs it.
+        :param tokens: Number of tokens generated so far.
         """
         cell = self._ownership.cell_of_engine(engine)
-        entry = self._placements.enter(request=request, cell=CellId("") if cell is None else cell)
-        entry.tokens = tokens
-        placement = entry.admit(engine=engine)
-        self._placements.tell_running(entry)
+        record = self._placement_client.create(
+            request=request, cell=CellId("") if cell is None else cell
+        )
+        record.tokens = tokens
+        placement = record.admit(engine=engine)
+        self._placement_client.send_running(record)
         return placement
 
     def report_progress(self, *, generation: GenerationId, tokens: int) -> None:
-        """Tell how many tokens a placed generation has made so far."""
-        entry = self._entries.by_generation(generation)
-        if entry is not None and tokens > entry.tokens:
-            entry.tokens = tokens
-            self._reporter.note(entry)
+        """Report the number of tokens that a placed generation has generated so far."""
+        record = self._records.by_generation(generation)
+        if record is not None and tokens > record.tokens:
+            record.tokens = tokens
+            self._reporter.mark_changed(record)
 
     def release(
         self, *, generation: GenerationId, tokens: int, complete: bool, engine_lost: bool
     ) -> None:
-        """Tell that a generation no longer uses its engine."""
-        entry = self._entries.by_generation(generation)
-        if entry is not None:
-            finished = entry.finished(tokens=tokens, complete=complete, engine_lost=engine_lost)
-            if complete and entry.owner != self._network.host:
-                self._learn(entry.request, tokens)
-            self._placements.give_up(entry, finished)
-
-    def _tell(self, host: HostId, message: Message) -> None:
-        """Send a message to a host, which may be this one."""
+        """Report that a generation no longer uses its engine."""
+        record = self._records.by_generation(generation)
+        if record is not None:
+            finished = record.build_finished(
+                tokens=tokens, complete=complete, engine_lost=engine_lost
+            )
+            if complete and record.owner != self._network.host:
+                self._observe_length(record.request, tokens)
+            self._placement_client.release(record, finished)
+
+    def _send(self, host: HostId, message: Message) -> None:
+        """Send a message to a host, which may be this host."""
         if host == self._network.host:
             self._on_message(host, message)
         else:
@@ -248,23 +254,23 @@
 
     def _on_message(self, host: HostId, message: Message) -> None:
         if isinstance(message, Grant):
-            self._placements.on_grant(message, host=host, decider=Decider.OWNER)
+            self._placement_client.on_grant(message, host=host, source=DecisionSource.OWNER)
         elif isinstance(message, RunningRequest):
-            self._placements.on_running_request(host, message)
+            self._placement_client.on_running_request(host, message)
         else:
             self._owned.on_message(host, message)
 
     def _on_fallback(self, host: HostId, message: Grant | RunningRequest) -> None:
         if isinstance(message, Grant):
-            self._placements.on_grant(message, host=host, decider=Decider.FALLBACK)
+            self._placement_client.on_grant(message, host=host, source=DecisionSource.FALLBACK)
 
-    def _on_live(self, peers: tuple[PeerInfo, ...]) -> None:
-        staying = frozenset(peer.host for peer in peers if not peer.leaving)
-        if self._ownership.set_peers(staying):
-            self._reassign()
+    def _on_live_peers(self, peers: tuple[PeerInfo, ...]) -> None:
+        remaining = frozenset(peer.host for peer in peers if not peer.leaving)
+        if self._ownership.set_peers(remaining):
+            self._on_ownership_changed()
 
-    def _reassign(self) -> None:
-        self._placements.reassign()
+    def _on_ownership_changed(self) -> None:
+        self._placement_client.update_owners()
         self._refresh_engines()
 
     def _refresh_engines(self) -> None:
@@ -275,21 +281,23 @@
         specs = self._ownership.specs(cell)
         if not specs:
             return None
-        return [scaled(each, share=share) for each in specs if self._gate.is_open(each.engine)]
+        return [scale_spec(each, share=share) for each in specs if self._gate.is_open(each.engine)]
 
     async def _tick_forever(self) -> None:
         while True:
-            await self._clock.sleep(TICK_MS)
-            self._placements.repeat_asks()
+            await self._clock.sleep(TICK_INTERVAL_MS)
+            self._placement_client.resend_asks()
             self._owned.tick()
             self._fallbacks.tick()
 
     async def _report_forever(self) -> None:
-        kept = self._clock.now()
+        last_full_report = self._clock.now()
         while True:
-            crowd_ms = PROGRESS_MS_PER_PLACEMENT * len(self._entries)
-            await self._clock.sleep(max(PROGRESS_MS, min(crowd_ms, LONGEST_PROGRESS_MS)))
-            everything = self._clock.now() - kept >= KEEP_MS
-            if everything:
-                kept = self._clock.now()
-            self._reporter.report(everything=everything)
+            scaled_interval_ms = PROGRESS_INTERVAL_MS_PER_PLACEMENT * len(self._records)
+            await self._clock.sleep(
+                max(MIN_PROGRESS_INTERVAL_MS, min(scaled_interval_ms, MAX_PROGRESS_INTERVAL_MS))
+            )
+            include_unchanged = self._clock.now() - last_full_report >= FULL_REPORT_INTERVAL_MS
+            if include_unchanged:
+                last_full_report = self._clock.now()
+            self._reporter.report(include_unchanged=include_unchanged)
--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -33,9 +33,9 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import get_logger
-from tanagerscale.dispatch import RetryAllowance
-from tanagerscale.dispatch import UpstreamNotes
-from tanagerscale.dispatch import spread_return
+from tanagerscale.dispatch import RetryLimiter
+from tanagerscale.dispatch import UpstreamObserver
+from tanagerscale.dispatch import add_retry_jitter
 from tanagerscale.generated.declarations import Service
 from tanagerscale.generated.records import ClaimState
 from tanagerscale.generated.upstream import RefusalKind
@@ -77,9 +77,9 @@
 
     client: ServiceClient
     claims: Claims
-    notes: UpstreamNotes
+    notes: UpstreamObserver
     is_open: Callable[[UpstreamId], bool]
-    retries: RetryAllowance
+    retries: RetryLimiter
     clock: Clock
     rng: random.Random
 
@@ -133,7 +133,7 @@
                 case Failure(error):
                     may_have_run = may_have_run or error.kind not in _NOT_EXECUTED
         problem = _problem_of_idempotent(may_have_run) if tried else _no_upstream(service.name)
-        return Failure(spread_return(problem=problem, rng=self._parts.rng))
+        return Failure(add_retry_jitter(problem=problem, rng=self._parts.rng))
 
     async def _claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
@@ -224,7 +224,7 @@
             self._parts.notes.note_leaving(upstream=upstream)
 
     def _problem_of_single(self, error: UpstreamError) -> Problem:
-        return spread_return(problem=_problem_of_single(error), rng=self._parts.rng)
+        return add_retry_jitter(problem=_problem_of_single(error), rng=self._parts.rng)
 
     def _choose(self, service: Service, tried: set[str]) -> str | None:
         addresses = [address for address in addresses_of(service=service) if address not in tried]
--- a/testing/_fake_engine.py
+++ b/testing/_fake_engine.py
@@ -1,4 +1,4 @@
-"""An engine and a router in memory, for tests in virtual time."""
+"""In-memory fakes of an engine, a router and a sink, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 def tokens_of(request: EngineRequest, *, salt: int = 0) -> list[str]:
-    """Return the one answer to a request: the same words for the same seed."""
+    """Return the answer to a request; it depends only on the prompt, the seed and the salt."""
     rng = random.Random(f"{request.prompt} {request.seed} {salt}")
     return [f"w{rng.randrange(1000)} " for _ in range(request.max_tokens)]
 
 
 @dataclass(kw_only=True)
 class Run:
-    """One attempt in an engine."""
+    """One attempt on an engine."""
 
     request: EngineRequest
     tokens: list[str]
@@ -57,7 +57,20 @@
 
 @dataclass(kw_only=True)
 class Faults:
-    """What goes wrong; each ``..._at`` happens once, at that offset."""
+    """Faults of an engine; each ``..._at`` fault occurs once, at that token offset.
+
+    :param dead: Whether the engine is unreachable.
+    :param frozen: Whether the engine stops replying.
+    :param cut_at: Offset at which the connection breaks.
+    :param die_at: Offset at which the engine crashes.
+    :param error_at: Offset at which the engine ends the attempt with an error.
+    :param cross_at: Offset at which a token of another attempt is sent.
+    :param skip_at: Offset of a token that is not sent.
+    :param drop_end: Number of times that the connection breaks before the end marker.
+    :param overlap: Number of tokens that a resume repeats.
+    :param refuse: Kind of refusal for new attempts, or ``None``.
+    :param salt: Changes the generated answer.
+    """
 
     dead: bool = False
     frozen: bool = False
@@ -74,27 +87,32 @@
 
 @dataclass(kw_only=True)
 class FakeEngine:
-    """Implements ``EngineClient``; a broken connection does not stop what runs."""
+    """Engine that implements ``EngineClient``; a broken connection does not stop an attempt.
+
+    :param step_ms: Time to generate one token.
+    :param token_padding: Text appended to each token.
+    :param sent_events: Number of token events sent so far.
+    """
 
     clock: Clock
     faults: Faults = field(default_factory=Faults)
     runs: dict[str, Run] = field(default_factory=dict)
     executed: list[str] = field(default_factory=list)
     step_ms: int = STEP_MS
-    padding: str = ""
-    yielded: int = 0
+    token_padding: str = ""
+    sent_events: int = 0
 
     async def generate(self, *, request: EngineRequest) -> TokenBatches:
         """Start an attempt."""
         if self.faults.dead:
-            yield _failed(UpstreamErrorKind.NOT_SENT)
+            yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if self.faults.refuse is not None:
-            yield _refused(self.faults.refuse)
+            yield _refusal(self.faults.refuse)
             return
         if self.faults.frozen:
             await self.clock.sleep(SILENCE_MS)
-            yield _failed(UpstreamErrorKind.UNRESPONSIVE)
+            yield _failure(UpstreamErrorKind.UNRESPONSIVE)
             return
         assert request.attempt_id not in self.runs, "An attempt was sent twice."
         tokens = tokens_of(request, salt=self.faults.salt)
@@ -108,14 +126,14 @@
     async def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
         """Follow an attempt."""
         if self.faults.dead:
-            yield _failed(UpstreamErrorKind.NOT_SENT)
+            yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if self.faults.frozen:
             await self.clock.sleep(SILENCE_MS)
-            yield _failed(UpstreamErrorKind.UNRESPONSIVE)
+            yield _failure(UpstreamErrorKind.UNRESPONSIVE)
             return
         if attempt not in self.runs:
-            yield _refused(RefusalKind.UNKNOWN_GENERATION)
+            yield _refusal(RefusalKind.UNKNOWN_GENERATION)
             return
         async for batch in self._follow(attempt, max(0, offset - self.faults.overlap)):
             yield batch
@@ -132,15 +150,15 @@
                 self.runs.clear()
             if faults.dead or faults.cut_at == offset:
                 faults.cut_at = None
-                yield _failed(UpstreamErrorKind.BROKEN)
+                yield _failure(UpstreamErrorKind.BROKEN)
                 return
             if faults.frozen:
                 await self.clock.sleep(SILENCE_MS)
-                yield _failed(UpstreamErrorKind.STALLED)
+                yield _failure(UpstreamErrorKind.STALLED)
                 return
             if faults.error_at == offset:
                 faults.error_at = None
-                yield Success((_end(attempt, offset, FinishReason.ERROR),))
+                yield Success((_end_event(attempt, offset, FinishReason.ERROR),))
                 return
             if faults.cross_at == offset:
                 faults.cross_at = None
@@ -148,41 +166,41 @@
             elif faults.skip_at == offset:
                 faults.skip_at = None
             else:
-                text = run.tokens[offset] + self.padding
-                self.yielded += 1
+                text = run.tokens[offset] + self.token_padding
+                self.sent_events += 1
                 yield Success((TokenEvent(attempt_id=attempt, offset=offset, text=text),))
             offset += 1
         if faults.drop_end > 0:
             faults.drop_end -= 1
-            yield _failed(UpstreamErrorKind.BROKEN)
+            yield _failure(UpstreamErrorKind.BROKEN)
             return
-        yield Success((_end(attempt, offset, FinishReason.STOP),))
+        yield Success((_end_event(attempt, offset, FinishReason.STOP),))
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
         """Stop an attempt."""
         if self.faults.dead:
-            return _failed(UpstreamErrorKind.NOT_SENT)
+            return _failure(UpstreamErrorKind.NOT_SENT)
         if self.faults.frozen:
-            return _failed(UpstreamErrorKind.UNRESPONSIVE)
+            return _failure(UpstreamErrorKind.UNRESPONSIVE)
         if attempt in self.runs:
             self.runs[attempt].cancelled = True
         return Success(None)
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Report an idle engine."""
+        """Return the load of an idle engine."""
         return Success(LoadReport(running=0, waiting=0, used_tokens=0, memory_tokens=60000))
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Report no event."""
+        """Return no events."""
         return Success(CacheEvents(events=[], next_sequence=after))
 
     async def state(self) -> Result[EngineState, UpstreamError]:
-        """Fail, since no test here asks."""
-        return _failed(UpstreamErrorKind.MALFORMED)
+        """Fail, because no test uses this call."""
+        return _failure(UpstreamErrorKind.MALFORMED)
 
     async def order(self, *, order: EngineOrder) -> Result[EngineState, UpstreamError]:
-        """Fail, since no test here orders."""
-        return _failed(UpstreamErrorKind.MALFORMED)
+        """Fail, because no test sends orders."""
+        return _failure(UpstreamErrorKind.MALFORMED)
 
 
 class FakeRouter:
@@ -193,15 +211,15 @@
         self.placed: dict[GenerationId, Placement] = {}
         self.requests: list[PlacementRequest] = []
         self.released = 0
-        self.full_after: int | None = None
-        """After so many places the next request is shed, once."""
+        self.shed_after: int | None = None
+        """Number of releases after which one request is shed; ``None`` for never."""
 
     async def place(self, *, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Place at once or refuse at once."""
+        """Return a placement or a refusal without waiting."""
         assert request.generation not in self.placed, "Placed twice without a release."
         self.requests.append(request)
-        if self.full_after is not None and self.released >= self.full_after:
-            self.full_after = None
+        if self.shed_after is not None and self.released >= self.shed_after:
+            self.shed_after = None
             return Failure(
                 Problem(
                     kind=ProblemKind.OVERLOADED,
@@ -225,7 +243,7 @@
         )
 
     def adopt(self, *, request: PlacementRequest, engine: UpstreamId, tokens: int) -> Placement:
-        """Hold the place."""
+        """Record the placement."""
         placement = Placement(generation=request.generation, engine=engine)
         self.placed[request.generation] = placement
         return placement
@@ -237,14 +255,20 @@
     def release(
         self, *, generation: GenerationId, tokens: int, complete: bool, engine_lost: bool
     ) -> None:
-        """Free the place."""
+        """Remove the placement."""
         del self.placed[generation]
         self.released += 1
 
 
 @dataclass(kw_only=True)
 class ListSink:
-    """Keeps what a caller would see."""
+    """Sink that stores the texts in lists.
+
+    :param whole: Whether texts are kept in ``pending`` instead of ``texts``.
+    :param texts: Texts sent to the caller.
+    :param pending: Texts not yet sent to the caller.
+    :param on_token: Called with the offset after each delivery.
+    """
 
     whole: bool = False
     texts: list[str] = field(default_factory=list)
@@ -257,30 +281,32 @@
         return 0
 
     async def begin(self, *, attempt: AttemptId, engine: UpstreamId) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     async def deliver(self, *, texts: Sequence[str], offset: int, checksum: int) -> None:
-        """Keep the texts."""
+        """Store the texts."""
         (self.pending if self.whole else self.texts).extend(texts)
         self.on_token(offset)
         await asyncio.sleep(0)
 
     def discard(self) -> bool:
-        """Drop what has not been shown."""
+        """Discard the pending texts; return whether no text was sent to the caller."""
         self.pending.clear()
         return not self.texts
 
 
-def _end(attempt: AttemptId, offset: int, reason: FinishReason) -> TokenEvent:
+def _end_event(attempt: AttemptId, offset: int, reason: FinishReason) -> TokenEvent:
     return TokenEvent(attempt_id=attempt, offset=offset, finish_reason=reason)
 
 
-def _failed(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
-    return Failure(UpstreamError(kind=kind, detail="As the test asks."))
+def _failure(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
+    return Failure(UpstreamError(kind=kind, detail="Failed by the test."))
 
 
-def _refused(kind: RefusalKind) -> Failure[UpstreamError]:
+def _refusal(kind: RefusalKind) -> Failure[UpstreamError]:
     refusal = Refusal(kind=kind)
     return Failure(
-        UpstreamError(kind=UpstreamErrorKind.REFUSED, detail="As told.", refusal=refusal)
+        UpstreamError(
+            kind=UpstreamErrorKind.REFUSED, detail="Refused by the test.", refusal=refusal
+        )
     )
--- a/testing/_routing_fakes.py
+++ b/testing/_routing_fakes.py
@@ -1,4 +1,4 @@
-"""Hosts, schedulers and links for tests of routing, all in one process."""
+"""Fake hosts, schedulers and networks for routing tests in one process."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 from tanagerscale.routing import PoolRouter
 
 MODEL = ModelId("plan")
-PLACE_LIMIT_S = 600
-"""Virtual seconds after which a test gives up."""
+PLACE_TIMEOUT_S = 600
+"""Timeout of one placement, in virtual seconds."""
 
 
 def make_engines(
     *, number: int, max_batch: int = 4, name: str = "engine", models: Sequence[str] = (MODEL,)
 ) -> list[Engine]:
-    """Return declared engines of one pool."""
+    """Return declared engines that all belong to one pool."""
     return [
         Engine(
             name=f"{name}-{index}",
@@ -60,7 +60,7 @@
 def make_request(
     generation: str, *, excluded: frozenset[UpstreamId] = frozenset()
 ) -> PlacementRequest:
-    """Return a request that arrived now."""
+    """Return a movable request whose arrival time is now."""
     return PlacementRequest(
         generation=GenerationId(generation),
         model=MODEL,
@@ -74,66 +74,66 @@
 
 
 class SlotScheduler:
-    """Admits in order of arrival while an engine has a free place in its batch."""
+    """Admits requests in order of arrival while an engine has a free slot in its batch."""
 
     def __init__(self) -> None:
         self.queue: dict[GenerationId, PlacementRequest] = {}
         self.running: dict[GenerationId, UpstreamId] = {}
         self.specs: dict[UpstreamId, EngineSpec] = {}
-        self.forced: list[Decision] = []
-        """Decisions to return next, whatever the queue."""
+        self.forced_decisions: list[Decision] = []
+        """Decisions to return from the next call, regardless of the queue."""
         self.loads: list[EngineLoad] = []
-        self.reconfigured = 0
+        self.reconfigure_calls = 0
 
     def set_engines(self, *, engines: Sequence[EngineSpec], now: Millis) -> None:
         """Replace the engines."""
         self.specs = {spec.engine: spec for spec in engines}
 
     def submit(self, *, request: PlacementRequest, now: Millis) -> None:
-        """Queue a generation."""
+        """Add a generation to the queue."""
         assert request.generation not in self.running
         self.queue[request.generation] = request
 
     def withdraw(self, *, generation: GenerationId, now: Millis) -> None:
-        """Forget a queued generation."""
+        """Remove a generation from the queue."""
         self.queue.pop(generation, None)
 
     def reconfigure(
         self, *, objective: Objective, accounts: Mapping[ClientAccountId, AccountSpec]
     ) -> None:
-        """Count it."""
-        self.reconfigured += 1
+        """Count the call."""
+        self.reconfigure_calls += 1
 
     def adopt(
         self, *, request: PlacementRequest, engine: UpstreamId, tokens: int, now: Millis
     ) -> None:
-        """Enter a running generation."""
+        """Add a running generation."""
         self.queue.pop(request.generation, None)
         self.running[request.generation] = engine
 
     def on_progress(self, *, generation: GenerationId, tokens: int, now: Millis) -> None:
-        """Ignore progress."""
+        """Do nothing."""
 
     def on_finished(
         self, *, generation: GenerationId, tokens: int, complete: bool, now: Millis
     ) -> None:
-        """Free a place."""
+        """Free the slot of a generation."""
         self.running.pop(generation, None)
 
     def on_load(self, *, load: EngineLoad, now: Millis) -> None:
-        """Keep a report."""
+        """Store a load report."""
         self.loads.append(load)
 
     def on_cache(self, *, engine: UpstreamId, prefix: str, stored: bool, now: Millis) -> None:
-        """Ignore cache events."""
+        """Do nothing."""
 
     def on_engine_lost(self, *, engine: UpstreamId, now: Millis) -> None:
-        """Forget what an engine ran."""
+        """Remove the generations that run on an engine."""
         self.running = {each: where for each, where in self.running.items() if where != engine}
 
     def decide(self, *, now: Millis) -> Sequence[Decision]:
-        """Admit what fits."""
-        decisions, self.forced = self.forced, []
+        """Return the forced decisions and admissions for all requests that fit."""
+        decisions, self.forced_decisions = self.forced_decisions, []
         for decision in decisions:
             self.queue.pop(decision.generation, None)
             self.running.pop(decision.generation, None)
@@ -158,7 +158,7 @@
 
 
 class FakeNetwork:
-    """One host's view of the others."""
+    """Network of one host, connected to a ``Switch``."""
 
     def __init__(self, *, host: HostId, switch: Switch) -> None:
         self.host = host
@@ -167,41 +167,45 @@
         self._switch = switch
 
     def send(self, *, host: HostId, message: Message) -> bool:
-        """Hand a message to the switch."""
-        return self._switch.carry(source=self.host, target=host, message=message)
+        """Send a message through the switch."""
+        return self._switch.transmit(source=self.host, target=host, message=message)
 
 
 @dataclass
 class Switch:
-    """Carries messages between hosts in virtual time, with the faults a test asks for.
-
-    :param latency_ms: Time each message takes.
-    :param jitter_ms: Most that is added at random, which reorders messages.
-    :param drop: Chance that a message is lost.
-    :param double: Chance that it comes twice.
+    """Delivers messages between hosts in virtual time, with configurable faults.
+
+    :param rng: Random number generator for faults and jitter.
+    :param latency_ms: Minimum latency of a message.
+    :param jitter_ms: Maximum random addition to the latency, which reorders messages.
+    :param drop_probability: Probability that a message is lost.
+    :param duplicate_probability: Probability that a message is delivered twice.
+    :param networks: Networks of the live hosts.
     """
 
     rng: Random = field(default_factory=lambda: Random(1))
     latency_ms: int = 2
     jitter_ms: int = 0
-    drop: float = 0.0
-    double: float = 0.0
+    drop_probability: float = 0.0
+    duplicate_probability: float = 0.0
     networks: dict[HostId, FakeNetwork] = field(default_factory=dict)
     frozen: set[HostId] = field(default_factory=set)
-    """Hosts whose messages wait, in and out, as those of a stopped process do."""
-    waiting: list[tuple[HostId, HostId, Message]] = field(default_factory=list)
-    cut: set[frozenset[HostId]] = field(default_factory=set)
-    """Pairs of hosts that can't reach one another."""
-    carried: list[Message] = field(default_factory=list)
+    """Hosts whose incoming and outgoing messages are delayed, as those of a stopped process."""
+    delayed: list[tuple[HostId, HostId, Message]] = field(default_factory=list)
+    unreachable: set[frozenset[HostId]] = field(default_factory=set)
+    """Pairs of hosts that cannot reach each other."""
+    sent: list[Message] = field(default_factory=list)
 
     def join(self, host: str) -> FakeNetwork:
-        """Add a host; nobody sees it before ``show``."""
+        """Add a host, which has no peers until ``set_live_peers`` is called."""
         network = FakeNetwork(host=HostId(host), switch=self)
         self.networks[network.host] = network
         return network
 
-    def show(self, *, viewer: str, hosts: Sequence[str], leaving: Sequence[str] = ()) -> None:
-        """Set which peers a host takes as live."""
+    def set_live_peers(
+        self, *, viewer: str, hosts: Sequence[str], leaving: Sequence[str] = ()
+    ) -> None:
+        """Set the peers that a host considers live."""
         peers = tuple(
             PeerInfo(
                 host=HostId(host),
@@ -216,20 +220,20 @@
         )
         self.networks[HostId(viewer)].live.on_next(peers)
 
-    def show_all(self, hosts: Sequence[str], leaving: Sequence[str] = ()) -> None:
-        """Let all of these hosts see one another."""
+    def connect_all(self, hosts: Sequence[str], leaving: Sequence[str] = ()) -> None:
+        """Set all other given hosts as live peers of each given host."""
         for host in hosts:
-            self.show(viewer=host, hosts=hosts, leaving=leaving)
+            self.set_live_peers(viewer=host, hosts=hosts, leaving=leaving)
 
-    def carry(self, *, source: HostId, target: HostId, message: Message) -> bool:
-        """Deliver a message later, or not at all."""
+    def transmit(self, *, source: HostId, target: HostId, message: Message) -> bool:
+        """Schedule the delivery of a message, subject to the faults."""
         absent = source not in self.networks or target not in self.networks
-        if absent or frozenset((source, target)) in self.cut:
+        if absent or frozenset((source, target)) in self.unreachable:
             return False
-        self.carried.append(message)
-        if self.rng.random() < self.drop:
+        self.sent.append(message)
+        if self.rng.random() < self.drop_probability:
             return True
-        copies = 2 if self.rng.random() < self.double else 1
+        copies = 2 if self.rng.random() < self.duplicate_probability else 1
         for _ in range(copies):
             delay = self.latency_ms + self.rng.randint(0, self.jitter_ms)
             loop = asyncio.get_running_loop()
@@ -237,30 +241,32 @@
         return True
 
     def thaw(self, host: str) -> None:
-        """Let a frozen host go on; all that waited arrives at once."""
+        """Resume a frozen host and deliver all delayed messages at once."""
         self.frozen.discard(HostId(host))
-        waiting, self.waiting = self.waiting, []
+        waiting, self.delayed = self.delayed, []
         for source, target, message in waiting:
             self._deliver(source, target, message)
 
     def _deliver(self, source: HostId, target: HostId, message: Message) -> None:
         if source in self.frozen or target in self.frozen:
-            self.waiting.append((source, target, message))
+            self.delayed.append((source, target, message))
         elif target in self.networks:
             self.networks[target].messages.on_next(Received(host=source, message=message))
 
 
 @dataclass
 class FakeHost:
-    """A router with what it stands on."""
+    """A router with its gate and the schedulers that it has created."""
 
     router: PoolRouter
     gate: UpstreamGate
     schedulers: list[SlotScheduler]
 
 
-def make_host(name: str, *, switch: Switch, engines: Sequence[Engine], known: int = 1) -> FakeHost:
-    """Return a started host."""
+def make_host(
+    name: str, *, switch: Switch, engines: Sequence[Engine], expected_hosts: int = 1
+) -> FakeHost:
+    """Return a host with a started router."""
     schedulers: list[SlotScheduler] = []
 
     def make_scheduler() -> SlotScheduler:
@@ -275,17 +281,17 @@
         clock=Clock(),
         rng=Random(8),
     )
-    router.set_known_hosts(known)
+    router.set_expected_hosts(expected_hosts)
     router.set_engines(engines)
     router.start()
     return FakeHost(router=router, gate=gate, schedulers=schedulers)
 
 
 class Cluster:
-    """Hosts in one process that see one another.
+    """Connected hosts in one process.
 
-    :param hosts: Their names.
-    :param engines: Declared engines, all of one pool.
+    :param hosts: Names of the hosts.
+    :param engines: Declared engines of all hosts.
     """
 
     def __init__(self, *, hosts: Sequence[str], engines: Sequence[Engine]) -> None:
@@ -293,53 +299,53 @@
         self.switch = Switch()
         self.placed: dict[str, UpstreamId] = {}
         self._hosts = {
-            name: make_host(name, switch=self.switch, engines=engines, known=len(hosts))
+            name: make_host(name, switch=self.switch, engines=engines, expected_hosts=len(hosts))
             for name in hosts
         }
-        self.switch.show_all(hosts)
+        self.switch.connect_all(hosts)
 
     def host(self, name: str) -> FakeHost:
         """Return a host by name."""
         return self._hosts[name]
 
     def owner(self) -> str:
-        """Return the host that owns the only cell."""
+        """Return the name of the host that owns the only cell."""
         return next(name for name in self.names if self.host(name).router.owned)
 
     def entry_and_owner(self) -> tuple[str, str]:
-        """Return a host that is not the owner, and the owner."""
+        """Return the names of a host that is not the owner, and of the owner."""
         owner = self.owner()
         return next(name for name in self.names if name != owner), owner
 
-    def ledger(self, name: str) -> SlotScheduler:
-        """Return what a host's latest scheduler holds."""
+    def scheduler(self, name: str) -> SlotScheduler:
+        """Return the scheduler that a host created last."""
         return self.host(name).schedulers[-1]
 
     async def place(self, host: str, generation: str) -> Placement:
-        """Place a generation and note where."""
-        async with asyncio.timeout(PLACE_LIMIT_S):
+        """Place a generation and record its engine."""
+        async with asyncio.timeout(PLACE_TIMEOUT_S):
             placed = await self.host(host).router.place(request=make_request(generation))
         placement = placed.unwrap()
         self.placed[generation] = placement.engine
         return placement
 
     def release(self, host: str, generation: str, *, complete: bool = True) -> None:
-        """Give a placement up."""
+        """Release a placement."""
         self.placed.pop(generation, None)
         self.host(host).router.release(
             generation=GenerationId(generation), tokens=9, complete=complete, engine_lost=False
         )
 
-    def truth(self) -> dict[str, UpstreamId]:
-        """Return which generation uses which engine."""
+    def placements(self) -> dict[str, UpstreamId]:
+        """Return the engine of each placed generation."""
         return dict(self.placed)
 
     def reservations(self) -> int:
-        """Return what the deciders of all live hosts hold."""
+        """Return the number of reservations on all live hosts."""
         return sum(self.host(name).router.reservations for name in self.names)
 
-    def lose(self, name: str) -> None:
-        """Let a host die; the others notice at once."""
+    def remove_host(self, name: str) -> None:
+        """Remove a host; its peers are notified at once."""
         self.names.remove(name)
         del self.switch.networks[HostId(name)]
-        self.switch.show_all(self.names)
+        self.switch.connect_all(self.names)
--- a/testing/_crowded.py
+++ b/testing/_simulation.py
@@ -1,6 +1,7 @@
-"""Hosts with the real dispatch and policy, engines with batch limits, and callers that come back.
+"""Simulation of hosts with real dispatch and policy, engines with batch limits, and callers.
 
-Everything runs in one process in virtual time: for overload, mass failures and recovery.
+Everything runs in one process in virtual time. It is used for tests of overload, mass failures and
+recovery. Callers that are refused retry after the time in Retry-After.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 from tanagerscale.declarations import Declarations
 from tanagerscale.delivery import WholeSink
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.dispatch import Generation
 from tanagerscale.dispatch import GenerationRequest
 from tanagerscale.generated.declarations import DeclarationSet
@@ -73,12 +74,12 @@
 
 STEP_MS = 50
 TOKENS_PER_EVENT = 5
-SHORTEST = 10
-LONGEST = 40
+MIN_ANSWER_TOKENS = 10
+MAX_ANSWER_TOKENS = 40
 MEMORY_TOKENS = 60_000
 ACCOUNT = ClientAccountId("crew")
 POISON_PREFIX = "poison"
-"""A prompt that starts with this crashes the engine that runs it."""
+"""Prefix of prompts that crash the engine that runs them."""
 CRASH_AT = 10
 """Number of generated tokens after which such a prompt crashes its engine."""
 
@@ -87,23 +88,23 @@
 class _Run:
     request: EngineRequest
     length: int
-    made: int = 0
+    generated: int = 0
     lost: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    work: asyncio.Task[None] | None = None
+    task: asyncio.Task[None] | None = None
 
-    def tell(self) -> None:
-        """Wake whoever follows the run."""
+    def notify(self) -> None:
+        """Wake all followers of the run."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 @final
-class BatchEngine:
-    """Runs a limited batch and queues the rest; it can die and be started again.
+class SimulatedEngine:
+    """Engine that runs a limited batch and queues the rest; it can crash and be restarted.
 
-    :param clock: Time.
-    :param max_batch: Most attempts that make tokens at once.
+    :param clock: Clock of the simulation.
+    :param max_batch: Maximum number of attempts that generate tokens at the same time.
     """
 
     def __init__(self, *, clock: Clock, max_batch: int) -> None:
@@ -113,40 +114,40 @@
         self._runs: dict[str, _Run] = {}
         self.dead = False
         self.starts: Counter[str] = Counter()
-        """How often each prompt was started."""
+        """Number of times that each prompt was started."""
 
-    def die(self) -> None:
-        """Lose everything that runs."""
+    def crash(self) -> None:
+        """Crash and lose all attempts."""
         self.dead = True
         for run in self._runs.values():
             run.lost = True
-            assert run.work is not None
-            run.work.cancel()
-            run.tell()
+            assert run.task is not None
+            run.task.cancel()
+            run.notify()
         self._runs.clear()
         self._slots = asyncio.Semaphore(self.max_batch)
 
-    def revive(self) -> None:
-        """Start again, empty."""
+    def restart(self) -> None:
+        """Restart without any attempt."""
         self.dead = False
 
     async def generate(self, *, request: EngineRequest) -> TokenBatches:
         """Start an attempt."""
         if self.dead:
-            yield _failed(UpstreamErrorKind.NOT_SENT)
+            yield _failure(UpstreamErrorKind.NOT_SENT)
             return
-        length = random.Random(request.prompt).randint(SHORTEST, LONGEST)
+        length = random.Random(request.prompt).randint(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
         run = _Run(request=request, length=length)
         self._runs[request.attempt_id] = run
         self.starts[request.prompt] += 1
-        run.work = asyncio.get_running_loop().create_task(self._make(run))
+        run.task = asyncio.get_running_loop().create_task(self._generate_tokens(run))
         async for batch in self._follow(run, 0):
             yield batch
 
     async def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
         """Follow an attempt."""
         if self.dead:
-            yield _failed(UpstreamErrorKind.NOT_SENT)
+            yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if attempt not in self._runs:
             refusal = Refusal(kind=RefusalKind.UNKNOWN_GENERATION)
@@ -156,29 +157,29 @@
         async for batch in self._follow(self._runs[attempt], offset):
             yield batch
 
-    async def _make(self, run: _Run) -> None:
+    async def _generate_tokens(self, run: _Run) -> None:
         async with self._slots:
-            while run.made < run.length:
-                step = min(TOKENS_PER_EVENT, run.length - run.made)
+            while run.generated < run.length:
+                step = min(TOKENS_PER_EVENT, run.length - run.generated)
                 await self._clock.sleep(step * STEP_MS)
-                run.made += step
-                run.tell()
-                if run.made >= CRASH_AT and run.request.prompt.startswith(POISON_PREFIX):
-                    asyncio.get_running_loop().call_soon(self.die)
+                run.generated += step
+                run.notify()
+                if run.generated >= CRASH_AT and run.request.prompt.startswith(POISON_PREFIX):
+                    asyncio.get_running_loop().call_soon(self.crash)
                     return
 
     async def _follow(self, run: _Run, offset: int) -> TokenBatches:
         attempt = AttemptId(run.request.attempt_id)
         yield Success(())
         while not run.lost:
-            if run.made > offset:
+            if run.generated > offset:
                 yield Success(
                     tuple(
                         TokenEvent(attempt_id=attempt, offset=at, text=f"w{at} ")
-                        for at in range(offset, run.made)
+                        for at in range(offset, run.generated)
                     )
                 )
-                offset = run.made
+                offset = run.generated
             elif offset == run.length:
                 self._runs.pop(attempt, None)
                 reason = FinishReason.STOP
@@ -188,47 +189,47 @@
                 return
             else:
                 await run.changed.wait()
-        yield _failed(UpstreamErrorKind.BROKEN)
+        yield _failure(UpstreamErrorKind.BROKEN)
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
         """Stop an attempt."""
         if self.dead:
-            return _failed(UpstreamErrorKind.NOT_SENT)
+            return _failure(UpstreamErrorKind.NOT_SENT)
         run = self._runs.pop(attempt, None)
-        if run is not None and run.work is not None:
-            run.work.cancel()
+        if run is not None and run.task is not None:
+            run.task.cancel()
         return Success(None)
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Report what runs and waits."""
+        """Return the load, or a failure if the engine has crashed."""
         if self.dead:
-            return _failed(UpstreamErrorKind.NOT_SENT)
+            return _failure(UpstreamErrorKind.NOT_SENT)
         runs = len(self._runs)
         return Success(
             LoadReport(
                 running=min(runs, self.max_batch),
                 waiting=max(runs - self.max_batch, 0),
-                used_tokens=sum(run.made for run in self._runs.values()),
+                used_tokens=sum(run.generated for run in self._runs.values()),
                 memory_tokens=MEMORY_TOKENS,
             )
         )
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Report no event."""
+        """Return no events."""
         return Success(CacheEvents(events=[], next_sequence=after))
 
     async def state(self) -> Result[EngineState, UpstreamError]:
-        """Fail, since nobody here asks."""
-        return _failed(UpstreamErrorKind.MALFORMED)
+        """Fail, because the simulation does not use this call."""
+        return _failure(UpstreamErrorKind.MALFORMED)
 
     async def order(self, *, order: EngineOrder) -> Result[EngineState, UpstreamError]:
-        """Fail, since nobody here orders."""
-        return _failed(UpstreamErrorKind.MALFORMED)
+        """Fail, because the simulation sends no orders."""
+        return _failure(UpstreamErrorKind.MALFORMED)
 
 
 @final
 class _Network(FakeNetwork):
-    """A host's view of the others, with what the quarantine asks of a mesh."""
+    """Network of one host, with the additional mesh interface that the quarantine uses."""
 
     def __init__(self, *, host: HostId, switch: Switch) -> None:
         super().__init__(host=host, switch=switch)
@@ -241,21 +242,21 @@
 
 
 @final
-class CrowdedHost:
-    """What one host runs between its callers and the engines.
+class SimulatedHost:
+    """Router, quarantine and dispatch of one host.
 
-    :param name: Its id.
-    :param world: All hosts and engines.
+    :param name: Id of the host.
+    :param simulation: The simulation that the host belongs to.
     :param declared: Declared engines.
-    :param reserve: Retries saved up.
+    :param reserve: Reserve of the retry budget, in retries.
     """
 
     def __init__(
-        self, *, name: str, world: CrowdedWorld, declared: Sequence[Engine], reserve: float
+        self, *, name: str, simulation: Simulation, declared: Sequence[Engine], reserve: float
     ) -> None:
-        clock = world.clock
-        self.network = network = _Network(host=HostId(name), switch=world.switch)
-        world.switch.networks[network.host] = network
+        clock = simulation.clock
+        self.network = network = _Network(host=HostId(name), switch=simulation.switch)
+        simulation.switch.networks[network.host] = network
         gate = UpstreamGate(clock=clock, rng=random.Random(name), spread=lambda _message: None)
         self.router = PoolRouter(
             network=network,
@@ -265,7 +266,7 @@
             ),
             clock=clock,
             rng=random.Random(name),
-            engine_clients=world.engines.__getitem__,
+            engine_clients=simulation.engines.__getitem__,
         )
         declarations = Declarations.from_set(
             declarations=DeclarationSet(
@@ -274,7 +275,7 @@
             revision=Revision(1),
         )
         quarantine = Quarantine(
-            store=FakeStore(backend=world.store),
+            store=FakeStore(backend=simulation.store),
             prefix="/t",
             host=network.host,
             clock=clock,
@@ -287,13 +288,13 @@
             clock=clock,
         )
         crashes.start()
-        self.parts = DispatchParts(
+        self.context = DispatchContext(
             router=self.router,
-            client_of=world.engines.__getitem__,
-            notes=GateNotes(gate=gate),
-            crashes=crashes,
+            client_of=simulation.engines.__getitem__,
+            observer=GateNotes(gate=gate),
+            crash_watch=crashes,
             retries=RetryBudget(reserve=reserve),
-            canceller=Canceller(client_of=world.engines.__getitem__, clock=clock),
+            canceller=Canceller(client_of=simulation.engines.__getitem__, clock=clock),
             meter=UsageMeter(clock=clock, objective=Objective),
             clock=clock,
             rng=random.Random(name),
@@ -302,34 +303,34 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Refused:
-    """One refusal as its caller saw it.
+class RefusedCall:
+    """A call that was refused.
 
-    :param problem: What it said.
-    :param came: When the request came.
-    :param told: When it was refused.
+    :param problem: Problem returned to the caller.
+    :param arrived_at: When the request arrived.
+    :param refused_at: When the request was refused.
     """
 
     problem: Problem
-    came: Millis
-    told: Millis
+    arrived_at: Millis
+    refused_at: Millis
 
     @property
-    def returns(self) -> Millis:
-        """When a caller that obeys the Retry-After of the reply comes back, which is in seconds."""
+    def retry_at(self) -> Millis:
+        """When a caller retries that obeys the Retry-After of the reply, which is in seconds."""
         assert self.problem.retry_after_ms is not None
-        return Millis(self.told + math.ceil(self.problem.retry_after_ms / 1000) * 1000)
+        return Millis(self.refused_at + math.ceil(self.problem.retry_after_ms / 1000) * 1000)
 
 
 @final
-class CrowdedWorld:
-    """Hosts, engines and callers.
-
-    :param hosts: How many hosts.
-    :param engines: How many engines.
-    :param max_batch: Most attempts that an engine runs at once.
-    :param reserve: Retries that a host saves up.
-    :param seed: Seeds the callers' choices.
+class Simulation:
+    """Hosts, engines and callers that share one virtual clock.
+
+    :param hosts: Number of hosts.
+    :param engines: Number of engines.
+    :param max_batch: Maximum number of attempts that an engine runs at the same time.
+    :param reserve: Reserve of the retry budget of each host, in retries.
+    :param seed: Seed for the arrival times of callers and their choice of hosts.
     :param clock: Clock of all hosts; its wall clock must be virtual if quarantines must expire.
     """
 
@@ -348,32 +349,33 @@
         self.store = FakeBackend()
         declared = make_engines(number=engines, max_batch=max_batch)
         self.engines = {
-            UpstreamId(each.name): BatchEngine(clock=self.clock, max_batch=max_batch)
+            UpstreamId(each.name): SimulatedEngine(clock=self.clock, max_batch=max_batch)
             for each in declared
         }
-        self.done: list[Millis] = []
-        self.refused: list[Refused] = []
-        self.asked = 0
+        self.completed_at: list[Millis] = []
+        self.refused: list[RefusedCall] = []
+        self.started_callers = 0
         self._rng = random.Random(seed)
         self._callers: set[asyncio.Task[None]] = set()
         names = [f"host-{number}" for number in range(hosts)]
         self.hosts = [
-            CrowdedHost(name=name, world=self, declared=declared, reserve=reserve) for name in names
+            SimulatedHost(name=name, simulation=self, declared=declared, reserve=reserve)
+            for name in names
         ]
         for host in self.hosts:
-            host.router.set_known_hosts(hosts)
+            host.router.set_expected_hosts(hosts)
             host.router.start()
-        self.switch.show_all(names)
+        self.switch.connect_all(names)
 
     @property
     def capacity(self) -> float:
-        """Answers a second that all engines make together."""
-        mean_ms = (SHORTEST + LONGEST) / 2 * STEP_MS
+        """Maximum number of answers per second of all engines together."""
+        mean_ms = (MIN_ANSWER_TOKENS + MAX_ANSWER_TOKENS) / 2 * STEP_MS
         return sum(engine.max_batch for engine in self.engines.values()) * 1000 / mean_ms
 
     @property
     def retries(self) -> int:
-        """Starts at engines beyond the first of each generation."""
+        """Number of starts on engines beyond the first start of each generation."""
         starts: Counter[str] = Counter()
         for engine in self.engines.values():
             starts.update(engine.starts)
@@ -381,47 +383,50 @@
 
     @property
     def started(self) -> int:
-        """Generations that an engine has begun."""
+        """Number of generations that were started on at least one engine."""
         return len({prompt for engine in self.engines.values() for prompt in engine.starts})
 
-    async def ask_until(self, end_ms: int, *, load: float) -> None:
-        """Let new callers come at random until a time, each of whom stays until it is served.
+    async def generate_load(self, end_ms: int, *, load: float) -> None:
+        """Start callers at random times until a given time; each retries until it is served.
 
-        :param load: Their part of what all engines can do.
+        :param end_ms: Time at which the last caller may start.
+        :param load: Arrival rate as a fraction of the capacity of all engines.
         """
         while self.clock.now() < end_ms:
             await asyncio.sleep(self._rng.expovariate(load * self.capacity))
             self.start_caller()
 
     def start_caller(self) -> None:
-        """Let one caller come."""
-        self.asked += 1
-        task = asyncio.get_running_loop().create_task(self._call(f"caller-{self.asked}"))
+        """Start one caller."""
+        self.started_callers += 1
+        task = asyncio.get_running_loop().create_task(self._call(f"caller-{self.started_callers}"))
         self._callers.add(task)
         task.add_done_callback(self._callers.discard)
 
-    async def finish(self) -> None:
-        """Wait until every caller has its answer."""
+    async def wait_for_callers(self) -> None:
+        """Wait until all callers have received their answers."""
         while self._callers:
             await asyncio.wait(set(self._callers))
 
-    def useful_per_s(self, begin_ms: int, end_ms: int) -> float:
-        """Return whole answers a second between two times."""
-        done = sum(begin_ms <= when < end_ms for when in self.done)
+    def completed_per_s(self, begin_ms: int, end_ms: int) -> float:
+        """Return the number of complete answers per second between two times."""
+        done = sum(begin_ms <= when < end_ms for when in self.completed_at)
         return done * 1000 / (end_ms - begin_ms)
 
     async def _call(self, name: str) -> None:
         for attempt in itertools.count():
-            came = self.clock.now()
+            arrived_at = self.clock.now()
             host = self._rng.choice(self.hosts)
             request = generation_request(name, f"{name}.{attempt}")
-            result = await Generation(request=request, sink=WholeSink(), parts=host.parts).run()
+            result = await Generation(request=request, sink=WholeSink(), context=host.context).run()
             if isinstance(result, Success):
-                self.done.append(self.clock.now())
+                self.completed_at.append(self.clock.now())
                 return
-            refused = Refused(problem=result.failure(), came=came, told=self.clock.now())
+            refused = RefusedCall(
+                problem=result.failure(), arrived_at=arrived_at, refused_at=self.clock.now()
+            )
             self.refused.append(refused)
-            await self.clock.sleep(refused.returns - self.clock.now())
+            await self.clock.sleep(refused.retry_at - self.clock.now())
 
 
 def generation_request(caller: str, generation: str) -> GenerationRequest:
@@ -445,5 +450,5 @@
     )
 
 
-def _failed(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
-    return Failure(UpstreamError(kind=kind, detail="As the test asks."))
+def _failure(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
+    return Failure(UpstreamError(kind=kind, detail="Failed by the simulation."))
--- a/testing/test_cancel.py
+++ b/testing/test_cancel.py
@@ -1,4 +1,4 @@
-"""Attempts are cancelled when their callers have left, and only then."""
+"""Cancellation of attempts whose callers have disconnected."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 ATTEMPT = AttemptId("att-1")
 ENGINE = UpstreamId("engine-1")
-COMEBACK_MS = 5000
+RECONNECT_MS = 5000
 
 
-def _cancelled_after(steps: Callable[[Canceller], Awaitable[None]]) -> bool:
+def _is_cancelled_after(steps: Callable[[Canceller], Awaitable[None]]) -> bool:
     async def run() -> bool:
         clock = Clock()
         engine = FakeEngine(clock=clock)
@@ -27,47 +27,47 @@
             break
         canceller = Canceller(client_of=lambda _engine: engine, clock=clock)
         await steps(canceller)
-        await clock.sleep(4 * COMEBACK_MS)
+        await clock.sleep(4 * RECONNECT_MS)
         return engine.runs[ATTEMPT].cancelled
 
     return run_virtually(run())
 
 
-def test_attempt_is_cancelled_when_its_caller_stays_away() -> None:
+def test_attempt_is_cancelled_when_its_caller_does_not_return() -> None:
     async def steps(canceller: Canceller) -> None:
-        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=COMEBACK_MS)
+        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
 
-    assert _cancelled_after(steps)
+    assert _is_cancelled_after(steps)
 
 
-def test_attempt_goes_on_when_its_caller_comes_back_in_time() -> None:
+def test_attempt_continues_when_its_caller_returns_in_time() -> None:
     async def steps(canceller: Canceller) -> None:
-        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=COMEBACK_MS)
-        canceller.keep(attempt=ATTEMPT)
+        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
+        canceller.on_caller_returned(attempt=ATTEMPT)
 
-    assert not _cancelled_after(steps)
+    assert not _is_cancelled_after(steps)
 
 
-def test_attempt_goes_on_when_word_of_another_host_comes_before_the_leaving_is_seen() -> None:
+def test_attempt_continues_when_its_caller_moved_before_its_disconnection_is_detected() -> None:
     async def steps(canceller: Canceller) -> None:
-        canceller.leave_to_peer(attempt=ATTEMPT)
-        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=COMEBACK_MS)
+        canceller.on_caller_moved(attempt=ATTEMPT)
+        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
 
-    assert not _cancelled_after(steps)
+    assert not _is_cancelled_after(steps)
 
 
-def test_attempt_is_cancelled_when_its_caller_came_back_here_and_left_again() -> None:
+def test_attempt_is_cancelled_when_its_caller_returned_and_left_again() -> None:
     async def steps(canceller: Canceller) -> None:
-        canceller.leave_to_peer(attempt=ATTEMPT)
-        canceller.keep(attempt=ATTEMPT)
-        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=COMEBACK_MS)
+        canceller.on_caller_moved(attempt=ATTEMPT)
+        canceller.on_caller_returned(attempt=ATTEMPT)
+        canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
 
-    assert _cancelled_after(steps)
+    assert _is_cancelled_after(steps)
 
 
-def test_attempt_is_cancelled_at_once_when_dispatch_gives_it_up() -> None:
+def test_attempt_is_cancelled_at_once_when_dispatch_abandons_it() -> None:
     async def steps(canceller: Canceller) -> None:
-        canceller.leave_to_peer(attempt=ATTEMPT)
+        canceller.on_caller_moved(attempt=ATTEMPT)
         canceller.cancel(attempt=ATTEMPT, engine=ENGINE)
 
-    assert _cancelled_after(steps)
+    assert _is_cancelled_after(steps)
--- a/testing/test_engine_losses.py
+++ b/testing/test_engine_losses.py
@@ -1,4 +1,4 @@
-"""Calls end within a time limit when engines die at random or are crashed by requests."""
+"""Calls end within a time limit when engines crash at random or because of requests."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.delivery import WholeSink
 from tanagerscale.dispatch import Generation
-from testing._crowded import POISON_PREFIX
-from testing._crowded import CrowdedHost
-from testing._crowded import CrowdedWorld
-from testing._crowded import generation_request
 from testing._routing_fakes import MODEL
+from testing._simulation import POISON_PREFIX
+from testing._simulation import SimulatedHost
+from testing._simulation import Simulation
+from testing._simulation import generation_request
 from testing._virtual_time import run_virtually
 
 CALL_TIMEOUT_S = 60
 """Virtual seconds; the same limit as ``HANG_GUARD`` in the tests with real processes."""
 
 SETTLED_S = 30
-"""Wait after the last call, in virtual seconds; longer than the lease of a reservation."""
+"""Time to wait after the last call, in virtual seconds; longer than the lease of a reservation."""
 
 SHED_RETRY_SEEDS = (192, 209, 229)
 """Seeds that fail when a retry can be shed."""
@@ -42,8 +42,8 @@
 
     :param fingerprints: Number of distinct requests that do not crash engines.
     :param poison_fingerprints: Number of distinct requests that crash engines.
-    :param engine_kills: Number of times a randomly chosen engine is killed.
-    :param max_revival_delay_s: Longest delay before an engine is revived; ``None`` for never.
+    :param engine_kills: Number of times a randomly chosen engine is crashed.
+    :param max_revival_delay_s: Maximum delay before an engine is restarted; ``None`` for never.
     """
 
     hosts: int
@@ -69,24 +69,24 @@
     )
 
 
-async def _kill_engines(world: CrowdedWorld, scenario: Scenario, rng: Random) -> None:
+async def _kill_engines(simulation: Simulation, scenario: Scenario, rng: Random) -> None:
     for _ in range(scenario.engine_kills):
         await asyncio.sleep(rng.random() * 6)
-        rng.choice(list(world.engines.values())).die()
+        rng.choice(list(simulation.engines.values())).crash()
 
 
-async def _revive_engines(world: CrowdedWorld, max_delay_s: int, rng: Random) -> None:
+async def _revive_engines(simulation: Simulation, max_delay_s: int, rng: Random) -> None:
     while True:
         await asyncio.sleep(0.5)
-        for engine in world.engines.values():
+        for engine in simulation.engines.values():
             if engine.dead:
                 await asyncio.sleep(rng.random() * max_delay_s)
-                engine.revive()
+                engine.restart()
 
 
-async def _call(host: CrowdedHost, fingerprint: str, number: int) -> None:
+async def _call(host: SimulatedHost, fingerprint: str, number: int) -> None:
     request = generation_request(fingerprint, f"{fingerprint}.{number}")
-    generation = Generation(request=request, sink=WholeSink(), parts=host.parts)
+    generation = Generation(request=request, sink=WholeSink(), context=host.context)
     async with asyncio.timeout(CALL_TIMEOUT_S):
         await generation.run()
 
@@ -100,7 +100,7 @@
 async def _run_scenario(seed: int) -> None:
     rng = Random(seed)
     scenario = _random_scenario(rng)
-    world = CrowdedWorld(
+    simulation = Simulation(
         hosts=scenario.hosts,
         engines=scenario.engines,
         max_batch=scenario.max_batch,
@@ -108,19 +108,21 @@
         seed=seed,
         clock=Clock(virtual_epoch_ms=EPOCH_MS),
     )
-    killing = asyncio.create_task(_kill_engines(world, scenario, rng))
+    killing = asyncio.create_task(_kill_engines(simulation, scenario, rng))
     if scenario.max_revival_delay_s is not None:
-        reviving = asyncio.create_task(_revive_engines(world, scenario.max_revival_delay_s, rng))
+        reviving = asyncio.create_task(
+            _revive_engines(simulation, scenario.max_revival_delay_s, rng)
+        )
     calls = []
     for number in range(scenario.calls):
         await asyncio.sleep(rng.expovariate(CALLS_PER_S))
-        host = rng.choice(world.hosts)
+        host = rng.choice(simulation.hosts)
         calls.append(asyncio.create_task(_call(host, _random_fingerprint(scenario, rng), number)))
     await asyncio.gather(killing, *calls)
     if scenario.max_revival_delay_s is not None:
         reviving.cancel()
     await asyncio.sleep(SETTLED_S)
-    for host in world.hosts:
+    for host in simulation.hosts:
         assert host.router.held == 0
         assert host.router.reservations == 0
         assert not any(_excluded_engines(host, name) for name in _fingerprints(scenario))
@@ -131,9 +133,9 @@
     return [f"plan-{number}" for number in range(scenario.fingerprints)] + poison
 
 
-def _excluded_engines(host: CrowdedHost, fingerprint: str) -> frozenset[UpstreamId]:
+def _excluded_engines(host: SimulatedHost, fingerprint: str) -> frozenset[UpstreamId]:
     """Return the engines that a host still excludes for a request, unless it is quarantined."""
-    crashes = host.parts.crashes
+    crashes = host.context.crash_watch
     if crashes.check(fingerprint=fingerprint) is not None:
         return frozenset()
     return crashes.excluded_engines(fingerprint=fingerprint, model=MODEL)
@@ -141,5 +143,5 @@
 
 @pytest.mark.parametrize("seed", [*range(40), *SHED_RETRY_SEEDS])
 def test_every_call_ends_and_leaves_no_placement_when_engines_die(seed: int) -> None:
-    # Guards against calls that stall and placements or exclusions that leak when engines fail.
+    # Guards against stalled calls and leaked placements or exclusions when engines fail.
     run_virtually(_run_scenario(seed))
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -33,7 +33,7 @@
 from tanagerscale.daemon import NoCrashWatch
 from tanagerscale.declarations import Declarations
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.entry import CompletionParts
 from tanagerscale.entry import Completions
 from tanagerscale.entry import Entry
@@ -113,11 +113,11 @@
     keys.set_accounts(accounts=declarations.accounts)
     limits = HostLimits(clock=clock)
     limits.set_declarations(declarations=declarations)
-    dispatch = DispatchParts(
+    dispatch = DispatchContext(
         router=FakeRouter(engines=[ENGINE]),
         client_of=lambda _engine: engine,
-        notes=GateNotes(gate=gate),
-        crashes=NoCrashWatch(),
+        observer=GateNotes(gate=gate),
+        crash_watch=NoCrashWatch(),
         retries=RetryBudget(),
         canceller=canceller,
         meter=UsageMeter(clock=clock, objective=Objective),
@@ -305,13 +305,13 @@
 
 async def test_engine_stream_waits_and_loses_nothing_when_a_caller_reads_slowly(host: Host) -> None:
     # All of the answer is 20 MB, far more than the buffers between the engine and the caller.
-    host.engine.padding = "x" * 10_000
+    host.engine.token_padding = "x" * 10_000
     host.engine.step_ms = 0
     body = {**BODY, "max_tokens": 2000}
     response = await host.client.post("/v1/completions", json=body, headers=KEYS["north"])
     before = -1
-    while before != host.engine.yielded:
-        before = host.engine.yielded
+    while before != host.engine.sent_events:
+        before = host.engine.sent_events
         await asyncio.sleep(0.3)
     assert 0 < before < 1500
     text = await response.read()
--- a/testing/test_generation.py
+++ b/testing/test_generation.py
@@ -1,4 +1,4 @@
-"""A generation reaches its caller once, in order, whole, whatever its engines do."""
+"""A caller gets each token of a generation once and in order despite engine failures."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tanagerscale.core import ProblemKind
 from tanagerscale.core import UpstreamId
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.dispatch import Finish
 from tanagerscale.dispatch import Generation
 from tanagerscale.dispatch import GenerationRequest
@@ -44,38 +44,38 @@
 SECOND = UpstreamId("engine-2")
 
 
-class Ignorant:
-    """Takes notes and crash reports, and allows every retry."""
+class FakeCollaborators:
+    """Implements the observer, the crash watch and the retry limiter of dispatch."""
 
     def __init__(self) -> None:
         self.leaving: list[UpstreamId] = []
         self.crashed: list[UpstreamId] = []
         self.retries_left = 1000
-        self.closed: frozenset[UpstreamId] = frozenset()
-        """Engines that run a copy of the request elsewhere, so that it is not admitted."""
-        self.questions = 0
+        self.not_admitting: frozenset[UpstreamId] = frozenset()
+        """Engines on which the request is not admitted, as if a copy of it ran elsewhere."""
+        self.admit_calls = 0
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Remember it."""
+        """Record the upstream."""
         self.leaving.append(upstream)
 
     def note_failure(self, *, upstream: UpstreamId) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def note_success(self, *, upstream: UpstreamId) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def check(self, *, fingerprint: str) -> Problem | None:
-        """Let everything run."""
+        """Allow all requests."""
         return None
 
     def excluded_engines(self, *, fingerprint: str, model: ModelId) -> frozenset[UpstreamId]:
-        """Exclude none."""
+        """Exclude no engine."""
         return frozenset()
 
     async def wait_change(self) -> None:
-        """Never be called."""
-        raise AssertionError("Nothing is excluded.")
+        """Fail, because no engine is excluded."""
+        raise AssertionError("wait_change() must not be called: no engine is excluded.")
 
     async def admit(
         self,
@@ -85,63 +85,69 @@
         stop: asyncio.Event,
         progress: Callable[[], int],
     ) -> bool:
-        """Admit everything but to closed engines."""
-        self.questions += 1
-        assert self.questions < 50, "The same engine is asked for without end."
-        return engine not in self.closed
+        """Admit requests except on engines in ``not_admitting``."""
+        self.admit_calls += 1
+        assert self.admit_calls < 50, "Admission was requested in an endless loop."
+        return engine not in self.not_admitting
 
     def on_finished(self, *, fingerprint: str, engine: UpstreamId, complete: bool) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def on_engine_crash(self, *, engine: UpstreamId) -> None:
-        """Remember it."""
+        """Record the engine."""
         self.crashed.append(engine)
 
     def on_request(self) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def try_spend(self) -> bool:
-        """Allow what is left."""
+        """Allow a retry while ``retries_left`` is positive."""
         self.retries_left -= 1
         return self.retries_left >= 0
 
 
 @dataclass(kw_only=True)
-class World:
-    """Two engines and what watches them."""
+class Harness:
+    """Two fake engines and the dependencies of a generation."""
 
     engines: dict[UpstreamId, FakeEngine]
     router: FakeRouter
-    watch: Ignorant
+    collaborators: FakeCollaborators
     canceller: Canceller
-    parts: DispatchParts
+    context: DispatchContext
 
     def generation(self, sink: ListSink) -> Generation:
-        """Return a generation of twelve tokens."""
-        return Generation(request=_request(whole=sink.whole), sink=sink, parts=self.parts)
+        """Return a generation of twelve tokens that writes to a sink."""
+        return Generation(request=_request(whole=sink.whole), sink=sink, context=self.context)
 
 
-def _world(first: Faults | None = None, second: Faults | None = None) -> World:
+def _make_harness(first: Faults | None = None, second: Faults | None = None) -> Harness:
     clock = Clock()
     engines = {
         FIRST: FakeEngine(clock=clock, faults=first or Faults()),
         SECOND: FakeEngine(clock=clock, faults=second or Faults()),
     }
     router = FakeRouter(engines=[FIRST, SECOND])
-    watch = Ignorant()
+    collaborators = FakeCollaborators()
     canceller = Canceller(client_of=engines.__getitem__, clock=clock)
-    parts = DispatchParts(
+    parts = DispatchContext(
         router=router,
         client_of=engines.__getitem__,
-        notes=watch,
-        crashes=watch,
-        retries=watch,
+        observer=collaborators,
+        crash_watch=collaborators,
+        retries=collaborators,
         canceller=canceller,
         meter=UsageMeter(clock=clock, objective=Objective),
         clock=clock,
         rng=random.Random(3),
     )
-    return World(engines=engines, router=router, watch=watch, canceller=canceller, parts=parts)
+    return Harness(
+        engines=engines,
+        router=router,
+        collaborators=collaborators,
+        canceller=canceller,
+        context=parts,
+    )
 
 
 def _request(*, whole: bool) -> GenerationRequest:
@@ -169,18 +175,20 @@
 )
 
 
-def _run(world: Callable[[], World], sink: ListSink) -> tuple[World, Result[Finish, Problem]]:
-    async def run() -> tuple[World, Result[Finish, Problem]]:
-        made = world()
-        result = await made.generation(sink).run()
-        await made.canceller.drain()
-        return made, result
+def _run(
+    make_harness: Callable[[], Harness], sink: ListSink
+) -> tuple[Harness, Result[Finish, Problem]]:
+    async def run() -> tuple[Harness, Result[Finish, Problem]]:
+        harness = make_harness()
+        result = await harness.generation(sink).run()
+        await harness.canceller.drain()
+        return harness, result
 
-    with _virtual() as runner:
+    with _virtual_runner() as runner:
         return runner.run(run())
 
 
-def _virtual() -> asyncio.Runner:
+def _virtual_runner() -> asyncio.Runner:
     return asyncio.Runner(loop_factory=looptime.new_event_loop)
 
 
@@ -209,24 +217,24 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("name", list(FAULTS))
-def test_answer_is_whole_once_and_in_order_when_engine_is(name: str, whole: bool) -> None:
+def test_answer_is_complete_and_in_order_when_engine_is(name: str, whole: bool) -> None:
     sink = ListSink(whole=whole)
-    world, result = _run(lambda: _world(_copy(FAULTS[name])), sink)
+    harness, result = _run(lambda: _make_harness(_copy(FAULTS[name])), sink)
     assert isinstance(result, Success), result
     assert sink.texts + sink.pending == EXPECTED
     assert result.unwrap().tokens == LENGTH
-    assert not world.router.placed
+    assert not harness.router.placed
 
 
-def test_answer_is_whole_when_its_engine_dies_and_the_others_are_full_for_a_moment() -> None:
+def test_answer_is_complete_when_its_engine_dies_and_the_others_are_briefly_full() -> None:
     sink = ListSink(whole=True)
 
-    def world() -> World:
-        made = _world(Faults(die_at=5))
-        made.router.full_after = 1
-        return made
+    def make_harness() -> Harness:
+        harness = _make_harness(Faults(die_at=5))
+        harness.router.shed_after = 1
+        return harness
 
-    _, result = _run(world, sink)
+    _, result = _run(make_harness, sink)
     assert isinstance(result, Success), result
     assert sink.pending == EXPECTED
 
@@ -234,90 +242,90 @@
 def test_request_is_not_sheddable_when_its_engine_has_died() -> None:
     # Guards against a long retry delay after an engine failure while other engines are idle.
     sink = ListSink()
-    world, result = _run(lambda: _world(Faults(die_at=5)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(die_at=5)), sink)
     assert isinstance(result, Success)
-    assert [request.sheddable for request in world.router.requests] == [True, False]
+    assert [request.sheddable for request in harness.router.requests] == [True, False]
 
 
-def test_answer_is_made_at_another_engine_when_the_first_does_not_admit_it() -> None:
+def test_answer_is_generated_on_another_engine_when_the_first_does_not_admit_it() -> None:
     sink = ListSink()
 
-    def world() -> World:
-        made = _world()
-        made.watch.closed = frozenset({FIRST})
-        return made
+    def make_harness() -> Harness:
+        harness = _make_harness()
+        harness.collaborators.not_admitting = frozenset({FIRST})
+        return harness
 
-    _, result = _run(world, sink)
+    _, result = _run(make_harness, sink)
     assert isinstance(result, Success), result
     assert sink.texts == EXPECTED
 
 
 def test_stream_ends_with_an_error_when_its_replay_differs() -> None:
     sink = ListSink()
-    world, result = _run(lambda: _world(Faults(die_at=5), Faults(salt=1)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(die_at=5), Faults(salt=1)), sink)
     assert isinstance(result, Failure)
     assert result.failure().kind is ProblemKind.GENERATION_LOST
     assert sink.texts == EXPECTED[:5]
-    assert all(run.cancelled for run in world.engines[SECOND].runs.values())
+    assert all(run.cancelled for run in harness.engines[SECOND].runs.values())
 
 
-def test_whole_answer_starts_anew_when_its_engine_made_other_tokens() -> None:
+def test_whole_answer_restarts_when_its_replay_differs() -> None:
     sink = ListSink(whole=True)
-    world, result = _run(lambda: _world(Faults(die_at=5), Faults(salt=1)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(die_at=5), Faults(salt=1)), sink)
     assert isinstance(result, Success)
-    made = next(iter(world.engines[SECOND].runs.values())).tokens
-    assert sink.pending == made
+    expected = next(iter(harness.engines[SECOND].runs.values())).tokens
+    assert sink.pending == expected
 
 
 @pytest.mark.parametrize("faults", [Faults(dead=True), Faults(refuse=RefusalKind.OVERLOADED)])
 def test_problem_says_not_executed_only_when_no_engine_ran_it(faults: Faults) -> None:
-    world, result = _run(lambda: _world(_copy(faults), _copy(faults)), ListSink())
+    harness, result = _run(lambda: _make_harness(_copy(faults), _copy(faults)), ListSink())
     assert result.failure().execution is Execution.NOT_EXECUTED
-    assert not any(engine.executed for engine in world.engines.values())
+    assert not any(engine.executed for engine in harness.engines.values())
 
 
 def test_problem_says_unknown_when_an_engine_may_have_run_it() -> None:
-    world, result = _run(lambda: _world(Faults(die_at=2), Faults(dead=True)), ListSink())
-    assert world.engines[FIRST].executed
+    harness, result = _run(lambda: _make_harness(Faults(die_at=2), Faults(dead=True)), ListSink())
+    assert harness.engines[FIRST].executed
     assert result.failure().execution is Execution.UNKNOWN
     assert result.failure().retry_after_ms is not None
 
 
-def test_lost_attempt_is_not_tried_again_when_the_retry_budget_is_empty() -> None:
-    def world() -> World:
-        made = _world(Faults(die_at=2))
-        made.watch.retries_left = 0
-        return made
+def test_lost_attempt_is_not_retried_when_the_retry_budget_is_empty() -> None:
+    def make_harness() -> Harness:
+        harness = _make_harness(Faults(die_at=2))
+        harness.collaborators.retries_left = 0
+        return harness
 
-    made, result = _run(world, ListSink())
+    harness, result = _run(make_harness, ListSink())
     assert isinstance(result, Failure)
-    assert not made.engines[SECOND].executed
+    assert not harness.engines[SECOND].executed
 
 
-def test_usage_tells_repeated_tokens_from_useful_ones_when_an_engine_dies() -> None:
-    world, _ = _run(lambda: _world(Faults(die_at=5)), ListSink())
-    usage = world.parts.meter.usage().accounts["north"]
+def test_usage_separates_repeated_from_useful_tokens_when_an_engine_dies() -> None:
+    harness, _ = _run(lambda: _make_harness(Faults(die_at=5)), ListSink())
+    usage = harness.context.meter.usage().accounts["north"]
     assert (usage.answered, usage.useful_tokens, usage.repeated_tokens) == (1, LENGTH, 5)
     assert usage.wasted_tokens == 0
 
 
-def test_leaving_engine_is_noted_when_it_refuses() -> None:
-    world, _ = _run(lambda: _world(Faults(refuse=RefusalKind.LEAVING)), ListSink())
-    assert world.watch.leaving == [FIRST]
+def test_leaving_engine_is_recorded_when_it_refuses() -> None:
+    harness, _ = _run(lambda: _make_harness(Faults(refuse=RefusalKind.LEAVING)), ListSink())
+    assert harness.collaborators.leaving == [FIRST]
 
 
-def test_engine_crash_is_noted_when_it_dies_mid_answer_and_not_when_it_was_dead() -> None:
-    world, _ = _run(lambda: _world(Faults(die_at=2)), ListSink())
-    assert world.watch.crashed == [FIRST]
-    world, _ = _run(lambda: _world(Faults(dead=True)), ListSink())
-    assert world.watch.crashed == []
+def test_engine_crash_is_recorded_only_when_it_dies_during_an_answer() -> None:
+    harness, _ = _run(lambda: _make_harness(Faults(die_at=2)), ListSink())
+    assert harness.collaborators.crashed == [FIRST]
+    harness, _ = _run(lambda: _make_harness(Faults(dead=True)), ListSink())
+    assert harness.collaborators.crashed == []
 
 
-def test_engine_is_told_to_cancel_when_the_caller_leaves() -> None:
-    async def run() -> World:
-        world = _world()
+def test_attempt_is_cancelled_on_its_engine_when_the_caller_leaves() -> None:
+    async def run() -> Harness:
+        harness = _make_harness()
         sink = ListSink()
-        task = asyncio.ensure_future(world.generation(sink).run())
+        task = asyncio.ensure_future(harness.generation(sink).run())
 
         def leave(offset: int) -> None:
             if offset == 4:
@@ -326,76 +334,76 @@
         sink.on_token = leave
         with pytest.raises(asyncio.CancelledError):
             await task
-        await world.canceller.drain()
-        return world
+        await harness.canceller.drain()
+        return harness
 
-    with _virtual() as runner:
-        world = runner.run(run())
-    assert [run.cancelled for run in world.engines[FIRST].runs.values()] == [True]
-    assert not world.router.placed
+    with _virtual_runner() as runner:
+        harness = runner.run(run())
+    assert [run.cancelled for run in harness.engines[FIRST].runs.values()] == [True]
+    assert not harness.router.placed
 
 
-def test_whole_answer_moves_when_routing_asks() -> None:
-    async def run() -> tuple[World, Result[Finish, Problem], ListSink]:
-        world = _world()
+def test_whole_answer_moves_when_the_router_requests_it() -> None:
+    async def run() -> tuple[Harness, Result[Finish, Problem], ListSink]:
+        harness = _make_harness()
         sink = ListSink(whole=True)
 
         def move(offset: int) -> None:
-            if offset == 4 and world.router.engines[0] == FIRST:
-                world.router.engines.reverse()
-                world.router.placed[GenerationId("cmpl-1")].move_requested.set()
+            if offset == 4 and harness.router.engines[0] == FIRST:
+                harness.router.engines.reverse()
+                harness.router.placed[GenerationId("cmpl-1")].move_requested.set()
 
         sink.on_token = move
-        result = await world.generation(sink).run()
-        await world.canceller.drain()
-        return world, result, sink
+        result = await harness.generation(sink).run()
+        await harness.canceller.drain()
+        return harness, result, sink
 
-    with _virtual() as runner:
-        world, result, sink = runner.run(run())
+    with _virtual_runner() as runner:
+        harness, result, sink = runner.run(run())
     assert isinstance(result, Success)
     assert sink.pending == EXPECTED
-    assert [run.cancelled for run in world.engines[FIRST].runs.values()] == [True]
-    assert len(world.engines[SECOND].executed) == 1
+    assert [run.cancelled for run in harness.engines[FIRST].runs.values()] == [True]
+    assert len(harness.engines[SECOND].executed) == 1
 
 
-def test_problem_says_unknown_when_a_moved_answer_finds_no_other_place() -> None:
+def test_problem_says_unknown_when_a_moved_answer_cannot_be_placed() -> None:
     async def run() -> Result[Finish, Problem]:
-        world = _world()
+        harness = _make_harness()
         sink = ListSink(whole=True)
 
         def move(offset: int) -> None:
-            world.router.engines.clear()
-            world.router.placed[GenerationId("cmpl-1")].move_requested.set()
+            harness.router.engines.clear()
+            harness.router.placed[GenerationId("cmpl-1")].move_requested.set()
 
         sink.on_token = move
-        return await world.generation(sink).run()
+        return await harness.generation(sink).run()
 
-    with _virtual() as runner:
+    with _virtual_runner() as runner:
         result = runner.run(run())
     assert result.failure().execution is Execution.UNKNOWN
 
 
-def test_old_tokens_are_dropped_when_a_frozen_engine_thaws() -> None:
-    async def run() -> tuple[Result[Finish, Problem], ListSink, World]:
-        world = _world()
+def test_stale_tokens_are_dropped_when_a_frozen_engine_thaws() -> None:
+    async def run() -> tuple[Result[Finish, Problem], ListSink, Harness]:
+        harness = _make_harness()
         sink = ListSink()
-        frozen = world.engines[FIRST].faults
+        frozen = harness.engines[FIRST].faults
 
         def freeze(offset: int) -> None:
-            if offset == 3 and not world.engines[SECOND].executed:
+            if offset == 3 and not harness.engines[SECOND].executed:
                 frozen.frozen = True
                 loop = asyncio.get_running_loop()
                 loop.call_later(60, lambda: setattr(frozen, "frozen", False))
 
         sink.on_token = freeze
-        result = await world.generation(sink).run()
-        return result, sink, world
+        result = await harness.generation(sink).run()
+        return result, sink, harness
 
-    with _virtual() as runner:
-        result, sink, world = runner.run(run())
+    with _virtual_runner() as runner:
+        result, sink, harness = runner.run(run())
     assert isinstance(result, Success)
     assert sink.texts == EXPECTED
-    assert len(world.engines[SECOND].executed) == 1
+    assert len(harness.engines[SECOND].executed) == 1
 
 
 OFFSETS = st.none() | st.integers(0, LENGTH - 1)
@@ -415,7 +423,7 @@
 
 @cases(examples=150)
 @given(first=RANDOM_FAULTS, second=RANDOM_FAULTS, whole=st.booleans())
-def test_nothing_is_doubled_or_mixed_when_both_engines_fail_at_random(
+def test_tokens_are_not_duplicated_or_mixed_when_both_engines_fail_at_random(
     first: Faults, second: Faults, whole: bool
 ) -> None:
     answers = [
@@ -426,11 +434,11 @@
         for salt in (0, 1)
     ]
     sink = ListSink(whole=whole)
-    world, result = _run(lambda: _world(_copy(first), _copy(second)), sink)
+    harness, result = _run(lambda: _make_harness(_copy(first), _copy(second)), sink)
     if isinstance(result, Success):
         assert sink.texts + sink.pending in answers
     else:
         assert any(sink.texts == answer[: len(sink.texts)] for answer in answers)
-        executed = any(engine.executed for engine in world.engines.values())
+        executed = any(engine.executed for engine in harness.engines.values())
         assert not (executed and result.failure().execution is Execution.NOT_EXECUTED)
-    assert not world.router.placed
+    assert not harness.router.placed
--- a/testing/test_generation_waiting.py
+++ b/testing/test_generation_waiting.py
@@ -22,7 +22,7 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.daemon import GateNotes
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.dispatch import Finish
 from tanagerscale.dispatch import Generation
 from tanagerscale.dispatch import GenerationRequest
@@ -147,11 +147,11 @@
     crash_watch = FakeCrashWatch()
     engines = {name: FakeEngine(clock=clock, faults=Faults()) for name in (FULL, FREE)}
     gate = UpstreamGate(clock=clock, rng=random.Random(1), spread=lambda _message: None)
-    parts = DispatchParts(
+    parts = DispatchContext(
         router=router,
         client_of=engines.__getitem__,
-        notes=GateNotes(gate=gate),
-        crashes=crash_watch,
+        observer=GateNotes(gate=gate),
+        crash_watch=crash_watch,
         retries=RetryBudget(),
         canceller=Canceller(client_of=engines.__getitem__, clock=clock),
         meter=UsageMeter(clock=clock, objective=Objective),
@@ -175,7 +175,7 @@
         whole=False,
         fingerprint="f",
     )
-    generation = Generation(request=request, sink=ListSink(), parts=parts)
+    generation = Generation(request=request, sink=ListSink(), context=parts)
     return Harness(router=router, crash_watch=crash_watch, generation=generation)
 
 
