--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -1,4 +1,4 @@
-"""Useful work, retries and refusals when much fails at once and all callers come back."""
+"""Throughput, retries and refusals during mass failures when all refused callers retry."""
 
 from __future__ import annotations
 
@@ -20,125 +20,129 @@
 from tanagerscale.daemon._admission import DoorKeeper
 from tanagerscale.generated.messages import Verdict
 from tanagerscale.upstreams import ServiceCall
-from testing._crowded import CrowdedHost
-from testing._crowded import CrowdedWorld
-from testing._crowded import Refused
 from testing._fake_store import FakeBackend
 from testing._faulty_store import FaultyStore
 from testing._routing_fakes import MODEL
+from testing._simulation import RefusedCall
+from testing._simulation import SimulatedHost
+from testing._simulation import Simulation
 from testing._virtual_time import run_virtually
 from testing.test_services import SERVICE
 from testing.test_services import FakeService
 from testing.test_services import Point
 from testing.test_services import service_dispatch
 
-FAIL_MS = 15_000
-BACK_MS = 30_000
+FAILURE_MS = 15_000
+RECOVERY_MS = 30_000
 END_MS = 45_000
-NEWCOMER_BOUND_MS = 1_000
-"""The policy refuses a newcomer within 800 ms, at its next tick of 100 ms."""
+MAX_REFUSAL_MS = 1_000
+"""The policy sheds a new request within 800 ms, at the next scheduler tick of 100 ms."""
 
-PROBE_BOUND_MS = 6_250
-"""The gate lets a broken engine rest for five seconds and a quarter more at most."""
+MAX_PROBE_MS = 6_250
+"""The gate probes a failed engine again after five seconds plus at most a quarter of that."""
 
-STORE_BOUND_MS = 100
+MAX_STORE_REFUSAL_MS = 100
 HOUR_MS = 3_600_000
 CALLERS = 12
-CROWD = 12
-"""Refusals of one moment that make a crowd."""
+MIN_CROWD = 12
+"""Minimum number of simultaneous refusals whose retries must be spread."""
 
 
-def _spread_well(refused: Sequence[Refused]) -> bool:
-    """Tell whether no crowd that was refused together is told to return together."""
-    moments: defaultdict[int, list[int]] = defaultdict(list)
+def _are_retries_spread(refused: Sequence[RefusedCall]) -> bool:
+    """Return whether callers that were refused at the same time retry at different times."""
+    retries_by_refusal: defaultdict[int, list[int]] = defaultdict(list)
     for each in refused:
-        moments[each.told].append(each.returns)
-    crowds = [returns for returns in moments.values() if len(returns) >= CROWD]
-    assert crowds, "Nobody was refused together, so this proves nothing."
+        retries_by_refusal[each.refused_at].append(each.retry_at)
+    crowds = [returns for returns in retries_by_refusal.values() if len(returns) >= MIN_CROWD]
+    assert crowds, "No calls were refused at the same time, so the spread cannot be checked."
     return all(max(Counter(crowd).values()) <= 0.75 * len(crowd) for crowd in crowds)
 
 
-async def _lose_engines(world: CrowdedWorld, *, dead: int, load: float) -> None:
-    asking = asyncio.create_task(world.ask_until(END_MS, load=load))
-    victims = list(world.engines.values())[:dead]
-    await world.clock.sleep(FAIL_MS)
-    for engine in victims:
-        engine.die()
-    await world.clock.sleep(BACK_MS - FAIL_MS)
-    for engine in victims:
-        engine.revive()
-    await asking
-    await world.finish()
-
-
-def test_work_goes_on_and_recovers_when_half_of_the_engines_die_at_once() -> None:
-    async def run() -> CrowdedWorld:
-        world = CrowdedWorld(hosts=2, engines=4, max_batch=6)
-        await _lose_engines(world, dead=2, load=0.9)
-        return world
-
-    world = run_virtually(run())
-    before = world.useful_per_s(5_000, FAIL_MS)
-    # Half of the engines do half of what they all can do.
-    assert world.useful_per_s(FAIL_MS + 2_000, BACK_MS) >= 0.45 * world.capacity
-    assert world.useful_per_s(BACK_MS + 2_000, END_MS) >= 0.95 * before
-    assert len(world.done) == world.asked
-    assert 0 < world.retries <= 0.1 * world.started
-    assert world.refused
-    for each in world.refused:
-        # Whoever had an engine is not refused; whoever had none is told at once.
+async def _lose_engines(simulation: Simulation, *, dead: int, load: float) -> None:
+    load_task = asyncio.create_task(simulation.generate_load(END_MS, load=load))
+    failed_engines = list(simulation.engines.values())[:dead]
+    await simulation.clock.sleep(FAILURE_MS)
+    for engine in failed_engines:
+        engine.crash()
+    await simulation.clock.sleep(RECOVERY_MS - FAILURE_MS)
+    for engine in failed_engines:
+        engine.restart()
+    await load_task
+    await simulation.wait_for_callers()
+
+
+def test_throughput_is_maintained_and_recovers_when_half_of_the_engines_die() -> None:
+    async def run() -> Simulation:
+        simulation = Simulation(hosts=2, engines=4, max_batch=6)
+        await _lose_engines(simulation, dead=2, load=0.9)
+        return simulation
+
+    simulation = run_virtually(run())
+    before = simulation.completed_per_s(5_000, FAILURE_MS)
+    # Half of the engines have half of the total capacity.
+    assert simulation.completed_per_s(FAILURE_MS + 2_000, RECOVERY_MS) >= 0.45 * simulation.capacity
+    assert simulation.completed_per_s(RECOVERY_MS + 2_000, END_MS) >= 0.95 * before
+    assert len(simulation.completed_at) == simulation.started_callers
+    assert 0 < simulation.retries <= 0.1 * simulation.started
+    assert simulation.refused
+    for each in simulation.refused:
+        # Only requests that never had an engine are refused, and they are refused at once.
         assert each.problem.execution is Execution.NOT_EXECUTED
         assert each.problem.retry_after_ms is not None
-        assert each.told - each.came <= NEWCOMER_BOUND_MS
-
-
-def test_callers_come_back_spread_when_all_engines_were_lost() -> None:
-    async def run() -> CrowdedWorld:
-        world = CrowdedWorld(hosts=2, engines=2, max_batch=16)
-        await _lose_engines(world, dead=2, load=0.9)
-        return world
-
-    world = run_virtually(run())
-    before = world.useful_per_s(5_000, FAIL_MS)
-    assert world.useful_per_s(BACK_MS + 5_000, END_MS) >= 0.9 * before
-    assert len(world.done) == world.asked
-    assert world.retries <= 0.1 * world.started
-    assert all(each.problem.retry_after_ms for each in world.refused)
-    no_upstream = [each for each in world.refused if each.problem.kind is ProblemKind.NO_UPSTREAM]
-    assert _spread_well(no_upstream)
-    # Those who came after the loss are told at once, or as soon as a probe has failed.
-    assert max(each.told - each.came for each in no_upstream) <= PROBE_BOUND_MS
-
-
-def test_bookings_come_back_spread_when_the_store_was_down_for_an_hour() -> None:
+        assert each.refused_at - each.arrived_at <= MAX_REFUSAL_MS
+
+
+def test_retries_of_callers_are_spread_when_all_engines_were_lost() -> None:
+    async def run() -> Simulation:
+        simulation = Simulation(hosts=2, engines=2, max_batch=16)
+        await _lose_engines(simulation, dead=2, load=0.9)
+        return simulation
+
+    simulation = run_virtually(run())
+    before = simulation.completed_per_s(5_000, FAILURE_MS)
+    assert simulation.completed_per_s(RECOVERY_MS + 5_000, END_MS) >= 0.9 * before
+    assert len(simulation.completed_at) == simulation.started_callers
+    assert simulation.retries <= 0.1 * simulation.started
+    assert all(each.problem.retry_after_ms for each in simulation.refused)
+    no_upstream = [
+        each for each in simulation.refused if each.problem.kind is ProblemKind.NO_UPSTREAM
+    ]
+    assert _are_retries_spread(no_upstream)
+    # Requests that arrive after the loss are refused at once, or as soon as a probe has failed.
+    assert max(each.refused_at - each.arrived_at for each in no_upstream) <= MAX_PROBE_MS
+
+
+def test_retries_of_bookings_are_spread_when_the_store_was_down_for_an_hour() -> None:
     service, refused, booked = run_virtually(_book_through_an_outage())
     assert service.executions == Counter({f"{number}".encode(): 1 for number in range(CALLERS)})
     assert booked == CALLERS
     for each in refused:
         assert each.problem.execution is Execution.NOT_EXECUTED
         assert each.problem.retry_after_ms is not None
-        assert each.told - each.came <= STORE_BOUND_MS
-    assert _spread_well(refused)
+        assert each.refused_at - each.arrived_at <= MAX_STORE_REFUSAL_MS
+    assert _are_retries_spread(refused)
 
 
-async def _book_through_an_outage() -> tuple[FakeService, list[Refused], int]:
+async def _book_through_an_outage() -> tuple[FakeService, list[RefusedCall], int]:
     clock = Clock()
     service = FakeService()
     store = FaultyStore(backend=FakeBackend())
     dispatch = service_dispatch(service, store)
-    refused: list[Refused] = []
+    refused: list[RefusedCall] = []
 
     async def book(number: int) -> None:
         call = ServiceCall(method="POST", path="/bookings", headers=(), body=f"{number}".encode())
         while True:
-            came = clock.now()
+            arrived_at = clock.now()
             result = await dispatch.call(
                 service=SERVICE, account=ClientAccountId("north"), key=f"key-{number}", call=call
             )
             if isinstance(result, Success):
                 return
-            refused.append(Refused(problem=result.failure(), came=came, told=clock.now()))
-            await clock.sleep(refused[-1].returns - clock.now())
+            refused.append(
+                RefusedCall(problem=result.failure(), arrived_at=arrived_at, refused_at=clock.now())
+            )
+            await clock.sleep(refused[-1].retry_at - clock.now())
 
     store.fake.set_down(True)
     asyncio.get_running_loop().call_later(HOUR_MS / 1000, store.fake.set_down, False)
@@ -147,7 +151,7 @@
     return service, refused, len(callers)
 
 
-def test_retries_stay_at_a_tenth_of_the_calls_when_an_upstream_keeps_failing() -> None:
+def test_retries_are_limited_to_a_tenth_of_the_calls_when_an_upstream_keeps_failing() -> None:
     calls = 1_000
     reserve = 10
 
@@ -165,12 +169,14 @@
     assert 0.09 * calls <= retries <= 0.1 * calls + reserve
 
 
-def test_callers_come_back_spread_when_a_full_host_refuses_them() -> None:
-    door = DoorKeeper(limit=0, rng=random.Random(4))
-    problems = [door.admit(account=ClientAccountId("north")) for _ in range(CALLERS)]
-    refused = [Refused(problem=p, came=Millis(0), told=Millis(0)) for p in problems if p]
+def test_retries_of_callers_are_spread_when_a_full_host_refuses_them() -> None:
+    gate = DoorKeeper(limit=0, rng=random.Random(4))
+    problems = [gate.admit(account=ClientAccountId("north")) for _ in range(CALLERS)]
+    refused = [
+        RefusedCall(problem=p, arrived_at=Millis(0), refused_at=Millis(0)) for p in problems if p
+    ]
     assert len(refused) == CALLERS
-    assert _spread_well(refused)
+    assert _are_retries_spread(refused)
 
 
 @pytest.mark.parametrize("iterations", range(5))
@@ -179,12 +185,12 @@
 ) -> None:
     # asyncio.wait_for in Python 3.11 can swallow a cancellation that races with the event.
     async def run() -> bool:
-        world = CrowdedWorld(hosts=1, engines=1, max_batch=1)
-        crashes = world.hosts[0].parts.crashes
+        simulation = Simulation(hosts=1, engines=1, max_batch=1)
+        crashes = simulation.hosts[0].context.crash_watch
         waiting = asyncio.create_task(crashes.wait_change())
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        crashes.on_engine_crash(engine=next(iter(world.engines)))
+        crashes.on_engine_crash(engine=next(iter(simulation.engines)))
         for _ in range(iterations):
             await asyncio.sleep(0)
         cancel_requested = waiting.cancel()
@@ -194,15 +200,15 @@
     assert run_virtually(run())
 
 
-def test_runs_of_a_peer_are_forgotten_when_the_connection_to_it_is_renewed() -> None:
+def test_runs_of_a_peer_are_removed_when_the_connection_to_it_is_renewed() -> None:
     # Guards against exclusions that persist when the announcement of a run's end is lost.
     async def run() -> bool:
-        world = CrowdedWorld(hosts=2, engines=3, max_batch=1)
-        host, peer = world.hosts
+        simulation = Simulation(hosts=2, engines=3, max_batch=1)
+        host, peer = simulation.hosts
         verdict = Verdict(
             fingerprint="plan",
             crashes=["engine-0@0@5"],
-            expires_wall_ms=world.clock.wall() + HOUR_MS,
+            expires_wall_ms=simulation.clock.wall() + HOUR_MS,
         )
         verdict_with_run = replace(verdict, engine="engine-1", settled=True)
         peer.network.broadcast(message=verdict_with_run)
@@ -211,8 +217,8 @@
         host.network.joined.on_next(host.network.live.value[0])
         return not is_excluded(host)
 
-    def is_excluded(host: CrowdedHost) -> bool:
-        excluded = host.parts.crashes.excluded_engines(fingerprint="plan", model=MODEL)
+    def is_excluded(host: SimulatedHost) -> bool:
+        excluded = host.context.crash_watch.excluded_engines(fingerprint="plan", model=MODEL)
         return "engine-2" in excluded
 
     assert run_virtually(run())
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -27,7 +27,7 @@
 from tanagerscale.generated.upstream import EngineState
 from tanagerscale.generated.upstream import ListedState
 from tanagerscale.routing import make_cells
-from tanagerscale.routing import owner_of
+from tanagerscale.routing import select_owner
 from testing._callers import MODEL
 from testing._callers import Answer
 from testing._callers import ask
@@ -284,7 +284,7 @@
     plan = ClusterPlan(hosts=3, engines=2, services=0, engine_options=options)
     cluster = await start_serving(plan)
     (cell,) = make_cells(engines=cluster.declarations.engines)
-    owner = owner_of(cell=cell.cell, hosts=[HostId(name) for name in cluster.hosts])
+    owner = select_owner(cell=cell.cell_id, hosts=[HostId(name) for name in cluster.hosts])
     first_host, second_host = (name for name in cluster.hosts if name != owner)
     poison = "plan [[crash_at=12]] [[tokens=50]]"
 
--- a/testing/test_routing_machine.py
+++ b/testing/test_routing_machine.py
@@ -1,4 +1,4 @@
-"""The owners' ledgers against what really runs, under any order of faults."""
+"""Stateful test of the owners' reservations against actual placements under random faults."""
 
 from __future__ import annotations
 
@@ -26,29 +26,30 @@
 HOSTS = ("a", "b", "c")
 ENGINES = ("engine-0", "engine-1")
 SETTLED_S = 15
-"""Longer than a reservation's lease and than any repeat."""
+"""Longer than the lease of a reservation and than any repeat interval."""
 
-TURN_S = 5
-"""Longer than any repeat: in this time someone who waits gets a place that is free."""
+PLACEMENT_TIMEOUT_S = 5
+"""Longer than any repeat interval, so that a waiting request is placed if an engine has a slot."""
 
 hosts = st.sampled_from(HOSTS)
 
 
-class LedgerMachine(RuleBasedStateMachine):
+class RoutingMachine(RuleBasedStateMachine):
     """Places and releases generations while messages and hosts fail.
 
-    The model is ``placed`` and ``waiting``: what callers at each host hold and wait for.
+    The model consists of ``placed`` and ``waiting``: the placements that callers at each host hold
+    and wait for.
     """
 
     @initialize()
     def start(self) -> None:
-        """Start three hosts before two engines of three places each."""
+        """Start three hosts and declare two engines with three slots each."""
         self.loop = looptime.new_event_loop()
         self.loop.run_until_complete(self._start())
         self.waiting: dict[str, tuple[str, asyncio.Task[Any]]] = {}
         self.placed: dict[str, tuple[str, UpstreamId]] = {}
         self.hosts_with_closed_engines: set[str] = set()
-        """Hosts at which an engine was closed at some time, so that they may refuse requests."""
+        """Hosts at which an engine has been closed, which may therefore refuse requests."""
         self.count = 0
 
     async def _start(self) -> None:
@@ -56,16 +57,16 @@
 
     @rule(host=hosts)
     def place(self, host: str) -> None:
-        """Let a caller ask."""
+        """Start to place a generation."""
         self.count += 1
         name = f"g{self.count}"
-        self.waiting[name] = (host, self._run_soon(host, name))
+        self.waiting[name] = (host, self._start_placing(host, name))
         self._advance(0.01)
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
     def cancel(self, data: st.DataObject) -> None:
-        """Let a caller that waits leave."""
+        """Cancel a waiting call."""
         name = data.draw(st.sampled_from(sorted(self.waiting)))
         _, task = self.waiting.pop(name)
         task.cancel()
@@ -74,7 +75,7 @@
     @precondition(lambda self: self.placed)
     @rule(data=st.data(), lost=st.booleans())
     def release(self, data: st.DataObject, lost: bool) -> None:
-        """Let a generation end."""
+        """End a generation."""
         name = data.draw(st.sampled_from(sorted(self.placed)))
         host, _ = self.placed.pop(name)
         self._run(self._release(host=host, name=name, lost=lost))
@@ -83,12 +84,12 @@
     @precondition(lambda self: self.placed)
     @rule(data=st.data(), host=hosts)
     def resume_elsewhere(self, data: st.DataObject, host: str) -> None:
-        """Let the caller of a running generation go on at another host."""
+        """Resume a running generation at another host."""
         name = data.draw(st.sampled_from(sorted(self.placed)))
-        former, engine = self.placed[name]
-        if former == host:
+        previous, engine = self.placed[name]
+        if previous == host:
             return
-        self._run(self._release(host=former, name=name, lost=False))
+        self._run(self._release(host=previous, name=name, lost=False))
         self._run(self._adopt(host=host, name=name, engine=engine))
         self.placed[name] = (host, engine)
 
@@ -102,23 +103,26 @@
         self.cluster.host(host).router.adopt(request=request, engine=engine, tokens=5)
 
     @rule(drop=st.sampled_from((0.0, 0.5, 1.0)), double=st.sampled_from((0.0, 0.5)))
-    def disturb(self, drop: float, double: float) -> None:
-        """Lose and double messages from now on."""
-        self.cluster.switch.drop, self.cluster.switch.double = drop, double
+    def change_loss(self, drop: float, double: float) -> None:
+        """Set the probabilities that messages are lost or duplicated."""
+        self.cluster.switch.drop_probability, self.cluster.switch.duplicate_probability = (
+            drop,
+            double,
+        )
 
     @rule(jitter_ms=st.sampled_from((0, 50, 3000)))
-    def reorder(self, jitter_ms: int) -> None:
-        """Let messages overtake one another from now on."""
+    def change_jitter(self, jitter_ms: int) -> None:
+        """Set the jitter, which reorders messages."""
         self.cluster.switch.jitter_ms = jitter_ms
 
     @rule(host=hosts)
     def freeze(self, host: str) -> None:
-        """Stop a host's messages; its peers still take it as live."""
+        """Delay all messages of a host, which stays live for its peers."""
         self.cluster.switch.frozen.add(HostId(host))
 
     @rule(host=hosts)
     def thaw(self, host: str) -> None:
-        """Let all that waited at a frozen host arrive at once."""
+        """Resume a frozen host and deliver its delayed messages at once."""
         self._run(self._thaw(host))
 
     async def _thaw(self, host: str) -> None:
@@ -126,7 +130,7 @@
 
     @rule(host=hosts, engines=st.sets(st.sampled_from(ENGINES), min_size=1))
     def mark_engines_down(self, host: str, engines: set[str]) -> None:
-        """Close engines at one host as unreachable; at other hosts they stay as they are."""
+        """Close engines as unreachable at one host only."""
         self.hosts_with_closed_engines.add(host)
         self._run(self._mark_engines_down(host, engines))
         self._advance(0.01)
@@ -136,31 +140,31 @@
             self.cluster.host(host).gate.note_down(upstream=UpstreamId(engine))
 
     @rule(viewer=hosts, seen=st.sets(hosts))
-    def change_view(self, viewer: str, seen: set[str]) -> None:
-        """Let a host see some of the others, so that owners are lost or doubled."""
-        self._run(self._show(viewer, sorted({viewer, *seen})))
+    def change_live_peers(self, viewer: str, seen: set[str]) -> None:
+        """Change the live peers of a host, so that a cell may have no owner or two."""
+        self._run(self._set_live_peers(viewer, sorted({viewer, *seen})))
 
-    async def _show(self, viewer: str, seen: list[str]) -> None:
-        self.cluster.switch.show(viewer=viewer, hosts=seen)
+    async def _set_live_peers(self, viewer: str, seen: list[str]) -> None:
+        self.cluster.switch.set_live_peers(viewer=viewer, hosts=seen)
 
     @rule(duration_s=st.sampled_from((0.05, 0.3, 1.2, 4.0, 12.0)))
     def wait(self, duration_s: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self._advance(duration_s)
 
     @rule()
-    def heal(self) -> None:
-        """End all faults; then every ledger agrees with what really runs."""
-        self._heal()
+    def remove_faults(self) -> None:
+        """Remove all faults and check that the owner's reservations match the placements."""
+        self._remove_faults()
         self._advance(SETTLED_S)
-        self.nothing_is_refused()
+        self.check_placements()
         owner = self.cluster.owner()
-        ledger = self.cluster.ledger(owner).running if self.placed else {}
-        assert ledger == {name: engine for name, (_, engine) in self.placed.items()}
+        running = self.cluster.scheduler(owner).running if self.placed else {}
+        assert running == {name: engine for name, (_, engine) in self.placed.items()}
 
     @invariant()
-    def nothing_is_refused(self) -> None:
-        """Only hosts whose engines are down refuse requests, and no place is lost."""
+    def check_placements(self) -> None:
+        """Check that only hosts with closed engines refuse requests and no placement is lost."""
         for name, (host, task) in list(self.waiting.items()):
             if task.done():
                 del self.waiting[name]
@@ -171,20 +175,20 @@
             assert self.cluster.host(name).router.held == len(expected) + len(waiting)
 
     def _note_outcome(self, name: str, host: str, engine: UpstreamId | None) -> None:
-        """Record a placement, or check that the host had a reason to refuse the request."""
+        """Record a placement, or check that the host was allowed to refuse the request."""
         if engine is not None:
             self.placed[name] = (host, engine)
         else:
             assert host in self.hosts_with_closed_engines
 
     def teardown(self) -> None:
-        """Heal and release all: everyone gets a place in turn, and nothing stays reserved."""
+        """Check that without faults all requests are placed and no reservation remains."""
         if not hasattr(self, "loop"):
             return
-        self._heal()
+        self._remove_faults()
         while self.waiting or self.placed:
-            self._advance(TURN_S)
-            self.nothing_is_refused()
+            self._advance(PLACEMENT_TIMEOUT_S)
+            self.check_placements()
             assert self.placed
             for name, (host, _) in list(self.placed.items()):
                 self._run(self._release(host=host, name=name, lost=False))
@@ -203,19 +207,19 @@
         for name in HOSTS:
             await self.cluster.host(name).router.stop()
 
-    def _heal(self) -> None:
+    def _remove_faults(self) -> None:
         switch = self.cluster.switch
-        switch.drop, switch.double, switch.jitter_ms = 0.0, 0.0, 0
+        switch.drop_probability, switch.duplicate_probability, switch.jitter_ms = 0.0, 0.0, 0
         for host in HOSTS:
             self._run(self._thaw(host))
-            self._run(self._show(host, list(HOSTS)))
+            self._run(self._set_live_peers(host, list(HOSTS)))
             self._run(self._mark_engines_up(host))
 
     async def _mark_engines_up(self, host: str) -> None:
         for engine in ENGINES:
             self.cluster.host(host).gate.note_up(upstream=UpstreamId(engine))
 
-    def _run_soon(self, host: str, name: str) -> asyncio.Task[Any]:
+    def _start_placing(self, host: str, name: str) -> asyncio.Task[Any]:
         async def place() -> UpstreamId | None:
             placed = await self.cluster.host(host).router.place(request=make_request(name))
             if is_successful(placed):
@@ -236,5 +240,5 @@
         return self.loop.run_until_complete(work)
 
 
-LedgerMachine.TestCase.settings = cases(examples=25, steps=25)
-TestLedger = LedgerMachine.TestCase
+RoutingMachine.TestCase.settings = cases(examples=25, steps=25)
+TestRouting = RoutingMachine.TestCase
--- a/testing/test_routing_poller.py
+++ b/testing/test_routing_poller.py
@@ -1,4 +1,4 @@
-"""Reading of engines by the owner of their cell, in virtual time."""
+"""Polling of engines by the owner of their cell, in virtual time."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class ReadEngine:
-    """An engine that can only be read."""
+class FakePolledEngine:
+    """Engine client that implements only the calls used for polling."""
 
     report: LoadReport = field(
         default_factory=lambda: LoadReport(
@@ -42,104 +42,104 @@
     )
     reachable: bool = True
     reads: int = 0
-    asked_after: list[int] = field(default_factory=list)
+    cache_offsets: list[int] = field(default_factory=list)
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Return the report."""
+        """Return the load report, or a failure if the engine is unreachable."""
         self.reads += 1
         if not self.reachable:
             return Failure(UpstreamError(kind=UpstreamErrorKind.NOT_SENT, detail="Refused."))
         return Success(self.report)
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Return one event that is new each time."""
-        self.asked_after.append(after)
+        """Return one new event."""
+        self.cache_offsets.append(after)
         event = CacheEvent(sequence=after + 1, prefix=f"p{after + 1}", stored=True)
         return Success(CacheEvents(events=[event], next_sequence=after + 2))
 
 
 @dataclass
-class Decided:
-    """What the cell's decider was told."""
+class FakeCellOwner:
+    """Records the calls of the pollers."""
 
     loads: list[EngineLoad] = field(default_factory=list)
     prefixes: list[str] = field(default_factory=list)
     lost: list[UpstreamId] = field(default_factory=list)
 
     def on_load(self, load: EngineLoad) -> None:
-        """Note a report."""
+        """Record a load report."""
         self.loads.append(load)
 
     def on_cache(self, *, engine: UpstreamId, prefix: str, stored: bool) -> None:
-        """Note a cache event."""
+        """Record a cache event."""
         self.prefixes.append(prefix)
 
     def on_engine_lost(self, *, engine: UpstreamId) -> None:
-        """Note a loss."""
+        """Record the loss of an engine."""
         self.lost.append(engine)
 
 
 @dataclass
-class Polled:
-    """Pollers with all that they touch."""
+class Harness:
+    """Pollers with their fake dependencies."""
 
-    engines: list[ReadEngine]
-    decided: Decided
+    engines: list[FakePolledEngine]
+    owner: FakeCellOwner
     gate: UpstreamGate
     pollers: EnginePollers
 
 
-def _start() -> Polled:
-    """Read one engine; replace the last of ``engines`` to give it another address."""
-    engines, decided = [ReadEngine()], Decided()
+def _start() -> Harness:
+    """Start to poll one engine; appending to ``engines`` simulates a change of its address."""
+    engines, owner = [FakePolledEngine()], FakeCellOwner()
     gate = UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None)
     pollers = EnginePollers(
-        clients=lambda _engine: cast(EngineClient, engines[-1]),
+        get_client=lambda _engine: cast(EngineClient, engines[-1]),
         clock=Clock(),
         gate=gate,
-        decider=lambda _engine: cast(CellOwner, decided),
+        get_owner=lambda _engine: cast(CellOwner, owner),
     )
     pollers.set_engines(frozenset([ENGINE]))
-    return Polled(engines=engines, decided=decided, gate=gate, pollers=pollers)
+    return Harness(engines=engines, owner=owner, gate=gate, pollers=pollers)
 
 
-async def test_reports_and_cache_events_reach_the_decider_with_their_age() -> None:
-    polled = _start()
+async def test_load_reports_with_their_age_and_cache_events_reach_the_owner() -> None:
+    harness = _start()
     await asyncio.sleep(1.2)
-    load = polled.decided.loads[-1]
+    load = harness.owner.loads[-1]
     assert (load.running, load.waiting, load.used_tokens, load.measured) == (3, 1, 900, 1000 - 400)
-    assert polled.engines[0].asked_after == [0, 1, 2]
-    assert polled.decided.prefixes == ["p1", "p2", "p3"]
+    assert harness.engines[0].cache_offsets == [0, 1, 2]
+    assert harness.owner.prefixes == ["p1", "p2", "p3"]
 
 
-async def test_engine_is_closed_when_its_own_report_says_that_it_leaves() -> None:
-    polled = _start()
-    polled.engines[0].report = LoadReport(
+async def test_engine_is_closed_when_its_load_report_says_that_it_is_leaving() -> None:
+    harness = _start()
+    harness.engines[0].report = LoadReport(
         running=0, waiting=0, used_tokens=0, memory_tokens=1000, leaving=True
     )
     await asyncio.sleep(0.1)
-    assert polled.gate.is_leaving(ENGINE)
+    assert harness.gate.is_leaving(ENGINE)
 
 
-async def test_engine_is_lost_once_when_it_is_unreachable_and_opens_when_it_answers() -> None:
-    polled = _start()
-    polled.engines[0].reachable = False
+async def test_unreachable_engine_is_reported_lost_once_and_reopens_when_it_answers() -> None:
+    harness = _start()
+    harness.engines[0].reachable = False
     opened = []
-    polled.gate.changes.subscribe(lambda each: opened.append(polled.gate.is_open(each)))
+    harness.gate.changes.subscribe(lambda each: opened.append(harness.gate.is_open(each)))
     await asyncio.sleep(20)
-    assert polled.decided.lost == [ENGINE]
+    assert harness.owner.lost == [ENGINE]
     assert not any(opened)
-    polled.engines[0].reachable = True
+    harness.engines[0].reachable = True
     await asyncio.sleep(1)
-    assert polled.gate.is_open(ENGINE)
+    assert harness.gate.is_open(ENGINE)
 
 
-async def test_engine_is_read_at_its_new_address_and_no_more_when_another_owns_it() -> None:
-    polled = _start()
+async def test_engine_is_polled_at_its_new_address_until_another_host_owns_it() -> None:
+    harness = _start()
     await asyncio.sleep(1)
-    polled.engines.append(ReadEngine())
+    harness.engines.append(FakePolledEngine())
     await asyncio.sleep(1)
-    assert polled.engines[1].reads == 2
-    polled.pollers.set_engines(frozenset())
+    assert harness.engines[1].reads == 2
+    harness.pollers.set_engines(frozenset())
     await asyncio.sleep(5)
-    assert polled.engines[1].reads <= 3
+    assert harness.engines[1].reads <= 3
--- a/testing/test_routing_processes.py
+++ b/testing/test_routing_processes.py
@@ -1,4 +1,4 @@
-"""Owners of cells that are frozen and thawed, as real processes."""
+"""Requests while the owners of cells are frozen and thawed, with real processes."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from testing._callers import expected
 from testing.conftest import StartServing
 
-ASKS_A_HOST = 4
+REQUESTS_PER_HOST = 4
 
 
-async def test_each_answer_is_whole_and_runs_once_when_any_host_is_frozen_and_thawed(
+async def test_each_answer_is_complete_and_runs_once_when_any_host_is_frozen_and_thawed(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0))
@@ -27,10 +27,10 @@
         assert answer.done, answer.error
         assert answer.text == expected(prompt=prompt)
 
-    # One of the three owns the only cell, whichever it is.
+    # One of the three hosts owns the only cell, so each is frozen in turn.
     for frozen in cluster.hosts:
         cluster.hosts[frozen].freeze()
-        others = [name for name in cluster.hosts if name != frozen] * ASKS_A_HOST
+        others = [name for name in cluster.hosts if name != frozen] * REQUESTS_PER_HOST
         await asyncio.gather(*(ask_at(name, asked + at) for at, name in enumerate(others)))
         asked += len(others)
         cluster.hosts[frozen].thaw()
--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -18,11 +18,11 @@
 from tanagerscale.policy import PlacementRequest
 from tanagerscale.policy import Tuning
 from tanagerscale.routing import CellId
-from tanagerscale.routing import owner_of
+from tanagerscale.routing import select_owner
 
 ENGINE_COUNTS = (5, 32, 50, 500)
 HOST_COUNTS = (9, 90, 390)
-CELL_ENGINES = 32
+TARGET_CELL_ENGINES = 32
 """Engines of one cell: larger pools are split, and each cell has its own scheduler."""
 
 ACCOUNTS = 20
@@ -116,7 +116,7 @@
     hashed = {name: _number(name) for name in names}
     pools = [f"cell-{index}" for index in range(LOOKUPS)]
     began = perf_counter()
-    rendezvous = [owner_of(cell=CellId(pool), hosts=names) for pool in pools]
+    rendezvous = [select_owner(cell=CellId(pool), hosts=names) for pool in pools]
     middle = perf_counter()
     for pool in pools:
         wanted = _number(pool)
@@ -141,7 +141,7 @@
     print("engines  us/request  us/request in cells of 32  us/load report")
     for engines in ENGINE_COUNTS:
         whole = _request_cost(engines)
-        cell = _request_cost(min(engines, CELL_ENGINES))
+        cell = _request_cost(min(engines, TARGET_CELL_ENGINES))
         print(f"{engines:7d}  {whole:10.1f}  {cell:25.1f}  {_load_cost(engines):14.2f}")
     print("hosts  rendezvous us  max/mean  XOR us  max/mean  (300 cells)")
     for hosts in HOST_COUNTS:
--- a/tools/bench_recovery.py
+++ b/tools/bench_recovery.py
@@ -17,9 +17,9 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from tanagerscale.daemon._host import RETRY_RESERVE
-from testing._crowded import BatchEngine
-from testing._crowded import CrowdedWorld
-from testing._crowded import Refused
+from testing._simulation import RefusedCall
+from testing._simulation import SimulatedEngine
+from testing._simulation import Simulation
 from testing._virtual_time import run_virtually
 
 FAIL_MS = 40_000
@@ -60,47 +60,47 @@
 )
 
 
-async def _run(case: Case) -> CrowdedWorld:
-    world = CrowdedWorld(hosts=case.hosts, max_batch=case.max_batch, reserve=case.reserve)
-    asking = asyncio.create_task(world.ask_until(END_MS, load=case.load))
-    victims: Sequence[BatchEngine] = list(world.engines.values())[: case.dead]
+async def _run(case: Case) -> Simulation:
+    world = Simulation(hosts=case.hosts, max_batch=case.max_batch, reserve=case.reserve)
+    asking = asyncio.create_task(world.generate_load(END_MS, load=case.load))
+    victims: Sequence[SimulatedEngine] = list(world.engines.values())[: case.dead]
     await world.clock.sleep(FAIL_MS)
     for engine in victims:
-        engine.die()
+        engine.crash()
     await world.clock.sleep(BACK_MS - world.clock.now())
     for engine in victims:
-        engine.revive()
+        engine.restart()
     await asking
-    await world.finish()
+    await world.wait_for_callers()
     return world
 
 
-def _recovery_ms(world: CrowdedWorld, before: float) -> int:
+def _recovery_ms(world: Simulation, before: float) -> int:
     """Return how long after the return useful work is back for a window."""
     for begin in range(BACK_MS, END_MS - WINDOW_MS, 1_000):
-        if world.useful_per_s(begin, begin + WINDOW_MS) >= RECOVERED * before:
+        if world.completed_per_s(begin, begin + WINDOW_MS) >= RECOVERED * before:
             return begin - BACK_MS
     return -1
 
 
-def _most_together(refused: Sequence[Refused]) -> int:
+def _most_together(refused: Sequence[RefusedCall]) -> int:
     """Return the most refused callers that come back within one tenth of a second."""
-    moments = Counter(each.returns // 100 for each in refused)
+    moments = Counter(each.retry_at // 100 for each in refused)
     return max(moments.values(), default=0)
 
 
-def _print(case: Case, world: CrowdedWorld) -> None:
-    before = world.useful_per_s(20_000, FAIL_MS)
-    slowest = max((each.told - each.came for each in world.refused), default=0)
+def _print(case: Case, world: Simulation) -> None:
+    before = world.completed_per_s(20_000, FAIL_MS)
+    slowest = max((each.refused_at - each.arrived_at for each in world.refused), default=0)
     kinds = Counter(
         f"{each.problem.kind.value}/{each.problem.execution.value}" for each in world.refused
     )
     print(
         f"{case.hosts:5} {case.max_batch:5} {case.load:4} {case.dead:4} {case.reserve:7.0f} "
-        f"{before:8.1f} {world.useful_per_s(FAIL_MS, BACK_MS):8.1f} "
-        f"{world.useful_per_s(BACK_MS, END_MS):7.1f} {_recovery_ms(world, before):10} "
+        f"{before:8.1f} {world.completed_per_s(FAIL_MS, BACK_MS):8.1f} "
+        f"{world.completed_per_s(BACK_MS, END_MS):7.1f} {_recovery_ms(world, before):10} "
         f"{world.started:8} {world.retries:7} {len(world.refused):7} {slowest:10} "
-        f"{_most_together(world.refused):8} {world.done[-1] / 1000:6.0f} {dict(kinds)}",
+        f"{_most_together(world.refused):8} {world.completed_at[-1] / 1000:6.0f} {dict(kinds)}",
         flush=True,
     )
 
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -36,7 +36,7 @@
 from tanagerscale.daemon import NoCrashWatch
 from tanagerscale.declarations import Declarations
 from tanagerscale.dispatch import Canceller
-from tanagerscale.dispatch import DispatchParts
+from tanagerscale.dispatch import DispatchContext
 from tanagerscale.entry import CompletionParts
 from tanagerscale.entry import Completions
 from tanagerscale.entry import RequestChecker
@@ -209,11 +209,11 @@
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
     client = HttpEngineClient(session=session, address=f"{LOOPBACK}:{engine_port}")
     gate = UpstreamGate(clock=clock, rng=random.Random(1), spread=lambda _message: None)
-    dispatch = DispatchParts(
+    dispatch = DispatchContext(
         router=OneEngineRouter(),
         client_of=lambda _engine: client,
-        notes=GateNotes(gate=gate),
-        crashes=NoCrashWatch(),
+        observer=GateNotes(gate=gate),
+        crash_watch=NoCrashWatch(),
         retries=RetryBudget(),
         canceller=Canceller(client_of=lambda _engine: client, clock=clock),
         meter=UsageMeter(clock=clock, objective=Objective),
