--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -33,9 +33,9 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import get_logger
-from tanagerscale.dispatch import RetryAllowance
-from tanagerscale.dispatch import UpstreamNotes
-from tanagerscale.dispatch import spread_return
+from tanagerscale.dispatch import RetryLimiter
+from tanagerscale.dispatch import UpstreamObserver
+from tanagerscale.dispatch import add_retry_jitter
 from tanagerscale.generated.declarations import Service
 from tanagerscale.generated.records import ClaimState
 from tanagerscale.generated.upstream import RefusalKind
@@ -85,9 +85,9 @@
 
     client: ServiceClient
     claims: Claims
-    notes: UpstreamNotes
+    notes: UpstreamObserver
     is_open: Callable[[UpstreamId], bool]
-    retries: RetryAllowance
+    retries: RetryLimiter
     clock: Clock
     rng: random.Random
 
@@ -145,7 +145,7 @@
             if tried_addresses
             else _build_no_upstream_problem(service.name)
         )
-        return Failure(spread_return(problem=problem, rng=self._dependencies.rng))
+        return Failure(add_retry_jitter(problem=problem, rng=self._dependencies.rng))
 
     async def _call_claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
@@ -241,7 +241,7 @@
             self._dependencies.notes.note_leaving(upstream=upstream)
 
     def _build_single_dispatch_problem(self, error: UpstreamError) -> Problem:
-        return spread_return(
+        return add_retry_jitter(
             problem=_build_single_dispatch_problem(error), rng=self._dependencies.rng
         )
 
