--- a/src/tanagerscale/coordination/_parts.py
+++ b/src/tanagerscale/coordination/_context.py
@@ -1,4 +1,4 @@
-"""What a host knows of upstreams and declarations, as far as decisions need it."""
+"""The upstreams, declarations and health data that decisions are based on."""
 
 from __future__ import annotations
 
@@ -25,86 +25,86 @@
 
 
 class Upstreams(Protocol):
-    """The upstreams there are."""
+    """The known upstreams."""
 
     @property
     def is_current(self) -> bool:
-        """Whether the store tells of changes; otherwise upstreams may leave without notice."""
+        """Whether the store delivers changes; if not, upstreams may leave without notice."""
 
     def get(self, upstream: UpstreamId) -> UpstreamEntry | None:
-        """Return the entry of an upstream, also for a while after it is gone."""
+        """Return the entry of an upstream, also for a while after it has been removed."""
 
     def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return how much longer an upstream is cold by its own word."""
+        """Return the remaining cold time of an upstream, as the upstream reports it."""
 
     def is_evacuated(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream gets no requests since its failure domain is evacuated."""
+        """Return whether an upstream gets no requests because its failure domain is evacuated."""
 
     def has_evacuated(self, service: ServiceId) -> bool:
-        """Return whether upstreams of a service stay that get no requests."""
+        """Return whether a service has upstreams that get no requests because of an evacuation."""
 
     def open_for(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return the upstreams of a service that take new work."""
+        """Return the upstreams of a service that accept new work."""
 
     def staying(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return the upstreams of a service that are not leaving, failing ones included."""
+        """Return the upstreams of a service that are not leaving, including failing ones."""
 
 
 class Gate(Protocol):
-    """Takes what requests show of upstreams."""
+    """Availability of upstreams, as observed by requests."""
 
     def is_leaving(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream is known to leave."""
+        """Return whether an upstream is known to be leaving."""
 
     def is_broken(self, upstream: UpstreamId) -> bool:
-        """Return whether calls to an upstream failed and it is not yet time for a probe."""
+        """Return whether calls to an upstream failed and the next probe is not due yet."""
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream leaves, by its own word."""
+        """Record that an upstream reports that it is leaving."""
 
     def note_gone(self, *, upstream: UpstreamId) -> None:
-        """Record that another upstream has the address of one."""
+        """Record that the address of an upstream now belongs to another one."""
 
     def note_down(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream did not answer as it should."""
+        """Record that an upstream did not answer correctly."""
 
     def note_up(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream has answered."""
 
 
-class Tables(Protocol):
-    """The declarations in force."""
+class RouteTableSource(Protocol):
+    """Provides the declarations in force."""
 
     @property
     def table(self) -> RouteTable | None:
-        """What is in force now, or ``None`` before anything is known."""
+        """The declarations in force; ``None`` before any are known."""
 
 
-class UpstreamKnowledge(Protocol):
-    """Which upstreams there are, and how they do."""
+class UpstreamView(Protocol):
+    """The known upstreams and their health."""
 
     @property
     def upstreams(self) -> Upstreams:
-        """The upstreams there are."""
+        """The known upstreams."""
 
     @property
     def health(self) -> UpstreamHealth:
-        """What requests showed of how they do."""
+        """Health of the upstreams, as observed by requests."""
 
 
-class DecisionParts(Struct, frozen=True, kw_only=True):
-    """What decisions about engines go by, besides what runs there.
+class DecisionContext(Struct, frozen=True, kw_only=True):
+    """Inputs of decisions about engines, except the runs on them.
 
     :param tables: The declarations in force.
-    :param upstreams: The upstreams there are.
-    :param gate: Which of them leave or can't be reached.
-    :param health: How they do.
-    :param warmup: What those get that warm up.
-    :param clock: Time.
-    :param rng: Source of chance.
+    :param upstreams: The known upstreams.
+    :param gate: Which upstreams are leaving or unreachable.
+    :param health: Which upstreams are ejected.
+    :param warmup: Rate limit of warming upstreams.
+    :param clock: Source of the current time.
+    :param rng: Random number generator.
     """
 
-    tables: Tables
+    tables: RouteTableSource
     upstreams: Upstreams
     gate: Gate
     health: UpstreamHealth
@@ -113,24 +113,24 @@
     rng: Random
 
     def engine_of(self, service: ServiceId) -> EngineCapabilities | None:
-        """Return what the engines of a service can do; ``None`` when it has none."""
+        """Return the capabilities of the engines of a service; ``None`` when it has no engines."""
         table = self.tables.table
         declared = None if table is None else table.service(service)
         return None if declared is None else declared.engine
 
 
 def eligible_upstreams(
-    known: UpstreamKnowledge,
+    view: UpstreamView,
     service: ServiceId,
     excluded: Set[UpstreamId] = frozenset(),
     domains: Set[FailureDomainId] = ANYWHERE,
 ) -> list[UpstreamEntry]:
-    """Return the upstreams of a service that new work may go to, the sound ones if there are any.
+    """Return the upstreams of a service for new work, only healthy ones if there are any.
 
-    :param known: Which upstreams there are.
+    :param view: The known upstreams and their health.
     :param service: The service.
-    :param excluded: Upstreams that were tried.
-    :param domains: Failure domains that may be used; none means any.
+    :param excluded: Upstreams that have already been tried.
+    :param domains: Failure domains that may be used; empty means any.
     """
 
     def usable(entries: Sequence[UpstreamEntry]) -> list[UpstreamEntry]:
@@ -140,24 +140,24 @@
             if entry.upstream not in excluded and (not domains or entry.failure_domain in domains)
         ]
 
-    open_now = usable(known.upstreams.open_for(service))
-    sound = known.health.usable(open_now)
-    return sound or open_now or usable(known.upstreams.staying(service))
+    open_now = usable(view.upstreams.open_for(service))
+    sound = view.health.exclude_ejected(open_now)
+    return sound or open_now or usable(view.upstreams.staying(service))
 
 
-def view_of(
+def build_engine_view(
     entry: UpstreamEntry,
     *,
     engine: EngineCapabilities | None,
     totals: Mapping[UpstreamId, EngineTotal],
     upstreams: Upstreams,
 ) -> EngineView:
-    """Return what is known of an engine.
+    """Build the view of an engine that the policy works with.
 
-    :param entry: Its entry.
-    :param engine: What it can do.
-    :param totals: What runs on engines.
-    :param upstreams: The upstreams there are.
+    :param entry: Entry of the engine.
+    :param engine: Capabilities of the engine; ``None`` if unknown.
+    :param totals: Sums of the runs on each engine.
+    :param upstreams: The known upstreams.
     """
     total = totals.get(entry.upstream) or EngineTotal()
     return EngineView(
--- a/src/tanagerscale/coordination/_coordinator.py
+++ b/src/tanagerscale/coordination/_coordinator.py
@@ -1,4 +1,4 @@
-"""All that a host does for those that let it decide."""
+"""The decision-making part of a host: placements, moves, retries and warm-up permissions."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from returns.result import Failure
 from returns.result import Result
 
+from tanagerscale.coordination._context import DecisionContext
 from tanagerscale.coordination._departures import Departures
 from tanagerscale.coordination._ledger import RunLedger
-from tanagerscale.coordination._parts import DecisionParts
 from tanagerscale.coordination._placement_queue import PlacementQueue
 from tanagerscale.coordination._planner import MovePlanner
-from tanagerscale.coordination._repeats import RepeatAllowance
+from tanagerscale.coordination._retry_budgets import SharedRetryBudgets
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import HostId
 from tanagerscale.core import ServiceId
@@ -36,39 +36,41 @@
 from tanagerscale.upstreams import EngineReport
 from tanagerscale.upstreams import UpstreamEntry
 
-REPORT_MS: Final = 700
-"""After a notice, when the engine's report tells when it goes: reports are half a second old."""
+REPORT_DELAY_MS: Final = 700
+"""Delay between a leave notice and the query for the departure time: reports are half a second
+old."""
 
 REPORT_LAG_MS: Final = 580
-"""Taken off what a report says of the time left, since reports are half a second old."""
+"""Subtracted from the remaining time in a report, since reports are half a second old."""
 
-ASK_MS: Final = 300
-"""How often each engine that runs anything is asked whether it leaves, while the store does not
-tell. Reports are renewed each few hundred milliseconds, and each one is paid for."""
+POLL_INTERVAL_MS: Final = 300
+"""Polling interval of engines with runs while the store delivers no changes. Engines renew their
+reports every few hundred milliseconds, and each report has a cost."""
 
 _log = get_logger(part="departures")
 
 
 class EngineReports(Protocol):
-    """Asks engines how they are."""
+    """Source of engine status reports."""
 
     async def report(self, *, upstream: UpstreamEntry) -> Result[EngineReport, str]:
-        """Return what an engine says of itself."""
+        """Return the status report of an engine."""
 
 
 @final
 class Coordinator:
     """Places generations and plans the moves of runs.
 
-    Every host has one. It decides for whoever asks it: for all hosts where it is the first in rank,
-    for those that can't reach the first ones, and for its own host where that can reach no other.
+    Every host has one. It decides for every host that asks it: for all hosts where it is first in
+    rank, for those that can't reach the hosts before it, and for its own host where that can reach
+    no other.
 
     :param host: This host.
-    :param domain: Where it stands.
-    :param parts: What decisions go by.
-    :param repeats: Which requests may be repeated.
-    :param engines: Asks engines how they are.
-    :param tell: Sends a message to a host, which may be this one; returns whether it can be
+    :param domain: Failure domain of this host.
+    :param context: Inputs of decisions.
+    :param retry_budgets: Limits the retries of each service.
+    :param engines: Source of engine status reports.
+    :param send: Sends a message to a host, which may be this one; returns whether it can be
         reached.
     """
 
@@ -77,46 +79,46 @@
         *,
         host: HostId,
         domain: FailureDomainId,
-        parts: DecisionParts,
-        repeats: RepeatAllowance,
+        context: DecisionContext,
+        retry_budgets: SharedRetryBudgets,
         engines: EngineReports,
-        tell: Callable[[HostId, Message], bool],
+        send: Callable[[HostId, Message], bool],
     ) -> None:
         self._host = host
         self._domain = domain
-        self._parts = parts
-        self._repeats = repeats
+        self._context = context
+        self._retry_budgets = retry_budgets
         self._engines = engines
-        self._tell = tell
-        self._domains: dict[HostId, FailureDomainId] = {}
+        self._send = send
+        self._failure_domains: dict[HostId, FailureDomainId] = {}
         self._background: set[asyncio.Task[None]] = set()
-        self._is_stale = asyncio.Event()
-        self.ledger = RunLedger(clock=parts.clock)
-        self.departures = Departures(clock=parts.clock)
+        self._is_store_stale = asyncio.Event()
+        self.ledger = RunLedger(clock=context.clock)
+        self.departures = Departures(clock=context.clock)
         self.queue = PlacementQueue(
-            parts=parts,
+            context=context,
             ledger=self.ledger,
-            answer=lambda asker, answer: _note_unsent(asker, tell(asker, answer)),
+            answer=lambda asker, answer: _log_unsent(asker, send(asker, answer)),
         )
         self.planner = MovePlanner(
-            host=host, parts=parts, ledger=self.ledger, departures=self.departures, order=tell
+            host=host, context=context, ledger=self.ledger, departures=self.departures, order=send
         )
-        self.ledger.news.subscribe(lambda _: self._on_news())
+        self.ledger.changes.subscribe(lambda _: self._on_ledger_change())
 
     def on_message(self, host: HostId, message: Message) -> None:
-        """Take in what a host asks or tells; other messages are ignored."""
+        """Handle the asks and reports of a host; other messages are ignored."""
         match message:
             case HostRuns():
                 self.ledger.report(host=host, runs=message)
             case PlaceAsk():
-                domain = self._domains.get(host, self._domain)
+                domain = self._failure_domains.get(host, self._domain)
                 self.queue.ask(host=host, domain=domain, ask=message)
             case PlaceWithdrawal():
                 self.queue.withdraw(host=host, serial=message.serial)
             case RepeatAsk():
                 service = ServiceId(message.service)
-                may = self._repeats.take(service=service, requests=message.requests)
-                self._tell(host, RepeatAnswer(serial=message.serial, may_repeat=may))
+                may = self._retry_budgets.try_acquire(service=service, requests=message.requests)
+                self._send(host, RepeatAnswer(serial=message.serial, may_repeat=may))
             case WarmupAsk():
                 self._answer_warmup(host, message)
             case MoveDone():
@@ -125,110 +127,120 @@
                 pass
 
     def _answer_warmup(self, host: HostId, ask: WarmupAsk) -> None:
-        entry = self._parts.upstreams.get(UpstreamId(ask.upstream))
-        may = entry is None or self._parts.warmup.take(entry)
-        self._tell(host, WarmupAnswer(serial=ask.serial, may_send=may))
+        entry = self._context.upstreams.get(UpstreamId(ask.upstream))
+        may = entry is None or self._context.warmup.try_acquire(entry)
+        self._send(host, WarmupAnswer(serial=ask.serial, may_send=may))
 
     def on_joined(self, host: HostId, domain: FailureDomainId) -> None:
-        """Begin anew with a host that has connected; another process of it may have gone."""
+        """Reset the state of a host that has connected, since it may be a new process."""
         self.on_gone(host)
-        self._domains[host] = domain
+        self._failure_domains[host] = domain
 
     def on_gone(self, host: HostId) -> None:
-        """Drop all that a host had and asked which is gone."""
-        self._domains.pop(host, None)
+        """Drop the runs and pending asks of a host that has disconnected."""
+        self._failure_domains.pop(host, None)
         self.queue.forget(host=host)
         self.planner.forget(host=host)
         self.ledger.forget(host=host)
 
     def on_upstreams(self, upstream: UpstreamId) -> None:
-        """Take in that an upstream is new, leaves, is gone or takes work again."""
-        if not self._parts.gate.is_leaving(upstream):
+        """Handle an upstream that is new, leaving, removed or accepting work again."""
+        if not self._context.gate.is_leaving(upstream):
             self.departures.forget(upstream)
-        elif self._parts.upstreams.get(upstream) is not None:
-            self._note_leaving(upstream)
-        self.look()
+        elif self._context.upstreams.get(upstream) is not None:
+            self._record_leaving(upstream)
+        self.reevaluate()
 
-    def look(self) -> None:
-        """Decide anew about what waits and what may move, since engines have changed."""
-        self.queue.look()
-        self.planner.look()
+    def reevaluate(self) -> None:
+        """Evaluate waiting generations and possible moves again after a change of the engines."""
+        self.queue.reevaluate()
+        self.planner.reevaluate()
 
     def on_currency(self, is_current: bool) -> None:
-        """Take in whether the store tells of upstreams that leave."""
+        """Record whether the store delivers notices of leaving upstreams."""
         if is_current:
-            self._is_stale.clear()
+            self._is_store_stale.clear()
         else:
-            self._is_stale.set()
-        self.planner.look_soon()
+            self._is_store_stale.set()
+        self.planner.schedule_reevaluation()
 
     def loops(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """Return what has to run for as long as the host lives."""
-        return (self._watch_engines(),)
+        """Return the coroutines that run for the lifetime of the host."""
+        return (self._poll_engines(),)
 
-    async def _watch_engines(self) -> None:
-        """Ask engines whether they leave, while the store does not tell.
+    async def _poll_engines(self) -> None:
+        """Poll engines for leave notices while the store delivers no changes.
 
-        The load it answers: the store is away for eight seconds while an engine is taken away each
-        three. Their notices stand in the store, where nobody can read them; but an engine says in
-        its own report that it leaves, half a second late, and when. That leaves about a second.
+        When the store is down for eight seconds while an engine is removed every three, nobody can
+        read the notices in the store. An engine's own report says, half a second late, that it is
+        leaving and when. That leaves about a second to move its runs.
         """
         while True:
-            await self._is_stale.wait()
-            await self._parts.clock.sleep(int(ASK_MS * self._parts.rng.uniform(0.5, 1.5)))
-            if self._is_stale.is_set():
-                await asyncio.gather(*(self.ask_engine(one) for one in self._engines_used()))
-
-    async def ask_engine(self, upstream: UpstreamId) -> None:
-        """Ask an engine whether it leaves, and take in its word."""
-        entry = self._parts.upstreams.get(upstream)
+            await self._is_store_stale.wait()
+            await self._context.clock.sleep(
+                int(POLL_INTERVAL_MS * self._context.rng.uniform(0.5, 1.5))
+            )
+            if self._is_store_stale.is_set():
+                await asyncio.gather(*(self.query_engine(one) for one in self._engines_in_use()))
+
+    async def query_engine(self, upstream: UpstreamId) -> None:
+        """Query whether an engine is leaving, and record its answer."""
+        entry = self._context.upstreams.get(upstream)
         if entry is None:
             return
         reported = await self._engines.report(upstream=entry)
         if isinstance(reported, Failure):
-            _log.info("No report came.", upstream=upstream, detail=reported.failure())
+            _log.info(
+                "Querying the report of an engine failed.",
+                upstream=upstream,
+                detail=reported.failure(),
+            )
             return
         report = reported.unwrap()
         if not report.is_leaving:
             return
         in_ms = report.leaves_in_ms
-        _log.info("An engine reports that it leaves.", upstream=upstream, leaves_in_ms=in_ms)
-        self.departures.note(upstream)
+        _log.info("An engine reports that it is leaving.", upstream=upstream, leaves_in_ms=in_ms)
+        self.departures.record_notice(upstream)
         if in_ms is not None:
-            self.departures.correct_end(upstream, in_ms=in_ms - REPORT_LAG_MS)
-        self._parts.gate.note_leaving(upstream=upstream)
+            self.departures.set_departure(upstream, in_ms=in_ms - REPORT_LAG_MS)
+        self._context.gate.note_leaving(upstream=upstream)
 
-    def _engines_used(self) -> list[UpstreamId]:
-        """Return the engines that run anything of the hosts this one decides for."""
+    def _engines_in_use(self) -> list[UpstreamId]:
+        """Return the engines with runs of the hosts that this host decides for."""
         runs = self.ledger.runs_of(decider=self._host)
         engines = {UpstreamId(run.use.upstream) for run in runs}
-        return [one for one in sorted(engines) if not self._parts.gate.is_leaving(one)]
-
-    def _note_leaving(self, upstream: UpstreamId) -> None:
-        self.departures.note(upstream)
-        if self.departures.ask_once(upstream):
-            self._spawn(self._ask_end(upstream))
-
-    async def _ask_end(self, upstream: UpstreamId) -> None:
-        """Ask a leaving engine when it goes, if any run still has to leave it."""
-        asked_at = self.departures.noticed_at(upstream) + REPORT_MS
-        await self._parts.clock.sleep(max(asked_at - self._parts.clock.now(), 0))
-        entry = self._parts.upstreams.get(upstream)
+        return [one for one in sorted(engines) if not self._context.gate.is_leaving(one)]
+
+    def _record_leaving(self, upstream: UpstreamId) -> None:
+        self.departures.record_notice(upstream)
+        if self.departures.mark_queried(upstream):
+            self._spawn(self._query_departure(upstream))
+
+    async def _query_departure(self, upstream: UpstreamId) -> None:
+        """Query the departure time of a leaving engine if any run still has to leave it."""
+        query_at = self.departures.noticed_at(upstream) + REPORT_DELAY_MS
+        await self._context.clock.sleep(max(query_at - self._context.clock.now(), 0))
+        entry = self._context.upstreams.get(upstream)
         runs = self.ledger.runs_of(decider=self._host)
         if entry is None or all(run.use.upstream != upstream for run in runs):
             return
         reported = await self._engines.report(upstream=entry)
         if isinstance(reported, Failure):
-            _log.info("No end is known.", upstream=upstream, detail=reported.failure())
+            _log.info(
+                "Querying the departure time of an engine failed.",
+                upstream=upstream,
+                detail=reported.failure(),
+            )
             return
         leaves_in_ms = reported.unwrap().leaves_in_ms
         _log.info("An engine tells its end.", upstream=upstream, leaves_in_ms=leaves_in_ms)
         if leaves_in_ms is not None:
-            self.departures.note_end(upstream, in_ms=leaves_in_ms - REPORT_LAG_MS)
+            self.departures.extend_departure(upstream, in_ms=leaves_in_ms - REPORT_LAG_MS)
 
-    def _on_news(self) -> None:
-        self.queue.look()
-        self.planner.look_soon()
+    def _on_ledger_change(self) -> None:
+        self.queue.reevaluate()
+        self.planner.schedule_reevaluation()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -236,6 +248,6 @@
         task.add_done_callback(self._background.discard)
 
 
-def _note_unsent(host: HostId, is_sent: bool) -> None:
+def _log_unsent(host: HostId, is_sent: bool) -> None:
     if not is_sent:
-        _log.info("A host that asked can't be reached.", host_that_asked=host)
+        _log.info("The answer to a placement could not be sent to its host.", host_that_asked=host)
--- a/src/tanagerscale/coordination/_departures.py
+++ b/src/tanagerscale/coordination/_departures.py
@@ -1,4 +1,4 @@
-"""When engines were heard to leave."""
+"""Leave notices and departure times of engines."""
 
 from __future__ import annotations
 
@@ -10,72 +10,77 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.policy import NOTICE_MS
 
-LINKS_BUSY_MS: Final = 1600
-"""After a notice the engines' links are kept for what must leave. Engines go 1.5 to 2.1 s after
-their notice, and a copy that nobody needs yet would hold up one that can't wait."""
+LINK_RESERVATION_MS: Final = 1600
+"""How long after a leave notice the links of engines are reserved for runs that must leave. Engines
+are removed 1.5 to 2.1 s after their notice, and a copy that is not needed yet would delay one that
+can't wait."""
 
 
 @final
 class Departures:
-    """Keeps when each engine was first heard to leave.
+    """Records when the first leave notice of each engine was received.
 
-    :param clock: Time.
+    :param clock: Source of the current time.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._noticed: dict[UpstreamId, Millis] = {}
-        self._gone: dict[UpstreamId, Millis] = {}
-        self._asked: set[UpstreamId] = set()
+        self._departure_times: dict[UpstreamId, Millis] = {}
+        self._queried: set[UpstreamId] = set()
 
-    def note(self, upstream: UpstreamId) -> None:
-        """Record that an engine leaves."""
+    def record_notice(self, upstream: UpstreamId) -> None:
+        """Record that an engine is leaving."""
         if upstream in self._noticed:
             return
         now = self._clock.now()
         self._noticed = {
-            engine: at for engine, at in self._noticed.items() if now - at < 10 * LINKS_BUSY_MS
+            engine: at
+            for engine, at in self._noticed.items()
+            if now - at < 10 * LINK_RESERVATION_MS
         }
         self._noticed[upstream] = now
-        self._gone = {engine: at for engine, at in self._gone.items() if engine in self._noticed}
-        self._gone[upstream] = Millis(now + NOTICE_MS)
-        self._asked &= self._noticed.keys()
+        self._departure_times = {
+            engine: at for engine, at in self._departure_times.items() if engine in self._noticed
+        }
+        self._departure_times[upstream] = Millis(now + NOTICE_MS)
+        self._queried &= self._noticed.keys()
 
-    def ask_once(self, upstream: UpstreamId) -> bool:
-        """Return whether an engine is still to be asked when it goes; the caller asks it."""
-        if upstream in self._asked:
+    def mark_queried(self, upstream: UpstreamId) -> bool:
+        """Mark an engine as queried for its departure; return whether this is the first time."""
+        if upstream in self._queried:
             return False
-        self._asked.add(upstream)
+        self._queried.add(upstream)
         return True
 
     def noticed_at(self, upstream: UpstreamId) -> Millis:
-        """Return when an engine was heard to leave; now when it was not."""
+        """Return when the leave notice of an engine was received; now if never."""
         return self._noticed.get(upstream, self._clock.now())
 
     def forget(self, upstream: UpstreamId) -> None:
-        """Drop what was heard of an engine that takes work after all."""
+        """Drop the notice of an engine that accepts work again."""
         self._noticed.pop(upstream, None)
-        self._gone.pop(upstream, None)
-        self._asked.discard(upstream)
+        self._departure_times.pop(upstream, None)
+        self._queried.discard(upstream)
 
-    def note_end(self, upstream: UpstreamId, *, in_ms: int) -> None:
-        """Take in an engine's own word of when it goes; it can only be later than assumed."""
+    def extend_departure(self, upstream: UpstreamId, *, in_ms: int) -> None:
+        """Apply the departure time an engine reports, unless it is earlier than assumed."""
         at = Millis(self._clock.now() + in_ms)
-        if upstream in self._gone and at > self._gone[upstream]:
-            self._gone[upstream] = at
+        if upstream in self._departure_times and at > self._departure_times[upstream]:
+            self._departure_times[upstream] = at
 
-    def correct_end(self, upstream: UpstreamId, *, in_ms: int) -> None:
-        """Take in when an engine goes that told so before its notice was heard."""
-        if upstream in self._gone:
-            self._gone[upstream] = Millis(self._clock.now() + max(in_ms, 0))
-            self._asked.add(upstream)
+    def set_departure(self, upstream: UpstreamId, *, in_ms: int) -> None:
+        """Set the departure time of an engine that reported it before its notice was received."""
+        if upstream in self._departure_times:
+            self._departure_times[upstream] = Millis(self._clock.now() + max(in_ms, 0))
+            self._queried.add(upstream)
 
-    def gone_at(self, upstream: UpstreamId) -> Millis:
+    def departure_time(self, upstream: UpstreamId) -> Millis:
         """Return when an engine is expected to be gone."""
-        return self._gone.get(upstream, self._clock.now())
+        return self._departure_times.get(upstream, self._clock.now())
 
     @property
-    def links_busy(self) -> bool:
-        """Whether runs are being copied away from an engine now."""
+    def are_links_reserved(self) -> bool:
+        """Whether links are reserved for runs that are being moved off a leaving engine."""
         now = self._clock.now()
-        return any(now - at < LINKS_BUSY_MS for at in self._noticed.values())
+        return any(now - at < LINK_RESERVATION_MS for at in self._noticed.values())
--- a/src/tanagerscale/coordination/_feed.py
+++ b/src/tanagerscale/coordination/_feed.py
@@ -1,8 +1,8 @@
-"""Entries of the store, read by few hosts and told on to all others.
+"""Distribution of store entries from the few hosts that watch the store to all others.
 
-The load it answers: engines come and go every few seconds before hundreds of hosts, and each host
-that watches the store makes a call for each change. So hosts that coordinate watch; the others hear
-from one of these what it read, and of another one when that knows more.
+Engines are added and removed every few seconds in a cluster of hundreds of hosts, and each host
+that watches the store makes a call for each change. So only coordinators watch; each other host
+receives the changes from one of them, and switches to another one that has a newer revision.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 from tanagerscale.store import StoreRevision
 from tanagerscale.store import WatchBatch
 
-KEPT_CHANGES: Final = 200
-"""Changes that are kept for hosts that ask for what they missed; more than a minute's worth where
-five engines come and go each three seconds. Hosts that missed more get all entries."""
+MAX_KEPT_CHANGES: Final = 200
+"""Changes kept for hosts that request those they missed; more than a minute's worth when five
+engines are added and removed every three seconds. A host that missed more gets all entries."""
 
-BEHIND_MS: Final = 300
-"""How long another host may know more before it is asked; what is on its way takes some
-milliseconds."""
+MAX_LAG_MS: Final = 300
+"""How long another host may have a newer revision before this host requests it; changes in transit
+arrive within some milliseconds."""
 
 _log = get_logger(part="feed")
 
 
 class _StoreView(Struct, frozen=True, kw_only=True):
-    """How the store looks from one host.
+    """State of the store as observed by one host.
 
     :param is_watched: Whether its watch is answered.
-    :param is_answered: Whether its other calls are.
+    :param is_answered: Whether its other calls are answered.
     """
 
     is_watched: bool = False
@@ -56,19 +56,19 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the store tells of changes."""
+        """Whether the store delivers changes."""
         return self.is_watched and self.is_answered
 
 
 class FeedListener(PrefixListener, Protocol):
-    """Uses the entries of one topic."""
+    """Consumer of the entries of one topic."""
 
     def on_calls(self, *, answered: bool) -> None:
-        """Note that other calls to the store fail, or are answered again."""
+        """Handle that other calls to the store fail, or are answered again."""
 
 
 class _Change(Struct, frozen=True, kw_only=True):
-    """A change of one entry; without an entry it is gone."""
+    """A change of one entry; without an entry it is a deletion."""
 
     key: str
     entry: StoreEntry | None
@@ -76,15 +76,15 @@
 
 @final
 class ListFeed:
-    """Keeps the entries, wherever they come from, and tells those that ask.
+    """Keeps the entries of one topic and sends them to subscribers.
 
-    It stands between what follows the store and what uses the entries, and lets nothing through
-    that is older than what is known.
+    The entries come from the store or from another host. The feed sits between the store watch and
+    the consumer of the entries, and discards data that is older than the known revision.
 
-    :param topic: Which entries these are.
-    :param listener: Uses the entries.
-    :param tell: Sends a message to a host; returns whether it is connected.
-    :param clock: Time.
+    :param topic: Topic of the entries.
+    :param listener: Consumer of the entries.
+    :param send: Sends a message to a host; returns whether it is connected.
+    :param clock: Source of the current time.
     """
 
     def __init__(
@@ -92,104 +92,107 @@
         *,
         topic: ListTopic,
         listener: FeedListener,
-        tell: Callable[[HostId, Message], bool],
+        send: Callable[[HostId, Message], bool],
         clock: Clock,
     ) -> None:
         self._topic = topic
         self._listener = listener
-        self._tell = tell
+        self._send = send
         self._clock = clock
         self._entries: dict[str, StoreEntry] = {}
         self._changes: OrderedDict[StoreRevision, list[_Change]] = OrderedDict()
         self._oldest = StoreRevision(0)
         """Changes after this revision are kept."""
-        self._reached = StoreRevision(0)
-        self._own = _StoreView()
-        self._told = _StoreView()
-        """What the source says of the store."""
-        self._view = _StoreView()
-        """What the listener was told."""
+        self._revision = StoreRevision(0)
+        self._own_view = _StoreView()
+        self._source_view = _StoreView()
+        """State of the store according to the source."""
+        self._listener_view = _StoreView()
+        """State of the store that the listener was last notified of."""
         self._subscribers: set[HostId] = set()
         self._source: HostId | None = None
         self._behind_since: Millis | None = None
 
     @property
-    def reached(self) -> StoreRevision:
-        """Revision of the store up to which the entries are known; 0 before any is."""
-        return self._reached
+    def revision(self) -> StoreRevision:
+        """Revision of the store up to which the entries are known; 0 before any is known."""
+        return self._revision
 
     @property
     def source(self) -> HostId | None:
-        """The host that tells this one; ``None`` while this one follows the store itself."""
+        """Host that the entries come from; ``None`` while this host watches the store itself."""
         return self._source
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Take in all entries, as the store has them."""
-        if found.revision < self._reached:
+        """Handle a snapshot of all entries in the store."""
+        if found.revision < self._revision:
             return
         self._entries = {entry.key: entry for entry in found.entries}
         self._changes.clear()
-        self._oldest = self._reached = found.revision
+        self._oldest = self._revision = found.revision
         self._listener.on_snapshot(found)
-        self._tell_all(self._whole())
+        self._publish(self._full_content())
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in changes, as the store has them."""
+        """Handle changes from the store."""
         revision = batch.newest or batch.revision
-        if revision <= self._reached:
+        if revision <= self._revision:
             return
-        before = self._reached
+        before = self._revision
         changes = [_Change(key=entry.key, entry=entry) for entry in batch.entries]
         changes += [_Change(key=key, entry=None) for key in batch.deleted]
-        self._keep(changes, revision)
+        self._record_changes(changes, revision)
         self._listener.on_changes(batch)
-        self._tell_all(self._since(before))
+        self._publish(self._content_since(before))
 
     def on_store(self, *, reachable: bool) -> None:
-        """Note whether the watch of this host's own is answered."""
-        self._note_own(replace(self._own, is_watched=reachable))
+        """Record whether this host's own watch is answered."""
+        self._update_own_view(replace(self._own_view, is_watched=reachable))
 
     def on_calls(self, *, answered: bool) -> None:
-        """Note whether other calls to the store are answered.
+        """Record whether other calls to the store are answered.
 
-        A watch that waits at a store that refuses calls hears nothing and does not end.
+        A watch that is waiting receives nothing and does not end when the store starts to refuse
+        calls.
         """
-        self._note_own(replace(self._own, is_answered=answered))
+        self._update_own_view(replace(self._own_view, is_answered=answered))
 
-    def end_following(self) -> None:
-        """Take in that this host watches the store no more."""
+    def stop_watching(self) -> None:
+        """Record that this host no longer watches the store."""
         self.on_store(reachable=False)
 
     def follow(self, source: HostId | None) -> None:
-        """Hear changes from a host from now on.
+        """Receive changes from a host from now on.
 
-        :param source: That host; ``None`` when this one follows the store itself.
+        :param source: The host; ``None`` when this host watches the store itself.
         """
         if source == self._source:
             return
         if self._source is not None:
-            self._tell(self._source, ListRequest(topic=self._topic, ends=True))
+            self._send(self._source, ListRequest(topic=self._topic, ends=True))
         self._source = source
         if source is None:
-            self._told = _StoreView()
-            self._tell_listener()
+            self._source_view = _StoreView()
+            self._notify_listener()
         else:
-            # What the former source said of the store holds until this one has answered.
-            _log.info("Entries come from another host.", topic=self._topic.value, source=source)
-            self._ask(source)
+            # The former source's state of the store stays in effect until the new source answers.
+            _log.info(
+                "Receiving entries from another host.", topic=self._topic.value, source=source
+            )
+            self._request_from(source)
 
     def on_joined(self, host: HostId) -> None:
-        """Ask a host again that has come back."""
+        """Subscribe again to a source that has reconnected."""
         self._subscribers.discard(host)
         if host == self._source:
-            self._ask(host)
+            self._request_from(host)
 
     def on_gone(self, host: HostId) -> None:
-        """Tell a host no more that is gone."""
+        """Remove the subscription of a host that has disconnected."""
         self._subscribers.discard(host)
 
     def on_message(self, host: HostId, message: Message) -> None:
-        """Take in what another host asks or tells; other messages are ignored."""
+        """Handle a subscription or content from another host; other messages are ignored."""
         if isinstance(message, ListRequest) and message.topic is self._topic:
             self._on_request(host, message)
         elif isinstance(message, ListContent) and message.topic is self._topic:
@@ -203,123 +206,130 @@
             self._subscribers.discard(host)
             return
         self._subscribers.add(host)
-        self._tell(host, self._since(StoreRevision(request.have_revision)))
+        self._send(host, self._content_since(StoreRevision(request.have_revision)))
 
     def _on_content(self, content: ListContent) -> None:
         if content.revision:
-            self._take(content)
-        # Without a revision the source has read nothing itself, so that it tells of the store only.
+            self._apply(content)
+        # Content without a revision comes from a source that has read nothing itself; it only
+        # carries the state of the store.
         self._behind_since = None
-        self._told = _StoreView(is_watched=content.is_watched, is_answered=content.is_answered)
-        self._tell_listener()
+        self._source_view = _StoreView(
+            is_watched=content.is_watched, is_answered=content.is_answered
+        )
+        self._notify_listener()
 
-    def _take(self, content: ListContent) -> None:
+    def _apply(self, content: ListContent) -> None:
         entries = tuple(_to_entry(item) for item in content.entries)
         revision = StoreRevision(content.revision)
         if content.after < 0:
             self.on_snapshot(StoreRange(entries=entries, revision=revision))
-        elif content.after <= self._reached:
+        elif content.after <= self._revision:
             deleted = tuple(content.deleted)
             self.on_changes(WatchBatch(entries=entries, deleted=deleted, revision=revision))
         else:
-            # Something was missed in between.
-            self._ask_source()
+            # A change in between was missed.
+            self._request_from_source()
 
     def _on_heartbeat(self, host: HostId, heartbeat: Heartbeat) -> None:
-        """Ask a host that knows more for what the source does not tell."""
-        if self._told_by(heartbeat) <= self._reached:
+        """Request changes from a host that has a newer revision than this one."""
+        if self._announced_revision(heartbeat) <= self._revision:
             return
         now = self._clock.now()
         if self._behind_since is None:
             self._behind_since = now
-        if now - self._behind_since < BEHIND_MS and host != self._source:
+        if now - self._behind_since < MAX_LAG_MS and host != self._source:
             return
         self._behind_since = None
         if host == self._source:
-            self._ask(host)
+            self._request_from(host)
         else:
             self.follow(host)
 
-    def _told_by(self, heartbeat: Heartbeat) -> int:
-        """Return the revision up to which a host knows this topic."""
+    def _announced_revision(self, heartbeat: Heartbeat) -> int:
+        """Return the revision of this topic in a heartbeat."""
         if self._topic is ListTopic.EVACUATIONS:
             return heartbeat.evacuations
         return heartbeat.listed
 
-    def _note_own(self, view: _StoreView) -> None:
-        """Tell the others when this host's own view of the store has changed.
+    def _update_own_view(self, view: _StoreView) -> None:
+        """Update this host's own state of the store, and inform subscribers and the listener.
 
-        What another one tells of the store is not told on, or two hosts that hear from each other
-        would go on believing each other.
+        The state received from a source is not forwarded; otherwise two hosts that follow each
+        other would keep a stale state alive.
         """
-        if view == self._own:
+        if view == self._own_view:
             return
-        self._own = view
-        self._tell_all(self._since(self._reached))
-        self._tell_listener()
-
-    def _tell_listener(self) -> None:
-        """Tell what is known of the store, by this host or by its source."""
-        view = self._own if self._own.is_current or not self._told.is_watched else self._told
-        before, self._view = self._view, view
+        self._own_view = view
+        self._publish(self._content_since(self._revision))
+        self._notify_listener()
+
+    def _notify_listener(self) -> None:
+        """Notify the listener of the state of the store, as observed by this host or its source."""
+        view = (
+            self._own_view
+            if self._own_view.is_current or not self._source_view.is_watched
+            else self._source_view
+        )
+        before, self._listener_view = self._listener_view, view
         if view.is_watched is not before.is_watched:
             self._listener.on_store(reachable=view.is_watched)
         if view.is_answered is not before.is_answered:
             self._listener.on_calls(answered=view.is_answered)
 
-    def _ask_source(self) -> None:
+    def _request_from_source(self) -> None:
         if self._source is not None:
-            self._ask(self._source)
+            self._request_from(self._source)
 
-    def _ask(self, host: HostId) -> None:
-        self._tell(host, ListRequest(topic=self._topic, have_revision=self._reached))
+    def _request_from(self, host: HostId) -> None:
+        self._send(host, ListRequest(topic=self._topic, have_revision=self._revision))
 
-    def _keep(self, changes: Sequence[_Change], revision: StoreRevision) -> None:
+    def _record_changes(self, changes: Sequence[_Change], revision: StoreRevision) -> None:
         for change in changes:
             if change.entry is None:
                 self._entries.pop(change.key, None)
             else:
                 self._entries[change.key] = change.entry
         self._changes[revision] = list(changes)
-        self._reached = revision
-        while len(self._changes) > KEPT_CHANGES:
+        self._revision = revision
+        while len(self._changes) > MAX_KEPT_CHANGES:
             self._oldest, _ = self._changes.popitem(last=False)
 
-    def _whole(self) -> ListContent:
+    def _full_content(self) -> ListContent:
         return ListContent(
             topic=self._topic,
-            revision=self._reached,
-            is_watched=self._own.is_watched,
-            is_answered=self._own.is_answered,
+            revision=self._revision,
+            is_watched=self._own_view.is_watched,
+            is_answered=self._own_view.is_answered,
             entries=[_to_item(entry) for entry in self._entries.values()],
         )
 
-    def _since(self, revision: StoreRevision) -> ListContent:
-        """Return what has changed after a revision, or everything when that is not known."""
-        if revision < self._oldest or not self._reached:
-            return self._whole()
-        last: dict[str, StoreEntry | None] = {}
-        for made, changes in self._changes.items():
-            if made > revision:
-                last.update({change.key: change.entry for change in changes})
+    def _content_since(self, revision: StoreRevision) -> ListContent:
+        """Return the changes after a revision, or all entries when the changes are not kept."""
+        if revision < self._oldest or not self._revision:
+            return self._full_content()
+        latest: dict[str, StoreEntry | None] = {}
+        for changed_at, changes in self._changes.items():
+            if changed_at > revision:
+                latest.update({change.key: change.entry for change in changes})
         return ListContent(
             topic=self._topic,
-            revision=self._reached,
+            revision=self._revision,
             after=revision,
-            is_watched=self._own.is_watched,
-            is_answered=self._own.is_answered,
-            entries=[_to_item(entry) for entry in last.values() if entry is not None],
-            deleted=[key for key, entry in last.items() if entry is None],
+            is_watched=self._own_view.is_watched,
+            is_answered=self._own_view.is_answered,
+            entries=[_to_item(entry) for entry in latest.values() if entry is not None],
+            deleted=[key for key, entry in latest.items() if entry is None],
         )
 
-    def _tell_all(self, content: ListContent) -> None:
+    def _publish(self, content: ListContent) -> None:
         for host in list(self._subscribers):
-            if not self._tell(host, content):
+            if not self._send(host, content):
                 self._subscribers.discard(host)
 
 
 def _to_item(entry: StoreEntry) -> ListedItem:
-    # What is no text can't be read by anyone, and is as unreadable when some of it is replaced.
+    # Invalid UTF-8 can't be parsed by any host, and remains invalid after characters are replaced.
     value = entry.value.decode(errors="replace")
     return ListedItem(key=entry.key, value=value, revision=entry.mod_revision)
 
--- a/src/tanagerscale/coordination/_health.py
+++ b/src/tanagerscale/coordination/_health.py
@@ -1,4 +1,4 @@
-"""What requests show of upstreams whose health checks are good."""
+"""Outlier detection: upstreams that fail requests although their health checks pass."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
 from tanagerscale.upstreams import UpstreamEntry
 
 WINDOW_MS: Final = 4000
-"""How far back answers count. In it all hosts together see some 25 answers of an upstream that
-takes a third of 20 requests a second."""
+"""Length of the window of counted answers. In it, all hosts together observe some 25 answers of an
+upstream that handles a third of 20 requests a second."""
 
-FIRST_EJECTION_MS: Final = 3000
-LONGEST_EJECTION_MS: Final = 12_000
-"""A first ejection is about as long as what ails upstreams for a moment; each that follows within
-a minute is twice as long. After it ordinary requests try the upstream again, at the price of three
-of them."""
+BASE_EJECTION_MS: Final = 3000
+MAX_EJECTION_MS: Final = 12_000
+"""The first ejection lasts about as long as a transient fault of an upstream; each further one
+within a minute lasts twice as long. After an ejection, ordinary requests probe the upstream again,
+which costs about three failed requests."""
 
-FORGIVEN_MS: Final = 60_000
-"""Time after which an ejection is as if there had been none."""
+EJECTION_RESET_MS: Final = 60_000
+"""Time after which earlier ejections no longer count."""
 
-TELL_MS: Final = 500
-"""How often those that coordinate hear of bad answers; an upstream that fails is ejected within a
-second or two."""
+TALLY_INTERVAL_MS: Final = 500
+"""Interval at which failures are reported to the coordinators, so that a failing upstream is
+ejected within a second or two."""
 
 NEVER: Final = Millis(0)
 
 _log = get_logger(part="health")
 
 
-class _Answers(Struct, kw_only=True):
+class _AnswerHistory(Struct, kw_only=True):
     """Answers of one upstream to this host, and its ejections."""
 
-    seen: deque[tuple[Millis, bool]] = field(default_factory=deque)
+    results: deque[tuple[Millis, bool]] = field(default_factory=deque)
     ejections: int = 0
     ejected_until: Millis = NEVER
     rate: float = 0.0
@@ -62,98 +62,98 @@
 
 @final
 class UpstreamHealth:
-    """Finds upstreams that do much worse than their siblings, and ejects them for a while.
+    """Ejects upstreams with a much higher failure rate than other upstreams of their service.
 
-    :param service_of: Returns whose upstream one is; ``None`` when it is not known.
-    :param may_judge: Returns whether this host decides which upstreams are ejected; the others tell
-        it what they saw, and hear of it.
-    :param clock: Time.
+    :param service_of: Returns the service of an upstream; ``None`` when it is unknown.
+    :param can_eject: Returns whether this host decides which upstreams are ejected; other hosts
+        send it their tallies and receive its ejections.
+    :param clock: Source of the current time.
     """
 
     def __init__(
         self,
         *,
         service_of: Callable[[UpstreamId], ServiceId | None],
-        may_judge: Callable[[], bool] = lambda: True,
+        can_eject: Callable[[], bool] = lambda: True,
         clock: Clock,
     ) -> None:
         self._service_of = service_of
-        self._may_judge = may_judge
+        self._can_eject = can_eject
         self._clock = clock
-        self._own: dict[UpstreamId, _Answers] = defaultdict(_Answers)
-        self._peers: dict[HostId, dict[UpstreamId, Tally]] = {}
-        self._told = AnswerTallies()
+        self._own_answers: dict[UpstreamId, _AnswerHistory] = defaultdict(_AnswerHistory)
+        self._peer_tallies: dict[HostId, dict[UpstreamId, Tally]] = {}
+        self._published = AnswerTallies()
         self._timer: asyncio.TimerHandle | None = None
-        self._news: Subject[AnswerTallies] = Subject()
+        self._tally_updates: Subject[AnswerTallies] = Subject()
         self._ejections: Subject[EjectedUpstream] = Subject()
 
     @property
     def news(self) -> Observable[AnswerTallies]:
-        """Fires with what those that coordinate should be told."""
-        return self._news
+        """Emits the tallies to send to the coordinators."""
+        return self._tally_updates
 
     @property
     def ejections(self) -> Observable[EjectedUpstream]:
-        """Fires with what all hosts should be told, when this host lets an upstream rest."""
+        """Emits the ejections made by this host, to be sent to all hosts."""
         return self._ejections
 
     def note_good(self, *, upstream: UpstreamId) -> None:
-        """Record an answer that came whole and in time."""
-        self._own[upstream].seen.append((self._clock.now(), True))
+        """Record a complete answer that arrived in time."""
+        self._own_answers[upstream].results.append((self._clock.now(), True))
 
     def note_bad(self, *, upstream: UpstreamId) -> None:
         """Record an error, or an answer that is broken, late or missing."""
-        self._own[upstream].seen.append((self._clock.now(), False))
-        self._judge(upstream)
-        self._tell_later()
+        self._own_answers[upstream].results.append((self._clock.now(), False))
+        self._check_outlier(upstream)
+        self._schedule_publish()
 
     def on_peer(self, *, host: HostId, tallies: AnswerTallies) -> None:
-        """Take in what a peer saw."""
-        self._peers[host] = {
+        """Store the tallies of a peer."""
+        self._peer_tallies[host] = {
             UpstreamId(upstream): Tally(good=good, bad=bad)
             for upstream, (good, bad) in tallies.upstreams.items()
         }
-        for upstream in list(self._peers[host]):
-            self._judge(upstream)
+        for upstream in list(self._peer_tallies[host]):
+            self._check_outlier(upstream)
 
     def on_ejected(self, message: EjectedUpstream) -> None:
-        """Let an upstream rest, since the host that decides says so."""
-        answers = self._own[UpstreamId(message.upstream)]
+        """Apply an ejection that the decider has made."""
+        answers = self._own_answers[UpstreamId(message.upstream)]
         answers.ejected_until = Millis(self._clock.now() + message.for_ms)
         answers.rate = message.rate
-        answers.seen.clear()
+        answers.results.clear()
         _log.info(
-            "An upstream is ejected by another host.", upstream=message.upstream, rate=message.rate
+            "Another host has ejected an upstream.", upstream=message.upstream, rate=message.rate
         )
 
     def forget_peer(self, *, host: HostId) -> None:
-        """Drop what a host saw that is gone."""
-        self._peers.pop(host, None)
+        """Drop the tallies of a host that has disconnected."""
+        self._peer_tallies.pop(host, None)
 
-    def usable(self, entries: Sequence[UpstreamEntry]) -> list[UpstreamEntry]:
-        """Return those of a service's upstreams that do not rest."""
+    def exclude_ejected(self, entries: Sequence[UpstreamEntry]) -> list[UpstreamEntry]:
+        """Return those upstreams of a service that are not ejected."""
         now = self._clock.now()
         ejected = {
             entry.upstream: answers.rate
             for entry in entries
-            if (answers := self._own.get(entry.upstream)) is not None
+            if (answers := self._own_answers.get(entry.upstream)) is not None
             and answers.ejected_until > now
         }
         if not ejected:
             return list(entries)
-        kept_out = may_eject(ejected, siblings=len(entries))
-        return [entry for entry in entries if entry.upstream not in kept_out]
+        excluded = may_eject(ejected, siblings=len(entries))
+        return [entry for entry in entries if entry.upstream not in excluded]
 
-    def _tell_later(self) -> None:
+    def _schedule_publish(self) -> None:
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(TELL_MS / MS_PER_SECOND, self._tell)
+            self._timer = loop.call_later(TALLY_INTERVAL_MS / MS_PER_SECOND, self._publish_tallies)
 
-    def _tell(self) -> None:
-        """Tell what this host saw of upstreams that gave bad answers lately, if that is new."""
+    def _publish_tallies(self) -> None:
+        """Publish the tallies of upstreams with recent failures, if they have changed."""
         self._timer = None
-        self._forget_old()
-        tallies = {upstream: self._own_tally(upstream) for upstream in self._own}
+        self._forget_expired()
+        tallies = {upstream: self._own_tally(upstream) for upstream in self._own_answers}
         message = AnswerTallies(
             upstreams={
                 str(upstream): [tally.good, tally.bad]
@@ -161,37 +161,37 @@
                 if tally.bad
             }
         )
-        if message != self._told:
-            self._told = message
-            self._news.on_next(message)
+        if message != self._published:
+            self._published = message
+            self._tally_updates.on_next(message)
         if message.upstreams:
-            self._tell_later()
+            self._schedule_publish()
 
-    def _judge(self, upstream: UpstreamId) -> None:
-        answers = self._own[upstream]
+    def _check_outlier(self, upstream: UpstreamId) -> None:
+        answers = self._own_answers[upstream]
         now = self._clock.now()
         service = self._service_of(upstream)
-        if service is None or answers.ejected_until > now or not self._may_judge():
+        if service is None or answers.ejected_until > now or not self._can_eject():
             return
         own = self._tally(upstream)
         others = Tally()
-        for other in self._known():
+        for other in self._known_upstreams():
             if other != upstream and self._service_of(other) == service:
                 others = others.plus(self._tally(other))
         if is_outlier(own=own, others=others):
             self._eject(upstream, own, others)
 
     def _eject(self, upstream: UpstreamId, own: Tally, others: Tally) -> None:
-        answers = self._own[upstream]
+        answers = self._own_answers[upstream]
         now = self._clock.now()
-        if now - answers.ejected_until > FORGIVEN_MS:
+        if now - answers.ejected_until > EJECTION_RESET_MS:
             answers.ejections = 0
-        for_ms = min(FIRST_EJECTION_MS * 2**answers.ejections, LONGEST_EJECTION_MS)
+        for_ms = min(BASE_EJECTION_MS * 2**answers.ejections, MAX_EJECTION_MS)
         answers.ejections += 1
         answers.ejected_until = Millis(now + for_ms)
         answers.rate = own.rate
-        answers.seen.clear()
-        for tallies in self._peers.values():
+        answers.results.clear()
+        for tallies in self._peer_tallies.values():
             tallies.pop(upstream, None)
         _log.warning(
             "An upstream is ejected.",
@@ -206,70 +206,70 @@
             EjectedUpstream(upstream=upstream, for_ms=for_ms, rate=round(own.rate, 3))
         )
 
-    def _known(self) -> set[UpstreamId]:
-        known = set(self._own)
-        for tallies in self._peers.values():
+    def _known_upstreams(self) -> set[UpstreamId]:
+        known = set(self._own_answers)
+        for tallies in self._peer_tallies.values():
             known.update(tallies)
         return known
 
     def _tally(self, upstream: UpstreamId) -> Tally:
         tally = self._own_tally(upstream)
-        for tallies in self._peers.values():
+        for tallies in self._peer_tallies.values():
             tally = tally.plus(tallies.get(upstream, Tally()))
         return tally
 
     def _own_tally(self, upstream: UpstreamId) -> Tally:
-        answers = self._own.get(upstream)
+        answers = self._own_answers.get(upstream)
         if answers is None:
             return Tally()
-        self._drop_old(answers)
-        good = sum(is_good for _, is_good in answers.seen)
-        return Tally(good=good, bad=len(answers.seen) - good)
+        self._drop_expired(answers)
+        good = sum(is_good for _, is_good in answers.results)
+        return Tally(good=good, bad=len(answers.results) - good)
 
-    def _drop_old(self, answers: _Answers) -> None:
+    def _drop_expired(self, answers: _AnswerHistory) -> None:
         oldest = self._clock.now() - WINDOW_MS
-        while answers.seen and answers.seen[0][0] < oldest:
-            answers.seen.popleft()
+        while answers.results and answers.results[0][0] < oldest:
+            answers.results.popleft()
 
-    def _forget_old(self) -> None:
+    def _forget_expired(self) -> None:
         now = self._clock.now()
-        for upstream, answers in list(self._own.items()):
-            self._drop_old(answers)
-            if not answers.seen and now - answers.ejected_until > FORGIVEN_MS:
-                del self._own[upstream]
+        for upstream, answers in list(self._own_answers.items()):
+            self._drop_expired(answers)
+            if not answers.results and now - answers.ejected_until > EJECTION_RESET_MS:
+                del self._own_answers[upstream]
 
 
 @final
-class LateNote:
-    """Records one attempt for the health of its upstream, as soon as it is late.
+class AttemptHealthRecorder:
+    """Records the outcome of an attempt in its upstream's health, or a failure once it is late.
 
-    :param health: Takes what attempts show.
+    :param health: Health of the upstreams.
     :param entry: The upstream.
-    :param after_ms: When an answer is late.
+    :param after_ms: Time in milliseconds after which the answer counts as late.
     """
 
     def __init__(self, *, health: UpstreamHealth, entry: UpstreamEntry, after_ms: int) -> None:
         self._health = health
         self._entry = entry
-        self._is_noted = False
+        self._is_recorded = False
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(after_ms / MS_PER_SECOND, self._on_late)
 
     def end(self, *, is_good: bool) -> None:
-        """Record how it ended, unless it was late."""
+        """Record the outcome, unless the attempt has already been recorded as late."""
         self._timer.cancel()
-        if self._is_noted:
+        if self._is_recorded:
             return
-        self._is_noted = True
+        self._is_recorded = True
         if is_good:
             self._health.note_good(upstream=self._entry.upstream)
         else:
             self._health.note_bad(upstream=self._entry.upstream)
 
     def cancel(self) -> None:
-        """Stop waiting; nothing is known of an attempt that was given up before it was late."""
+        """Stop the timer of an attempt cancelled before it was late; its outcome is unknown."""
         self._timer.cancel()
 
     def _on_late(self) -> None:
-        self._is_noted = True
+        self._is_recorded = True
         self._health.note_bad(upstream=self._entry.upstream)
--- a/src/tanagerscale/coordination/_ledger.py
+++ b/src/tanagerscale/coordination/_ledger.py
@@ -1,4 +1,4 @@
-"""What all hosts run on engines, as they told, and what was granted to them since."""
+"""Runs of all hosts on engines, as last reported, and grants made since."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 from tanagerscale.generated.messages import HostRuns
 from tanagerscale.generated.messages import RunUse
 
-GRANT_MS: Final = 1000
-"""How long a place stays taken for a host that has not told that it uses it. Hosts tell within
-30 ms; one that has died in between must not hold memory that others wait for."""
+GRANT_TTL_MS: Final = 1000
+"""How long a grant reserves memory for a host that has not reported the run. Hosts report within 30
+ms; a host that died in between must not hold memory that others wait for."""
 
-DROP_MS: Final = 200
-"""How long a copy counts as dropped though its host has not said so; it takes a few
+DROP_TIMEOUT_MS: Final = 200
+"""How long a copy counts as dropped without a confirmation of its host; dropping takes a few
 milliseconds."""
 
-TOKEN_MS: Final = 9.0
-"""How long an engine with five to twelve generations takes for a token of each, by which what was
-told a while ago is brought up to date."""
+TOKEN_INTERVAL_MS: Final = 9.0
+"""Time per token of each generation on an engine that runs five to twelve of them; used to
+extrapolate old reports."""
 
 
 class EngineTotal(Struct, kw_only=True):
-    """What runs on one engine.
+    """Sums of the runs on one engine.
 
     :param running: Generations that have begun to answer.
-    :param waiting: Generations that have not.
-    :param waiting_tokens: Their prompt tokens.
+    :param waiting: Generations that have not begun to answer.
+    :param waiting_tokens: Prompt tokens of waiting generations.
     :param long_tokens: Tokens that long generations hold or will hold.
-    :param short_tokens: The same for short ones.
-    :param copy_tokens: Memory of copies of what leaves another engine.
-    :param yielding_tokens: Memory of copies taken ahead, which yield to new work.
+    :param short_tokens: Tokens that short generations hold or will hold.
+    :param copy_tokens: Memory of copies of runs that are leaving another engine.
+    :param yielding_tokens: Memory of copies made ahead of time, which are dropped for new work.
     :param uncopied_tokens: Memory of long generations that have no copy elsewhere.
     """
 
@@ -57,13 +57,13 @@
 
 
 class LedgerRun(Struct, frozen=True, kw_only=True):
-    """A generation as it stands now.
+    """The current state of a generation.
 
-    :param host: Whose caller waits for it.
-    :param use: What its host told.
-    :param tokens: Memory it holds by now.
-    :param made: Tokens of its answer by now.
-    :param running_ms: How long it has answered on its engine; negative before that.
+    :param host: Host that serves its caller.
+    :param use: Last report of its host.
+    :param tokens: Estimated memory in tokens.
+    :param made: Estimated number of generated tokens.
+    :param running_ms: Time since its engine began to answer; negative before that.
     :param copy_age_ms: Age of its copy.
     """
 
@@ -75,172 +75,172 @@
     copy_age_ms: int
 
 
-class _HostBook(Struct, kw_only=True):
-    """What is known of one host."""
+class _HostReport(Struct, kw_only=True):
+    """The last report of one host."""
 
     number: int
     decider: HostId
-    heard: Millis
+    received_at: Millis
     runs: dict[RequestId, RunUse]
 
 
-class _Plan(Struct, frozen=True, kw_only=True):
-    """A change of a run's copy that its host has been asked for.
+class _CopyPlan(Struct, frozen=True, kw_only=True):
+    """A change to the copy of a run that its host has been ordered to make.
 
-    :param copy_at: Engine that will hold its copy; empty for none.
-    :param yields: Whether the copy is taken ahead.
+    :param copy_at: Engine that will hold the copy; empty for none.
+    :param yields: Whether the copy is made ahead of time.
     :param is_moving: Whether the run is being copied.
-    :param until: When it counts no more.
+    :param expires_at: When the plan stops counting.
     """
 
     copy_at: str
     yields: bool
     is_moving: bool
-    until: Millis
+    expires_at: Millis
 
 
 class _Grant(Struct, frozen=True, kw_only=True):
-    """A place that a host has been given and has not told to use yet."""
+    """Memory granted to a host that has not reported the run yet."""
 
     host: HostId
     use: RunUse
-    until: Millis
+    expires_at: Millis
 
 
 @final
 class RunLedger:
-    """Adds up what all hosts run.
+    """Sums up the runs of all hosts.
 
-    :param clock: Time.
+    :param clock: Source of the current time.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._hosts: dict[HostId, _HostBook] = {}
+        self._hosts: dict[HostId, _HostReport] = {}
         self._grants: dict[RequestId, _Grant] = {}
-        self._plans: dict[RequestId, _Plan] = {}
-        self._news: Subject[None] = Subject()
+        self._plans: dict[RequestId, _CopyPlan] = {}
+        self._changes: Subject[None] = Subject()
 
     @property
-    def news(self) -> Observable[None]:
-        """Fires when anything has changed."""
-        return self._news
+    def changes(self) -> Observable[None]:
+        """Emits after every change."""
+        return self._changes
 
-    def hosts_of(self, decider: HostId) -> int:
-        """Return how many hosts let one decide."""
-        return sum(book.decider == decider for book in self._hosts.values())
+    def count_hosts(self, decider: HostId) -> int:
+        """Return the number of hosts that use this decider."""
+        return sum(report.decider == decider for report in self._hosts.values())
 
     def report(self, *, host: HostId, runs: HostRuns) -> None:
-        """Take in what a host runs, unless something newer was heard of it."""
+        """Store the runs of a host, unless a newer report is known."""
         before = self._hosts.get(host)
         if before is not None and runs.number <= before.number:
             return
-        self._hosts[host] = _HostBook(
+        self._hosts[host] = _HostReport(
             number=runs.number,
             decider=HostId(runs.decider),
-            heard=self._clock.now(),
+            received_at=self._clock.now(),
             runs={RequestId(use.request): use for use in runs.runs},
         )
         for use in runs.runs:
             self._grants.pop(RequestId(use.request), None)
-        self._news.on_next(None)
+        self._changes.on_next(None)
 
     def forget(self, *, host: HostId) -> None:
-        """Drop what a host had that is gone or has started again."""
+        """Drop the runs of a host that has disconnected or restarted."""
         if self._hosts.pop(host, None) is not None:
-            self._news.on_next(None)
+            self._changes.on_next(None)
 
     def grant(self, *, host: HostId, use: RunUse) -> None:
-        """Count a place that a host has been given, until it tells of it or the grant is old."""
-        until = Millis(self._clock.now() + GRANT_MS)
-        self._grants[RequestId(use.request)] = _Grant(host=host, use=use, until=until)
-        self._news.on_next(None)
+        """Reserve memory for a host until it reports the run or the grant expires."""
+        expires_at = Millis(self._clock.now() + GRANT_TTL_MS)
+        self._grants[RequestId(use.request)] = _Grant(host=host, use=use, expires_at=expires_at)
+        self._changes.on_next(None)
 
-    def take_back(self, *, request: RequestId) -> None:
-        """Forget a place whose host does not use it."""
+    def release_grant(self, *, request: RequestId) -> None:
+        """Remove a grant that its host does not use."""
         if self._grants.pop(request, None) is not None:
-            self._news.on_next(None)
+            self._changes.on_next(None)
 
     def plan_copy(self, *, run: LedgerRun, target: UpstreamId, yields: bool, for_ms: int) -> None:
-        """Count the memory of a copy from now on that its host is asked to make.
+        """Count the memory of a copy that a host is ordered to make.
 
         :param run: The run.
-        :param target: Where the copy goes.
-        :param yields: Whether it is taken ahead and yields to new work.
-        :param for_ms: How long that counts, unless it is ended before.
+        :param target: Engine that will hold the copy.
+        :param yields: Whether the copy is made ahead of time and is dropped for new work.
+        :param for_ms: How long the plan counts unless it is ended earlier.
         """
-        self._plan(run, target, yields=yields, is_moving=True, for_ms=for_ms)
+        self._set_plan(run, target, yields=yields, is_moving=True, for_ms=for_ms)
 
     def plan_drop(self, *, run: LedgerRun) -> None:
-        """Count the memory of a copy as free that its host is asked to give up."""
-        self._plan(run, "", yields=False, is_moving=False, for_ms=DROP_MS)
+        """Count the memory of a copy that a host is ordered to drop as free."""
+        self._set_plan(run, "", yields=False, is_moving=False, for_ms=DROP_TIMEOUT_MS)
 
     def end_plan(self, *, request: RequestId) -> None:
-        """Go by what the host tells of a run again."""
+        """Use the report of the host for a run again."""
         self._plans.pop(request, None)
 
     def runs_of(self, *, decider: HostId) -> list[LedgerRun]:
-        """Return the generations of the hosts that let one host plan their moves."""
+        """Return the generations of the hosts that use this decider."""
         return [
             run
-            for host, book in self._hosts.items()
-            if book.decider == decider
-            for run in self._runs_in(host, book)
+            for host, report in self._hosts.items()
+            if report.decider == decider
+            for run in self._runs_in_report(host, report)
         ]
 
     def totals(self) -> dict[UpstreamId, EngineTotal]:
-        """Return what runs on each engine that has anything."""
+        """Return the sums of the runs on each engine that has any."""
         totals: dict[UpstreamId, EngineTotal] = defaultdict(EngineTotal)
-        for run in self._all():
-            _add(run, totals)
+        for run in self._all_runs():
+            _add_to_totals(run, totals)
         return totals
 
-    def _plan(
+    def _set_plan(
         self, run: LedgerRun, copy_at: str, *, yields: bool, is_moving: bool, for_ms: int
     ) -> None:
-        self._plans[RequestId(run.use.request)] = _Plan(
+        self._plans[RequestId(run.use.request)] = _CopyPlan(
             copy_at=copy_at,
             yields=yields,
             is_moving=is_moving,
-            until=Millis(self._clock.now() + for_ms),
+            expires_at=Millis(self._clock.now() + for_ms),
         )
 
-    def _all(self) -> Iterator[LedgerRun]:
+    def _all_runs(self) -> Iterator[LedgerRun]:
         now = self._clock.now()
-        self._plans = {one: plan for one, plan in self._plans.items() if plan.until > now}
-        self._grants = {one: grant for one, grant in self._grants.items() if grant.until > now}
-        for host, book in self._hosts.items():
-            yield from self._runs_in(host, book)
+        self._plans = {one: plan for one, plan in self._plans.items() if plan.expires_at > now}
+        self._grants = {one: grant for one, grant in self._grants.items() if grant.expires_at > now}
+        for host, report in self._hosts.items():
+            yield from self._runs_in_report(host, report)
         for grant in self._grants.values():
-            yield _brought_up(grant.host, grant.use, 0)
+            yield _extrapolate(grant.host, grant.use, 0)
 
-    def _runs_in(self, host: HostId, book: _HostBook) -> Iterator[LedgerRun]:
-        age_ms = self._clock.now() - book.heard
-        for request, use in book.runs.items():
+    def _runs_in_report(self, host: HostId, report: _HostReport) -> Iterator[LedgerRun]:
+        age_ms = self._clock.now() - report.received_at
+        for request, use in report.runs.items():
             plan = self._plans.get(request)
-            yield _brought_up(host, use if plan is None else _as_planned(use, plan), age_ms)
+            yield _extrapolate(host, use if plan is None else _apply_plan(use, plan), age_ms)
 
 
-def _as_planned(use: RunUse, plan: _Plan) -> RunUse:
+def _apply_plan(use: RunUse, plan: _CopyPlan) -> RunUse:
     return replace(use, copy_at=plan.copy_at, copy_yields=plan.yields, is_moving=plan.is_moving)
 
 
-def _brought_up(host: HostId, use: RunUse, age_ms: int) -> LedgerRun:
-    """Return a generation as it stands some time after its host told of it."""
+def _extrapolate(host: HostId, use: RunUse, age_ms: int) -> LedgerRun:
+    """Extrapolate a reported generation by the age of the report."""
     has_begun = use.begun_ms >= 0
-    grown = int(age_ms / TOKEN_MS) if has_begun and use.is_long else 0
+    growth = int(age_ms / TOKEN_INTERVAL_MS) if has_begun and use.is_long else 0
     return LedgerRun(
         host=host,
         use=use,
-        tokens=use.tokens + grown,
-        made=use.made + grown,
+        tokens=use.tokens + growth,
+        made=use.made + growth,
         running_ms=use.begun_ms + age_ms if has_begun else use.begun_ms,
         copy_age_ms=use.copy_ms + age_ms,
     )
 
 
-def _add(run: LedgerRun, totals: dict[UpstreamId, EngineTotal]) -> None:
-    """Count a generation on its engine, and its copy on the engine that holds it."""
+def _add_to_totals(run: LedgerRun, totals: dict[UpstreamId, EngineTotal]) -> None:
+    """Add a generation to its engine, and its copy to the engine that holds it."""
     use = run.use
     total = totals[UpstreamId(use.upstream)]
     if run.running_ms >= 0 or not use.prompt_tokens:
--- a/src/tanagerscale/coordination/_placement_queue.py
+++ b/src/tanagerscale/coordination/_placement_queue.py
@@ -1,4 +1,4 @@
-"""Generations of all hosts that look for an engine, and which one goes where."""
+"""Queue of generations of all hosts that wait for an engine."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from msgspec import Struct
 
+from tanagerscale.coordination._context import DecisionContext
+from tanagerscale.coordination._context import build_engine_view
+from tanagerscale.coordination._context import eligible_upstreams
 from tanagerscale.coordination._ledger import EngineTotal
 from tanagerscale.coordination._ledger import RunLedger
-from tanagerscale.coordination._parts import DecisionParts
-from tanagerscale.coordination._parts import eligible_upstreams
-from tanagerscale.coordination._parts import view_of
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import HostId
@@ -32,129 +32,132 @@
 from tanagerscale.policy import Verdict
 from tanagerscale.policy import place
 
-LOOK_AGAIN_MS: Final = 50
-"""How often what waits is looked at although nothing was heard: time alone makes it late."""
+REEVALUATION_INTERVAL_MS: Final = 50
+"""Interval at which the queue is evaluated without a change: generations become late as time
+passes."""
 
 EVACUATED: Final = "the failure domains of its engines are evacuated"
-NOT_AT_HOME: Final = "no engine is in the regions that its route and account name"
+OUTSIDE_ALLOWED_REGIONS: Final = "no engine is in the regions that its route and account name"
 
 _log = get_logger(part="placement")
 
 
-class _Waiting(Struct, kw_only=True, eq=False):
-    """A generation that looks for an engine.
+class _QueuedPlacement(Struct, kw_only=True, eq=False):
+    """A generation that waits for an engine.
 
-    :param host: Who asks.
-    :param domain: Where that host stands.
-    :param ask: What it asked.
-    :param arrived: When its request came there.
-    :param late_at: When its first event is late.
+    :param host: Host that asks.
+    :param domain: Failure domain of that host.
+    :param ask: The ask.
+    :param arrived_at: When the request arrived at that host.
+    :param deadline: When its first event is due.
     :param reason: Why it waits.
     """
 
     host: HostId
     domain: FailureDomainId
     ask: PlaceAsk
-    arrived: Millis
-    late_at: Millis
+    arrived_at: Millis
+    deadline: Millis
     reason: str = ""
 
 
 @final
 class PlacementQueue:
-    """Gives each generation an engine, at once or when there is room, or refuses it.
+    """Assigns each generation an engine, immediately or when there is capacity, or refuses it.
 
-    What can still be in time goes before what is late. Short answers go first: they hold their
-    memory for half a second, where a long one holds it for ten, and someone stands waiting for
-    them. Within a kind the first to come is the first to go, whichever host it came to.
+    Generations that can still meet their deadline go before late ones. Short generations go before
+    long ones: they hold their memory for half a second where a long one holds it for ten, and are
+    interactive. Within a class the order is first in, first out across all hosts.
 
-    :param parts: What decisions go by.
-    :param ledger: What all hosts run.
-    :param answer: Tells a host what was decided.
+    :param context: Inputs of decisions.
+    :param ledger: Runs of all hosts.
+    :param answer: Sends a decision to a host.
     """
 
     def __init__(
         self,
         *,
-        parts: DecisionParts,
+        context: DecisionContext,
         ledger: RunLedger,
         answer: Callable[[HostId, PlaceAnswer], None],
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._ledger = ledger
         self._answer = answer
-        self._waiting: dict[tuple[HostId, int], _Waiting] = {}
+        self._waiting: dict[tuple[HostId, int], _QueuedPlacement] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._looking = False
+        self._is_evaluating = False
 
     @property
     def waiting(self) -> int:
-        """How many wait."""
+        """Number of waiting generations."""
         return len(self._waiting)
 
     def ask(self, *, host: HostId, domain: FailureDomainId, ask: PlaceAsk) -> None:
-        """Decide about a generation, or keep it until there is room.
+        """Place a generation, or queue it until there is capacity.
 
-        :param host: Who asks.
-        :param domain: Where that host stands.
-        :param ask: What it asks; the same may come again while there is no room.
+        :param host: Host that asks.
+        :param domain: Failure domain of that host.
+        :param ask: The ask; a host repeats it while there is no capacity.
         """
         key = (host, ask.serial)
         if key in self._waiting:
             self._answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
             return
-        now = self._parts.clock.now()
-        waiting = _Waiting(
+        now = self._context.clock.now()
+        waiting = _QueuedPlacement(
             host=host,
             domain=domain,
             ask=ask,
-            arrived=Millis(now - ask.waited_ms),
-            late_at=Millis(now + ask.left_ms),
+            arrived_at=Millis(now - ask.waited_ms),
+            deadline=Millis(now + ask.left_ms),
         )
         self._waiting[key] = waiting
-        self.look()
+        self.reevaluate()
         if key in self._waiting:
             self._answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
 
     def withdraw(self, *, host: HostId, serial: int) -> None:
-        """Forget a generation that its host does not want to place any more."""
+        """Remove a generation that its host no longer wants to place."""
         self._waiting.pop((host, serial), None)
 
     def forget(self, *, host: HostId) -> None:
-        """Forget all that a host asked which is gone."""
+        """Remove all asks of a host that has disconnected."""
         for key in [key for key in self._waiting if key[0] == host]:
             del self._waiting[key]
 
-    def look(self) -> None:
-        """Decide anew about everything that waits."""
-        if self._looking or not self._waiting:
-            return  # A decision is itself news that leads here again.
-        self._looking = True
+    def reevaluate(self) -> None:
+        """Evaluate all waiting generations again."""
+        if self._is_evaluating or not self._waiting:
+            return  # A decision changes the ledger, which calls this again.
+        self._is_evaluating = True
         try:
-            self._look_at_all()
+            self._evaluate_all()
         finally:
-            self._looking = False
-        self._look_again_later()
+            self._is_evaluating = False
+        self._schedule_reevaluation()
 
-    def _look_at_all(self) -> None:
+    def _evaluate_all(self) -> None:
         totals = self._ledger.totals()
-        now = self._parts.clock.now()
-        in_order = sorted(
+        now = self._context.clock.now()
+        ordered = sorted(
             self._waiting.values(),
-            key=lambda one: (one.late_at <= now, one.ask.is_long, one.arrived),
+            key=lambda one: (one.deadline <= now, one.ask.is_long, one.arrived_at),
         )
-        for waiting in in_order:
+        for waiting in ordered:
             placement = self._place(waiting, totals)
             if placement.verdict is Verdict.WAIT:
-                self._note_wait(waiting, placement)
+                self._record_wait(waiting, placement)
                 continue
             del self._waiting[(waiting.host, waiting.ask.serial)]
             self._decide(waiting, placement)
             if placement.verdict is Verdict.SEND:
                 totals = self._ledger.totals()
 
-    def _place(self, waiting: _Waiting, totals: Mapping[UpstreamId, EngineTotal]) -> Placement:
-        parts = self._parts
+    def _place(
+        self, waiting: _QueuedPlacement, totals: Mapping[UpstreamId, EngineTotal]
+    ) -> Placement:
+        parts = self._context
         ask = waiting.ask
         service = ServiceId(ask.service)
         excluded = {UpstreamId(upstream) for upstream in ask.excluded}
@@ -164,16 +167,16 @@
         if not entries and parts.upstreams.has_evacuated(service):
             return Placement(verdict=Verdict.REFUSE, reason=EVACUATED)
         if not entries and domains:
-            return Placement(verdict=Verdict.REFUSE, reason=NOT_AT_HOME)
+            return Placement(verdict=Verdict.REFUSE, reason=OUTSIDE_ALLOWED_REGIONS)
         views = [
-            view_of(entry, engine=engine, totals=totals, upstreams=parts.upstreams)
+            build_engine_view(entry, engine=engine, totals=totals, upstreams=parts.upstreams)
             for entry in entries
             if parts.warmup.allows(entry)
         ]
         query = PlacementQuery(
             prompt_tokens=ask.prompt_tokens,
             is_long=ask.is_long,
-            left_ms=waiting.late_at - parts.clock.now(),
+            left_ms=waiting.deadline - parts.clock.now(),
             patience_ms=ask.patience_ms,
         )
         return place(
@@ -189,19 +192,19 @@
         return sum(
             total.uncopied_tokens
             for upstream, total in totals.items()
-            if self._parts.gate.is_leaving(upstream)
+            if self._context.gate.is_leaving(upstream)
         )
 
-    def _note_wait(self, waiting: _Waiting, placement: Placement) -> None:
+    def _record_wait(self, waiting: _QueuedPlacement, placement: Placement) -> None:
         if waiting.reason != placement.reason:
             waiting.reason = placement.reason
-            self._log("A generation waits.", waiting, **_grounds(placement))
+            self._log("A generation waits.", waiting, **_placement_fields(placement))
 
-    def _decide(self, waiting: _Waiting, placement: Placement) -> None:
+    def _decide(self, waiting: _QueuedPlacement, placement: Placement) -> None:
         ask = waiting.ask
         view = placement.engine
         if view is None:
-            self._log("A generation is refused.", waiting, **_grounds(placement))
+            self._log("A generation is refused.", waiting, **_placement_fields(placement))
             refusal = PlaceAnswer(serial=ask.serial, kind=PlaceKind.REFUSE, reason=placement.reason)
             self._answer(waiting.host, refusal)
             return
@@ -214,7 +217,7 @@
             domains=ask.domains,
         )
         self._ledger.grant(host=waiting.host, use=use)
-        self._note_sent(view.upstream)
+        self._record_request(view.upstream)
         self._log(
             "An engine is chosen.",
             waiting,
@@ -235,30 +238,30 @@
         )
         self._answer(waiting.host, granted)
 
-    def _note_sent(self, upstream: UpstreamId) -> None:
-        entry = self._parts.upstreams.get(upstream)
+    def _record_request(self, upstream: UpstreamId) -> None:
+        entry = self._context.upstreams.get(upstream)
         if entry is not None:
-            self._parts.warmup.note(entry)
+            self._context.warmup.record(entry)
 
-    def _look_again_later(self) -> None:
+    def _schedule_reevaluation(self) -> None:
         if self._waiting and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(LOOK_AGAIN_MS / MS_PER_SECOND, self._on_timer)
+            self._timer = loop.call_later(REEVALUATION_INTERVAL_MS / MS_PER_SECOND, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.look()
+        self.reevaluate()
 
-    def _log(self, message: str, waiting: _Waiting, **inputs: object) -> None:
+    def _log(self, message: str, waiting: _QueuedPlacement, **inputs: object) -> None:
         _log.info(
             message,
             request=RequestId(waiting.ask.request),
             entry_host=waiting.host,
-            after_ms=self._parts.clock.now() - waiting.arrived,
+            after_ms=self._context.clock.now() - waiting.arrived_at,
             queued=len(self._waiting),
             **inputs,
         )
 
 
-def _grounds(placement: Placement) -> dict[str, object]:
+def _placement_fields(placement: Placement) -> dict[str, object]:
     return {"reason": placement.reason, "engines": [str(view) for view in placement.views]}
--- a/src/tanagerscale/coordination/_ranking.py
+++ b/src/tanagerscale/coordination/_ranking.py
@@ -1,4 +1,4 @@
-"""Which hosts coordinate: an order that all hosts agree on who know the same hosts."""
+"""Rank order of hosts, identical on all hosts that know the same set of hosts."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 from tanagerscale.generated.records import HostRecord
 
 RANK_ITEM: Final = "coordinators"
-"""What hosts are ranked for; another group of engines has another order."""
+"""Hash key of the rank order; another group of engines has another key and another order."""
 
-BEAT_MS_PER_HOST: Final = 5
-SHORTEST_BEAT_MS: Final = 500
-LONGEST_COORDINATOR_BEAT_MS: Final = 1000
-"""A coordinator sends each host a heartbeat each half second with up to a hundred hosts and each
-second with more: one that is silent for three of them is passed over, before a leaving upstream or
-a configuration would be heard of too late (two seconds, and four with more hosts)."""
+HEARTBEAT_MS_PER_HOST: Final = 5
+MIN_HEARTBEAT_MS: Final = 500
+MAX_COORDINATOR_HEARTBEAT_MS: Final = 1000
+"""Bounds of the heartbeat interval. A coordinator sends each host a heartbeat every half second
+with up to a hundred hosts, and every second with more. A coordinator that misses three of them is
+skipped early enough for a leaving upstream or a configuration to be announced in time (two seconds,
+and four with more hosts)."""
 
-MEMBER_FACTOR: Final = 3
-"""Other hosts tell those that coordinate so much more rarely that they live. Whose process ends is
-found at once and whose machine is dark by the kernel, so that this is for hosts that stand still;
-each coordinator gets at most 67 heartbeats a second."""
+MEMBER_HEARTBEAT_FACTOR: Final = 3
+"""Members send heartbeats to coordinators less often by this factor. A process that ends is
+detected immediately and a machine that is down by the kernel, so these heartbeats only detect
+frozen hosts; each coordinator receives at most 67 heartbeats a second."""
 
 _DIGEST_BYTES: Final = 8
 
 
-def ranked(records: Sequence[HostRecord], *, item: str = RANK_ITEM) -> list[HostRecord]:
-    """Return hosts in the order in which they coordinate.
+def rank_hosts(records: Sequence[HostRecord], *, item: str = RANK_ITEM) -> list[HostRecord]:
+    """Return hosts in coordinator rank order.
 
-    Hosts with more processor go first, by powers of two: what a coordinator does is a few
-    hundredths of a small host's processor, and hardly anything of a large one's. Among equals the
-    order follows from a hash, so that other groups of engines have others. Each of the first ones
-    stands in another failure domain, as far as there are enough, so that the loss of one domain
-    leaves the next in rank.
+    Hosts with more cores come first, in powers of two: coordinating takes a few hundredths of the
+    processor of a small host, and hardly any of a large one. Hosts of equal size are ordered by a
+    hash, so that other groups of engines have other orders. The first hosts are in different
+    failure domains, as far as there are enough domains, so that the loss of one domain leaves the
+    next hosts in rank.
 
-    :param records: The hosts there are.
-    :param item: What they are ranked for.
+    :param records: The hosts.
+    :param item: Hash key of the rank order.
     """
     by_rank = sorted(records, key=lambda record: _rank(item, record))
     domains: set[str] = set()
@@ -59,16 +60,18 @@
 
 
 def distance(host: str, other: str) -> str:
-    """Return how far another host is from one, by a hash: each host has another nearest one."""
+    """Return a hash-based distance between two hosts; each host has a different nearest one."""
     return hashlib.blake2b(f"{host}\n{other}".encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
-def beat_ms(*, hosts: int, is_coordinator: bool) -> int:
-    """Return how often a host sends heartbeats.
+def heartbeat_interval_ms(*, hosts: int, is_coordinator: bool) -> int:
+    """Return the heartbeat interval of a host in milliseconds.
 
-    :param hosts: How many hosts there are.
-    :param is_coordinator: Whether the others rely on it.
+    :param hosts: Number of hosts.
+    :param is_coordinator: Whether the host is a coordinator, which the other hosts depend on.
     """
     if is_coordinator:
-        return min(max(hosts * BEAT_MS_PER_HOST, SHORTEST_BEAT_MS), LONGEST_COORDINATOR_BEAT_MS)
-    return max(hosts * BEAT_MS_PER_HOST * MEMBER_FACTOR, SHORTEST_BEAT_MS)
+        return min(
+            max(hosts * HEARTBEAT_MS_PER_HOST, MIN_HEARTBEAT_MS), MAX_COORDINATOR_HEARTBEAT_MS
+        )
+    return max(hosts * HEARTBEAT_MS_PER_HOST * MEMBER_HEARTBEAT_FACTOR, MIN_HEARTBEAT_MS)
--- a/src/tanagerscale/coordination/_warmup.py
+++ b/src/tanagerscale/coordination/_warmup.py
@@ -1,8 +1,8 @@
-"""Requests to upstreams that warm up, limited over all hosts together.
+"""Rate limit of requests to warming upstreams, shared by all hosts.
 
-The load it answers: the upstreams of a failure domain come back together, empty, so that all hosts
-find them the least loaded; but each bears only some requests a second until it is warm, and crashes
-when it gets many more.
+The upstreams of a failure domain become available together and empty, so all hosts rank them as
+least loaded. But until it is warm, each upstream handles only a limited number of requests a
+second, and crashes when it gets many more.
 """
 
 from __future__ import annotations
@@ -25,47 +25,47 @@
 from tanagerscale.routes import Service
 from tanagerscale.upstreams import UpstreamEntry
 
-GIVEN_SHARE: Final = 0.7
-"""Part of what an upstream bears that is given out. When another host becomes the decider, both may
-give so much within one second."""
+GRANTED_SHARE: Final = 0.7
+"""Fraction of an upstream's rate that is granted. When the decider changes, both deciders may grant
+this much within one second."""
 
 _DIGEST_BYTES: Final = 8
-_MOST: Final = 2 ** (8 * _DIGEST_BYTES)
+_DIGEST_RANGE: Final = 2 ** (8 * _DIGEST_BYTES)
 
 _log = get_logger(part="warmup")
 
 
 class WarmupTables(Protocol):
-    """The declarations in force."""
+    """Provides the declarations in force."""
 
     @property
     def table(self) -> RouteTable | None:
-        """What is in force now, or ``None`` before anything is known."""
+        """The declarations in force; ``None`` before any are known."""
 
 
 class WarmupUpstreams(Protocol):
-    """The upstreams there are."""
+    """Provides the state of upstreams that limits their rate."""
 
     def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return how much longer an upstream is cold by its own word."""
+        """Return the remaining cold time of an upstream, as the upstream reports it."""
 
     def taken_back_ms(self, upstream: UpstreamId) -> int | None:
-        """Return how long ago its failure domain's evacuation ended; ``None`` for long ago."""
+        """Return the time since the evacuation of its domain ended; ``None`` if long ago."""
 
 
 @final
 class WarmupLimit:
-    """Counts the requests that each upstream gets while it warms up.
+    """Limits the requests to each upstream while it is warming.
 
-    A decider gives out what an upstream bears, by the part of all hosts that let it decide. Where
-    that is less than one request a second, as for hosts that are cut off from all others, only some
-    hosts may send one a second, drawn by a hash.
+    A decider grants an upstream's rate multiplied by the fraction of all hosts that use this
+    decider. Where that is less than one request a second, as for isolated hosts, only some hosts,
+    selected by a hash, may send one request a second.
 
     :param host: This host.
     :param tables: The declarations in force.
-    :param upstreams: The upstreams there are.
-    :param share: Returns how many of all hosts let this one decide, between 0 and 1.
-    :param clock: Time.
+    :param upstreams: State of the upstreams.
+    :param share: Returns the fraction of all hosts that use this decider, between 0 and 1.
+    :param clock: Source of the current time.
     """
 
     def __init__(
@@ -83,68 +83,76 @@
         self._share = share
         self._clock = clock
         self._sent: dict[UpstreamId, deque[Millis]] = {}
-        """When requests were given in the last second."""
+        """Times of the requests granted in the last second."""
 
     def is_warming(self, entry: UpstreamEntry) -> bool:
-        """Return whether an upstream bears only a limited rate now."""
+        """Return whether an upstream currently accepts only a limited rate."""
         service = self._service(entry.service)
-        return service is not None and service.cold_per_s > 0 and self._left_ms(entry, service) > 0
+        return (
+            service is not None
+            and service.cold_per_s > 0
+            and self._remaining_ms(entry, service) > 0
+        )
 
     def allows(self, entry: UpstreamEntry) -> bool:
         """Return whether an upstream may get one more request now."""
         if not self.is_warming(entry):
             return True
-        return len(self._recent(entry.upstream)) < self._limit(entry)
+        return len(self._recent_requests(entry.upstream)) < self._limit_per_s(entry)
 
-    def note(self, entry: UpstreamEntry) -> None:
-        """Count a request that is given to an upstream."""
+    def record(self, entry: UpstreamEntry) -> None:
+        """Count a request that is sent to an upstream."""
         if self.is_warming(entry):
             self._sent.setdefault(entry.upstream, deque()).append(self._clock.now())
 
-    def take(self, entry: UpstreamEntry) -> bool:
-        """Count a request if an upstream may get one more.
+    def try_acquire(self, entry: UpstreamEntry) -> bool:
+        """Count a request if the upstream may get one more.
 
         :returns: Whether it may.
         """
         if not self.allows(entry):
             _log.info(
-                "An upstream that warms up gets no more now.",
+                "A warming upstream has reached its rate limit.",
                 upstream=entry.upstream,
-                limit_per_s=self._limit(entry),
+                limit_per_s=self._limit_per_s(entry),
             )
             return False
-        self.note(entry)
+        self.record(entry)
         return True
 
     def _service(self, name: ServiceId) -> Service | None:
         table = self._tables.table
         return None if table is None else table.service(name)
 
-    def _left_ms(self, entry: UpstreamEntry, service: Service) -> int:
-        """Return how much longer an upstream is cold.
+    def _remaining_ms(self, entry: UpstreamEntry, service: Service) -> int:
+        """Return the remaining cold time of an upstream.
 
-        Those of an evacuated failure domain may have grown cold unnoticed.
+        Upstreams of an evacuated failure domain may have become cold unnoticed.
         """
-        told_ms = self._upstreams.cold_ms(entry.upstream)
-        back_ms = self._upstreams.taken_back_ms(entry.upstream)
-        return told_ms if back_ms is None else max(told_ms, service.cold_ms - back_ms)
-
-    def _limit(self, entry: UpstreamEntry) -> int:
-        """Return how many requests an upstream may get from this decider in a second."""
+        reported_ms = self._upstreams.cold_ms(entry.upstream)
+        since_evacuation_ms = self._upstreams.taken_back_ms(entry.upstream)
+        return (
+            reported_ms
+            if since_evacuation_ms is None
+            else max(reported_ms, service.cold_ms - since_evacuation_ms)
+        )
+
+    def _limit_per_s(self, entry: UpstreamEntry) -> int:
+        """Return the number of requests a second that this decider may grant for an upstream."""
         service = self._service(entry.service)
         share = self._share()
-        given = 0.0 if service is None else service.cold_per_s * GIVEN_SHARE * share
+        rate = 0.0 if service is None else service.cold_per_s * GRANTED_SHARE * share
         if share >= 1:
-            return max(int(given), 1)
-        return int(given) if given >= 1 else int(self._draw(entry.upstream) < given)
+            return max(int(rate), 1)
+        return int(rate) if rate >= 1 else int(self._hash_fraction(entry.upstream) < rate)
 
-    def _draw(self, upstream: UpstreamId) -> float:
-        """Return a number between 0 and 1, another one for each host and upstream."""
+    def _hash_fraction(self, upstream: UpstreamId) -> float:
+        """Return a number between 0 and 1 that is derived from the host and the upstream."""
         text = f"{self._host}\n{upstream}".encode()
         digest = hashlib.blake2b(text, digest_size=_DIGEST_BYTES).digest()
-        return int.from_bytes(digest, "big") / _MOST
+        return int.from_bytes(digest, "big") / _DIGEST_RANGE
 
-    def _recent(self, upstream: UpstreamId) -> deque[Millis]:
+    def _recent_requests(self, upstream: UpstreamId) -> deque[Millis]:
         sent = self._sent.get(upstream, deque())
         oldest = self._clock.now() - MS_PER_SECOND
         while sent and sent[0] < oldest:
--- a/src/tanagerscale/forwarding/_legs.py
+++ b/src/tanagerscale/forwarding/_legs.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from tanagerscale.coordination import LateNote
+from tanagerscale.coordination import AttemptHealthRecorder
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
@@ -52,7 +52,7 @@
 
     entry: UpstreamEntry
     answer: UpstreamAnswer
-    late: LateNote
+    late: AttemptHealthRecorder
     first_event: Millis | None = None
     is_slow: bool = False
 
@@ -107,7 +107,7 @@
             domains=self._routed.domains,
         )
         late_ms = self._routed.route.target_ms
-        late = LateNote(health=self._parts.health, entry=entry, after_ms=late_ms)
+        late = AttemptHealthRecorder(health=self._parts.health, entry=entry, after_ms=late_ms)
         try:
             answer = await self._parts.caller.send(order=self._order(entry, hop, point))
         except BaseException:
--- a/src/tanagerscale/forwarding/_parts.py
+++ b/src/tanagerscale/forwarding/_parts.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from tanagerscale.coordination import Gate
-from tanagerscale.coordination import Tables
+from tanagerscale.coordination import RouteTableSource
 from tanagerscale.coordination import UpstreamHealth
 from tanagerscale.coordination import Upstreams
 from tanagerscale.coordination import WarmupLimit
@@ -60,7 +60,7 @@
     :param rng: Source of chance.
     """
 
-    tables: Tables
+    tables: RouteTableSource
     upstreams: Upstreams
     gate: Gate
     health: UpstreamHealth
--- a/src/tanagerscale/forwarding/_plain.py
+++ b/src/tanagerscale/forwarding/_plain.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from tanagerscale.coordination import LateNote
+from tanagerscale.coordination import AttemptHealthRecorder
 from tanagerscale.coordination import eligible_upstreams
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import UpstreamId
@@ -182,7 +182,7 @@
         """Send the request to one upstream; ``None`` means to go on with another."""
         answer: UpstreamAnswer | None = None
         self._record.note_sent(entry.upstream)
-        late = LateNote(
+        late = AttemptHealthRecorder(
             health=self._parts.health, entry=entry, after_ms=self._routed.route.target_ms
         )
         counts = self._parts.work.plain_counts
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -11,19 +11,19 @@
 from typing import Final
 from typing import final
 
+from tanagerscale.coordination import AnnouncementRelay
 from tanagerscale.coordination import CoordinationClient
 from tanagerscale.coordination import Coordinator
-from tanagerscale.coordination import DecisionParts
+from tanagerscale.coordination import DecisionContext
 from tanagerscale.coordination import Directory
-from tanagerscale.coordination import Duties
 from tanagerscale.coordination import FeedListener
 from tanagerscale.coordination import ListFeed
-from tanagerscale.coordination import NewsRelay
-from tanagerscale.coordination import RepeatAllowance
+from tanagerscale.coordination import SharedRetryBudgets
+from tanagerscale.coordination import StoreSourceSelector
 from tanagerscale.coordination import UpstreamHealth
 from tanagerscale.coordination import WarmupLimit
-from tanagerscale.coordination import beat_ms
 from tanagerscale.coordination import distance
+from tanagerscale.coordination import heartbeat_interval_ms
 from tanagerscale.core import Clock
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import HostId
@@ -104,11 +104,11 @@
         self.suspects = Suspects(clock=clock)
         self.health = UpstreamHealth(
             service_of=self._service_of,
-            may_judge=lambda: self.directory.is_first,
+            can_eject=lambda: self.directory.is_first,
             clock=clock,
         )
         self.mesh = self._make_mesh(transport)
-        self._relay = NewsRelay(network=self.mesh, directory=self.directory, clock=clock)
+        self._relay = AnnouncementRelay(network=self.mesh, directory=self.directory, clock=clock)
         self.gate = UpstreamGate(clock=clock, rng=rng, spread=self._relay.tell)
         self.evacuations = Evacuations(domain_of=edges.evacuated_domain, clock=clock)
         self.roster = UpstreamRoster(
@@ -135,7 +135,7 @@
         self.client = CoordinationClient(
             host=self._host,
             directory=self.directory,
-            tell=self._tell,
+            send=self._tell,
             uses=work.uses,
             incarnation=self.incarnation,
             clock=clock,
@@ -152,7 +152,7 @@
         for loop in self.coordinator.loops():
             self._spawn(loop)
         self.mesh.set_peers(self.directory.targets())
-        self.duties.look()
+        self.duties.reevaluate()
 
     async def stop(self) -> None:
         """Talk to nobody any more."""
@@ -178,14 +178,14 @@
             rng=self._rng,
             heartbeat_source=self._heartbeat,
             ends_unwanted=True,
-            interval_ms=lambda _: beat_ms(
+            interval_ms=lambda _: heartbeat_interval_ms(
                 hosts=self.directory.hosts, is_coordinator=self.directory.is_coordinator
             ),
             transport=transport,
         )
 
     def _make_feed(self, topic: ListTopic, listener: FeedListener) -> ListFeed:
-        return ListFeed(topic=topic, listener=listener, tell=self._tell, clock=self._clock)
+        return ListFeed(topic=topic, listener=listener, send=self._tell, clock=self._clock)
 
     def _make_spread(self) -> HeadSpread:
         return HeadSpread(
@@ -221,7 +221,7 @@
             rng=self._rng,
         )
 
-    def _make_duties(self) -> Duties:
+    def _make_duties(self) -> StoreSourceSelector:
         following = StoreFollowing(
             edges=self._edges,
             keeper=self.keeper,
@@ -231,12 +231,12 @@
             clock=self._clock,
             rng=self._rng,
         )
-        return Duties(
+        return StoreSourceSelector(
             host=self._host,
             directory=self.directory,
             feeds=self._feeds,
             loops=following.loops,
-            is_served=following.is_served,
+            is_store_available=following.is_served,
             clock=self._clock,
             rng=self._rng,
         )
@@ -245,9 +245,9 @@
     def _feeds(self) -> tuple[ListFeed, ...]:
         return (self.feed, self.evacuations_feed)
 
-    def _make_repeats(self) -> RepeatAllowance:
+    def _make_repeats(self) -> SharedRetryBudgets:
         retries = self._settings.retries
-        return RepeatAllowance(
+        return SharedRetryBudgets(
             ratio=retries.ratio,
             slack=retries.slack,
             window_s=retries.window_s,
@@ -258,11 +258,11 @@
 
     def _share_of_hosts(self) -> float:
         """Return how many of all hosts let this one decide."""
-        deciding = self.coordinator.ledger.hosts_of(self._host)
+        deciding = self.coordinator.ledger.count_hosts(self._host)
         return min(max(deciding, 1) / self.directory.hosts, 1.0)
 
     def _make_coordinator(self) -> Coordinator:
-        parts = DecisionParts(
+        parts = DecisionContext(
             tables=self.keeper,
             upstreams=self.roster,
             gate=self.gate,
@@ -274,10 +274,10 @@
         return Coordinator(
             host=self._host,
             domain=self._domain,
-            parts=parts,
-            repeats=self.repeats,
+            context=parts,
+            retry_budgets=self.repeats,
             engines=self._edges.upstreams,
-            tell=self._tell,
+            send=self._tell,
         )
 
     def _make_news(self, carry_out: Callable[[MoveOrder], Awaitable[bool]]) -> PeerNews:
@@ -299,17 +299,17 @@
         self.keeper.tables.subscribe(self._on_table)
         self.gate.changes.subscribe(self.coordinator.on_upstreams)
         self.roster.changes.subscribe(self.coordinator.on_upstreams)
-        self.evacuations.changes.subscribe(lambda _: self.coordinator.look())
+        self.evacuations.changes.subscribe(lambda _: self.coordinator.reevaluate())
         self.roster.currency.subscribe(self.coordinator.on_currency)
-        self._work.changes.subscribe(lambda _: self.client.report_soon())
+        self._work.changes.subscribe(lambda _: self.client.schedule_report())
 
     def _heartbeat(self) -> Heartbeat:
         return Heartbeat(
             revision=self.keeper.head_revision,
             leaving=self._is_leaving(),
             store_lost=self._presence.store_lost,
-            listed=self.feed.reached,
-            evacuations=self.evacuations_feed.reached,
+            listed=self.feed.revision,
+            evacuations=self.evacuations_feed.revision,
         )
 
     def _tell(self, host: HostId, message: Message) -> bool:
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -236,7 +236,7 @@
         self._movers = StreamMovers(
             parts=parts,
             check_decider=control.client.check_decider,
-            ask_engine=control.coordinator.ask_engine,
+            ask_engine=control.coordinator.query_engine,
         )
         return Dispatcher(
             parts=parts,
--- a/src/tanagerscale/gateway/_peers.py
+++ b/src/tanagerscale/gateway/_peers.py
@@ -11,12 +11,12 @@
 from msgspec.structs import replace
 from reactivex.abc import DisposableBase
 
+from tanagerscale.coordination import AnnouncementRelay
 from tanagerscale.coordination import CoordinationClient
 from tanagerscale.coordination import Coordinator
 from tanagerscale.coordination import Directory
-from tanagerscale.coordination import Duties
 from tanagerscale.coordination import ListFeed
-from tanagerscale.coordination import NewsRelay
+from tanagerscale.coordination import StoreSourceSelector
 from tanagerscale.coordination import UpstreamHealth
 from tanagerscale.core import HostId
 from tanagerscale.core import get_logger
@@ -54,11 +54,11 @@
     """
 
     directory: Directory
-    duties: Duties
+    duties: StoreSourceSelector
     feeds: tuple[ListFeed, ...]
     coordinator: Coordinator
     client: CoordinationClient
-    relay: NewsRelay
+    relay: AnnouncementRelay
     gate: UpstreamGate
     health: UpstreamHealth
     suspects: Suspects
@@ -122,7 +122,7 @@
             case EjectedUpstream():
                 parts.health.on_ejected(message)
             case UpstreamLeaving() | HeadAnnouncement() | Suspect():
-                parts.relay.on_news(host, message)
+                parts.relay.on_announcement(host, message)
         if isinstance(message, UpstreamLeaving):
             parts.gate.on_peer(message)
         elif isinstance(message, Suspect):
@@ -157,7 +157,7 @@
             for feed in parts.feeds:
                 feed.on_gone(host)
             parts.health.forget_peer(host=host)
-        parts.duties.look()
+        parts.duties.reevaluate()
 
     def _on_joined(self, peer: PeerInfo) -> None:
         parts = self._parts
@@ -182,7 +182,7 @@
     def _on_directory(self) -> None:
         parts = self._parts
         self._mesh.set_peers(parts.directory.targets())
-        parts.duties.look()
+        parts.duties.reevaluate()
         parts.client.report_now()
         self._tell_coordinators()
 
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -15,7 +15,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from tanagerscale.coordination import DecisionParts
+from tanagerscale.coordination import DecisionContext
 from tanagerscale.coordination import EngineTotal
 from tanagerscale.coordination import UpstreamHealth
 from tanagerscale.coordination import WarmupLimit
@@ -57,9 +57,9 @@
 from tanagerscale.upstreams import ExchangeFailure
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
-from testing._alone import HOST
-from testing._alone import HostAlone
-from testing._alone import make_host_alone
+from testing._single_host import HOST
+from testing._single_host import SingleHost
+from testing._single_host import make_single_host
 
 SERVICE = ServiceId("service")
 LIMITS = CallerLimits(
@@ -474,7 +474,7 @@
         """Count a request if the upstream bears one more."""
         self.asked.append(upstream)
         entry = self.upstreams.get(upstream)
-        return entry is not None and self.warmup.take(entry)
+        return entry is not None and self.warmup.try_acquire(entry)
 
 
 @dataclass(slots=True)
@@ -495,7 +495,7 @@
     work: OwnWork
     parts: ForwardingParts
     permits: FakePermits
-    alone: HostAlone
+    alone: SingleHost
 
     def totals(self) -> dict[UpstreamId, EngineTotal]:
         """Return what runs on engines, as it is counted for decisions."""
@@ -534,7 +534,7 @@
         clock=clock,
         rng=Random(1),
     )
-    decisions = DecisionParts(
+    decisions = DecisionContext(
         tables=FakeTables(table=make_table()),
         upstreams=upstreams,
         gate=upstreams,
@@ -543,7 +543,7 @@
         clock=clock,
         rng=parts.rng,
     )
-    alone = make_host_alone(parts=decisions, engines=engines, work=work)
+    alone = make_single_host(context=decisions, engines=engines, work=work)
     upstreams.on_leaving = alone.on_leaving
     return Bench(
         caller=caller,
@@ -562,7 +562,7 @@
     movers = StreamMovers(
         parts=bench.parts,
         check_decider=bench.alone.client.check_decider,
-        ask_engine=bench.alone.coordinator.ask_engine,
+        ask_engine=bench.alone.coordinator.query_engine,
     )
     bench.alone.movers = movers
     return movers
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as far as they know, decide and talk to each other, on links and a store in memory."""
+"""Hosts with real coordination code on in-memory links and an in-memory store."""
 
 from __future__ import annotations
 
@@ -53,27 +53,27 @@
 CONFIGURATION_KEY = "op/config"
 EVACUATION_PREFIX = "op/evacuate/"
 REGISTRY_PREFIX = "engines/"
-SETTLE_S = 5.0
-"""By then hosts that start together have found the ones that coordinate."""
+STARTUP_S = 5.0
+"""Time in which hosts that start together have connected to the coordinators."""
 
-MOVE_S = 0.2
-"""How long a host takes for what it is ordered."""
+ORDER_DURATION_S = 0.2
+"""Time a host takes to execute an order."""
 
 
 class FakeUpstreamEdge(FakeEngines):
-    """Engines that are asked about, and never sent anything."""
+    """Engines that are only queried for reports and never receive requests."""
 
     async def send(self, *, order: object) -> object:
-        """Send nothing."""
+        """Fail, since no requests are sent."""
         raise NotImplementedError
 
     def forget(self, *, upstream: UpstreamEntry) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, since there are no connections."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Host:
-    """What of a host talks to the others."""
+    """The parts of a host that communicate with other hosts."""
 
     name: str
     network: MemoryNetwork
@@ -82,13 +82,13 @@
     control: HostControl
     clock: Clock
     received: int = 0
-    """Messages from other hosts, heartbeats left out."""
+    """Number of messages received from other hosts, without heartbeats."""
     orders: list[MoveOrder] = field(default_factory=list)
     is_leaving: bool = False
 
     @property
     def id(self) -> HostId:
-        """Its id."""
+        """Id of the host."""
         return HostId(self.name)
 
     @property
@@ -98,12 +98,12 @@
 
     @property
     def is_coordinator(self) -> bool:
-        """Whether it takes itself for one of those that coordinate."""
+        """Whether it considers itself a coordinator."""
         return self.control.directory.is_coordinator
 
     @property
     def decider(self) -> str:
-        """Whom it asks."""
+        """The host that decides for it."""
         return self.control.directory.decider
 
     def count(self, received: Received) -> None:
@@ -111,7 +111,7 @@
         self.received += not isinstance(received.message, Heartbeat)
 
     def begin(self, name: str, *, at: str = "e0", tokens: int = 1000) -> None:
-        """Send a generation to an engine."""
+        """Start a generation on an engine."""
         self.work.begin(
             request=RequestId(name),
             upstream=UpstreamId(at),
@@ -121,7 +121,7 @@
         )
 
     def answer(self, name: str, *, tokens: int = 1000, made: int = 4) -> None:
-        """Let a generation begin to answer."""
+        """Record the first tokens of a generation."""
         self.work.progress(request=RequestId(name), tokens=tokens, made=made)
 
     def end(self, name: str) -> None:
@@ -129,13 +129,13 @@
         self.work.end(request=RequestId(name))
 
     def total(self, engine: str) -> EngineTotal:
-        """Return what this host knows to run on an engine."""
+        """Return the sums of the runs on an engine in the ledger of this host."""
         return self.control.coordinator.ledger.totals().get(UpstreamId(engine), EngineTotal())
 
     async def ask(
         self, name: str, *, prompt: int = 3000, left_ms: int = 1500, is_long: bool = True
     ) -> PlaceAnswer:
-        """Ask for an engine and use it."""
+        """Ask for an engine and start a generation on it."""
         ask = PlaceAsk(
             serial=0,
             request=name,
@@ -150,21 +150,21 @@
         return answer
 
     async def carry_out(self, order: MoveOrder) -> bool:
-        """Note an order, take some time for it, and go on where it says."""
+        """Record an order, and move the run to its target after a delay."""
         self.orders.append(order)
-        await asyncio.sleep(MOVE_S)
+        await asyncio.sleep(ORDER_DURATION_S)
         if order.kind is MoveKind.LEAVE:
             self.begin(order.request, at=order.target)
             self.answer(order.request)
         return True
 
     async def stop(self) -> None:
-        """End, as a process does that is killed: its connections break."""
+        """Stop as a killed process does: its connections break."""
         await self.control.stop()
 
 
 def decode_entry(key: str, value: bytes) -> Result[UpstreamEntry, str]:
-    """Read an engine's entry: its state, its failure domain and how long it is cold."""
+    """Parse an engine entry: its state, its failure domain and its cold time."""
     name = key.removeprefix(REGISTRY_PREFIX)
     state, domain, cold_ms = value.decode().split()
     return Success(
@@ -183,13 +183,13 @@
 
 
 def evacuated_domain(key: str) -> FailureDomainId | None:
-    """Return which failure domain a key evacuates."""
+    """Return the failure domain that a key evacuates; ``None`` for other keys."""
     domain = key.removeprefix(EVACUATION_PREFIX)
     return FailureDomainId(domain) if domain and domain != key else None
 
 
 def decode_configuration(value: bytes) -> Result[Configuration, str]:
-    """Read a configuration: its version, and how long upstreams are cold and what they bear."""
+    """Parse a configuration: its version, and the cold time and the cold rate of upstreams."""
     version, cold_ms, cold_per_s = [*value.decode().split(), "0", "0"][:3]
     service = Service(
         name=SERVICE,
@@ -222,13 +222,13 @@
 ) -> Host:
     """Make a host that is not started yet.
 
-    :param network: Where the other hosts are.
-    :param backend: What the store holds.
+    :param network: Links to the other hosts.
+    :param backend: Contents of the store.
     :param name: Its id and address.
     :param domain: Number of its failure domain.
-    :param cores: How much processor it has.
-    :param seeds: Addresses to try first.
-    :param wall_offset_ms: How wrong its wall clock is.
+    :param cores: Its processor share.
+    :param seeds: Addresses to connect to first.
+    :param wall_offset_ms: Error of its wall clock.
     """
     clock = Clock(virtual_epoch_ms=1_000_000, wall_offset_ms=wall_offset_ms)
     store = FakeStore(backend=backend)
@@ -278,12 +278,12 @@
 
 
 async def _close() -> None:
-    """End nothing."""
+    """Do nothing, since there is nothing to close."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Fleet:
-    """Hosts around one store."""
+    """Hosts that share one store."""
 
     network: MemoryNetwork = field(default_factory=MemoryNetwork)
     backend: FakeBackend = field(default_factory=FakeBackend)
@@ -292,9 +292,9 @@
     async def start(self, *, count: int, domains: int, engines: int = 2) -> None:
         """Start hosts together, and wait until they have settled.
 
-        :param count: How many hosts; the first six have more processor than the others.
-        :param domains: How many failure domains they are spread over.
-        :param engines: How many engines there are.
+        :param count: Number of hosts; the first six have more cores than the others.
+        :param domains: Number of failure domains.
+        :param engines: Number of engines.
         """
         self.write(CONFIGURATION_KEY, "1")
         for number in range(engines):
@@ -302,7 +302,7 @@
         for number in range(count):
             cores = 2.15 if number < 6 else 0.5
             await self.add(f"host-{number:03}", number % domains, cores=cores)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(STARTUP_S)
 
     async def add(self, name: str, domain: int = 0, *, cores: float = 1.0) -> Host:
         """Start one more host."""
@@ -312,31 +312,31 @@
         return host
 
     async def kill(self, host: Host) -> None:
-        """End a host's process."""
+        """End the process of a host."""
         self.hosts.remove(host)
         await host.stop()
 
     def freeze(self, host: Host) -> None:
-        """Let nothing pass between a host and the others, without ending connections."""
+        """Block all messages between a host and the others, without closing connections."""
         others = {other.name for other in self.hosts} - {host.name}
         self.network.frozen |= {frozenset((host.name, other)) for other in others}
         host.store.set_down(True)
 
     @property
     def coordinators(self) -> list[Host]:
-        """The hosts that coordinate, in rank order."""
+        """The coordinators, in rank order."""
         names = self.hosts[0].control.directory.message().candidates[:4]
         by_name = {host.name: host for host in self.hosts}
         return [by_name[candidate.host] for candidate in names]
 
     @property
     def members(self) -> list[Host]:
-        """The hosts that don't coordinate."""
+        """The hosts that are not coordinators."""
         return [host for host in self.hosts if not host.is_coordinator]
 
     @property
     def received(self) -> int:
-        """Messages that all hosts took in, heartbeats left out."""
+        """Number of messages received by all hosts, without heartbeats."""
         return sum(host.received for host in self.hosts)
 
     def set_engine(
@@ -350,27 +350,29 @@
         self.remove(f"{REGISTRY_PREFIX}{name}")
 
     def evacuate(self, domain: str) -> None:
-        """Ask that a failure domain gets no requests."""
+        """Evacuate a failure domain, so that it gets no requests."""
         self.write(f"{EVACUATION_PREFIX}{domain}", "{}")
 
-    def take_back(self, domain: str) -> None:
-        """Let a failure domain have requests again."""
+    def end_evacuation(self, domain: str) -> None:
+        """End the evacuation of a failure domain."""
         self.remove(f"{EVACUATION_PREFIX}{domain}")
 
     def remove(self, key: str) -> None:
         """Remove a key of the store."""
-        self.backend.write(puts=[PutIf(key=key, value=None, expected_mod_revision=self._at(key))])
+        self.backend.write(
+            puts=[PutIf(key=key, value=None, expected_mod_revision=self._mod_revision_of(key))]
+        )
 
     def write(self, key: str, value: str) -> None:
         """Write a key of the store."""
         put = PutIf(
             key=key,
             value=value.encode(),
-            expected_mod_revision=self._at(key),
+            expected_mod_revision=self._mod_revision_of(key),
             lease=LeaseId(0),
         )
         self.backend.write(puts=[put])
 
-    def _at(self, key: str) -> StoreRevision:
+    def _mod_revision_of(self, key: str) -> StoreRevision:
         present = self.backend.entries.get(key)
         return StoreRevision(0) if present is None else present.mod_revision
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -177,7 +177,7 @@
         assert [_open(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(fleet.hosts)
         answers = [await host.ask(f"r{number}") for number, host in enumerate(fleet.hosts)]
         assert {answer.upstream for answer in answers} == {"e0", "e2"}
-        fleet.take_back("domain-1")
+        fleet.end_evacuation("domain-1")
         await asyncio.sleep(AT_ONCE_S)
         assert [_open(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(fleet.hosts)
 
@@ -189,11 +189,15 @@
         for _ in range(20):
             fleet.evacuate("domain-1")
             await asyncio.sleep(0.01)
-            fleet.take_back("domain-1")
+            fleet.end_evacuation("domain-1")
         await asyncio.sleep(AT_ONCE_S)
         assert _all_open(fleet) == {"e0", "e1", "e2"}
         for _ in range(20):
-            fleet.take_back("domain-1") if "op/evacuate/domain-1" in fleet.backend.entries else None
+            (
+                fleet.end_evacuation("domain-1")
+                if "op/evacuate/domain-1" in fleet.backend.entries
+                else None
+            )
             fleet.evacuate("domain-1")
         await asyncio.sleep(AT_ONCE_S)
         assert _all_open(fleet) == {"e0", "e2"}
@@ -304,7 +308,7 @@
         await asyncio.sleep(AT_ONCE_S)
         cut = fleet.members[0]
         fleet.freeze(cut)
-        fleet.take_back("domain-1")
+        fleet.end_evacuation("domain-1")
         fleet.evacuate("domain-0")
         await asyncio.sleep(3)
         assert _open(cut) == {"e0", "e2"}
@@ -415,7 +419,7 @@
         fleet.set_engine("e2", state="leaving", domain="domain-2")
         await asyncio.sleep(AT_ONCE_S)
         for host in fleet.hosts:
-            parts = host.control.coordinator._parts
+            parts = host.control.coordinator._context
             assert UpstreamId("e1") not in {
                 entry.upstream for entry in eligible_upstreams(parts, SERVICE)
             }
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import rule
 
 from tanagerscale.coordination import ListFeed
-from tanagerscale.coordination._feed import BEHIND_MS
+from tanagerscale.coordination._feed import MAX_LAG_MS
 from tanagerscale.core import Clock
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import HostId
@@ -62,13 +62,13 @@
         self.feed = ListFeed(
             topic=ListTopic.EVACUATIONS,
             listener=self.evacuations,
-            tell=lambda other, message: machine.send(self.name, other, message),
+            send=lambda other, message: machine.send(self.name, other, message),
             clock=machine.clock,
         )
 
     def heartbeat(self) -> Heartbeat:
         """Return what it tells of itself."""
-        return Heartbeat(revision=0, evacuations=self.feed.reached)
+        return Heartbeat(revision=0, evacuations=self.feed.revision)
 
 
 class EvacuationMachine(RuleBasedStateMachine):
@@ -109,8 +109,8 @@
     def read_changes(self, name: str) -> None:
         """Let a reader's watch bring the changes since it looked last."""
         feed = self.hosts[name].feed
-        if feed.reached and feed.reached < self.revision:
-            feed.on_changes(self._changes_after(feed.reached))
+        if feed.revision and feed.revision < self.revision:
+            feed.on_changes(self._changes_after(feed.revision))
 
     @rule(number=st.integers(0, 20), repeats=st.booleans())
     def deliver(self, number: int, repeats: bool) -> None:
@@ -152,7 +152,7 @@
             self._deliver_all()
             for sender, receiver in self._pairs():
                 self._take(sender, receiver, self.hosts[sender].heartbeat())
-            self.time.at += BEHIND_MS
+            self.time.at += MAX_LAG_MS
         self._deliver_all()
         newest = self.domains_at[self.revision]
         for host in self.hosts.values():
@@ -162,18 +162,18 @@
     def knowledge_is_of_one_moment(self) -> None:
         """What a host knows is what the store held at the revision that the host has reached."""
         for host in self.hosts.values():
-            if host.feed.reached:
-                assert host.evacuations.domains == self.domains_at[host.feed.reached], host.name
-            assert host.evacuations.has_read is bool(host.feed.reached)
+            if host.feed.revision:
+                assert host.evacuations.domains == self.domains_at[host.feed.revision], host.name
+            assert host.evacuations.has_read is bool(host.feed.revision)
 
     def _deliver_all(self) -> None:
         while self.on_way:
             self._take(*self.on_way.pop(0))
 
     def _take(self, sender: HostId, receiver: HostId, message: Message) -> None:
-        before = self.hosts[receiver].feed.reached
+        before = self.hosts[receiver].feed.revision
         self.hosts[receiver].feed.on_message(sender, message)
-        assert self.hosts[receiver].feed.reached >= before
+        assert self.hosts[receiver].feed.revision >= before
 
     def _pairs(self) -> Iterator[tuple[HostId, HostId]]:
         for sender in self.hosts.values():
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from tanagerscale.coordination._coordinator import REPORT_DELAY_MS
 from tanagerscale.coordination._coordinator import REPORT_LAG_MS
-from tanagerscale.coordination._coordinator import REPORT_MS
 from tanagerscale.core import RequestId
 from tanagerscale.core import UpstreamId
 from tanagerscale.forwarding import CopyFailure
@@ -320,9 +320,9 @@
         scene.add("1", at="x")
         scene.fill("y", tokens=31_000)
         await asyncio.sleep(0.6)
-        return scene.departures.gone_at(UpstreamId("x"))
+        return scene.departures.departure_time(UpstreamId("x"))
 
-    assert run_virtually(play()) == REPORT_MS + 2000 - REPORT_LAG_MS
+    assert run_virtually(play()) == REPORT_DELAY_MS + 2000 - REPORT_LAG_MS
 
 
 def test_copy_ahead_that_is_under_way_at_the_notice_is_used() -> None:
--- a/testing/test_forwarding_health.py
+++ b/testing/test_forwarding_health.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from tanagerscale.coordination import UpstreamHealth
-from tanagerscale.coordination._health import FIRST_EJECTION_MS
-from tanagerscale.coordination._health import TELL_MS
+from tanagerscale.coordination._health import BASE_EJECTION_MS
+from tanagerscale.coordination._health import TALLY_INTERVAL_MS
 from tanagerscale.coordination._health import WINDOW_MS
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
@@ -25,7 +25,7 @@
 
 
 def _usable(health: UpstreamHealth) -> list[str]:
-    return [entry.upstream for entry in health.usable(ENTRIES)]
+    return [entry.upstream for entry in health.exclude_ejected(ENTRIES)]
 
 
 def test_upstream_rests_after_bad_answers_and_is_tried_again() -> None:
@@ -34,7 +34,7 @@
         for _ in range(3):
             health.note_bad(upstream=X)
         assert _usable(health) == ["y", "z"]
-        await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
+        await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["x", "y", "z"]
 
     run_virtually(play())
@@ -46,7 +46,7 @@
         for _ in range(2):
             for _ in range(3):
                 health.note_bad(upstream=X)
-            await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
+            await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["y", "z"]
 
     run_virtually(play())
@@ -94,7 +94,7 @@
         told: list[AnswerTallies] = []
         health.news.subscribe(told.append)
         health.note_good(upstream=Y)
-        await asyncio.sleep(TELL_MS / 1000)
+        await asyncio.sleep(TALLY_INTERVAL_MS / 1000)
         assert told == []
         health.note_good(upstream=X)
         health.note_bad(upstream=X)
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tanagerscale.coordination._coordinator import REPORT_LAG_MS
-from tanagerscale.coordination._planner import RENEW_MS
+from tanagerscale.coordination._planner import MAX_COPY_AGE_MS
 from tanagerscale.core import HostId
 from tanagerscale.core import UpstreamId
 from tanagerscale.forwarding import CopyFailure
@@ -25,9 +25,9 @@
 from tanagerscale.forwarding._stream import StreamRun
 from tanagerscale.generated.messages import HostRuns
 from tanagerscale.generated.messages import RunUse
-from testing._alone import HOST
 from testing._gateway_fakes import copy_failure
 from testing._moving_scene import Scene
+from testing._single_host import HOST
 from testing._virtual_time import run_virtually
 
 QUIET_S = 5
@@ -112,7 +112,7 @@
         stuck = scene.add("stuck", at="x", made=3000)
         scene.hold(stuck, at="y")
         scene.bench.engines.refused.add("stuck")
-        await asyncio.sleep(RENEW_MS / 1000)
+        await asyncio.sleep(MAX_COPY_AGE_MS / 1000)
         for name in ("b", "c"):
             scene.add(name, at="x")
         await asyncio.sleep(QUIET_S)
@@ -167,7 +167,9 @@
         async with _watched(scene):
             while not scene.bench.upstreams.leaving:
                 await asyncio.sleep(0.01)
-            left_ms = scene.departures.gone_at(UpstreamId("x")) - scene.bench.parts.clock.now()
+            left_ms = (
+                scene.departures.departure_time(UpstreamId("x")) - scene.bench.parts.clock.now()
+            )
         assert 380 <= left_ms <= 400
 
     run_virtually(play())
--- a/testing/test_retry_budgets.py
+++ b/testing/test_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Repeats stay within one allowance over all hosts, however many there are and whom each hears."""
+"""Retries stay within one budget for all hosts, regardless of host count and reachable deciders."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from tanagerscale.coordination import Directory
-from tanagerscale.coordination import RepeatAllowance
+from tanagerscale.coordination import SharedRetryBudgets
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
 from tanagerscale.core import Millis
@@ -32,88 +32,88 @@
 LONG_AGO = Millis(-60_000)
 
 
-def _allowance(
+def _make_budgets(
     *,
     share: Callable[[], float] = lambda: 1.0,
     slack: float = 430.0,
     since: Callable[[], Millis] = lambda: LONG_AGO,
-) -> RepeatAllowance:
-    return RepeatAllowance(
+) -> SharedRetryBudgets:
+    return SharedRetryBudgets(
         ratio=0.2, slack=slack, window_s=10.0, share=share, since=since, clock=Clock()
     )
 
 
-def _take_all(allowance: RepeatAllowance) -> int:
-    taken = 0
-    while allowance.take(service=SERVICE, requests=0):
-        taken += 1
-    return taken
+def _acquire_all(budgets: SharedRetryBudgets) -> int:
+    acquired = 0
+    while budgets.try_acquire(service=SERVICE, requests=0):
+        acquired += 1
+    return acquired
 
 
-def test_host_among_many_that_reaches_no_other_can_repeat_a_request() -> None:
-    async def play() -> int:
-        allowance = _allowance(share=lambda: 1 / 78, slack=182.0)
-        return allowance.take(service=SERVICE, requests=1) + _take_all(allowance)
+def test_isolated_host_among_many_may_retry_once() -> None:
+    async def main() -> int:
+        budgets = _make_budgets(share=lambda: 1 / 78, slack=182.0)
+        return budgets.try_acquire(service=SERVICE, requests=1) + _acquire_all(budgets)
 
-    assert run_virtually(play()) == 1
+    assert run_virtually(main()) == 1
 
 
-def test_hosts_that_all_decide_alone_stay_within_the_allowance_when_all_requests_fail() -> None:
-    async def play() -> int:
-        alone = [_allowance(share=lambda: 1 / 78, slack=182.0) for _ in range(78)]
-        taken = 0
+def test_isolated_hosts_together_stay_within_the_retry_budget() -> None:
+    async def main() -> int:
+        isolated = [_make_budgets(share=lambda: 1 / 78, slack=182.0) for _ in range(78)]
+        acquired = 0
         for _ in range(100):
-            taken += sum(_take_all(one) for one in alone)
+            acquired += sum(_acquire_all(one) for one in isolated)
             await asyncio.sleep(0.1)
-        return taken
+        return acquired
 
-    assert 78 <= run_virtually(play()) <= 182
+    assert 78 <= run_virtually(main()) <= 182
 
 
-def test_decider_gives_the_whole_allowance_to_whoever_needs_it() -> None:
-    async def play() -> int:
-        allowance = _allowance()
-        taken = 0
+def test_single_decider_grants_the_whole_retry_budget() -> None:
+    async def main() -> int:
+        budgets = _make_budgets()
+        acquired = 0
         for _ in range(100):
-            taken += _take_all(allowance)
+            acquired += _acquire_all(budgets)
             await asyncio.sleep(0.1)
-        return taken
+        return acquired
 
     # Eight tenths of 430.
-    assert 330 <= run_virtually(play()) <= 344
+    assert 330 <= run_virtually(main()) <= 344
 
 
-def test_part_of_the_requests_may_be_repeated_beside_the_fixed_number() -> None:
-    async def play() -> int:
-        allowance = _allowance(slack=0.0)
-        return sum(allowance.take(service=SERVICE, requests=5) for _ in range(100))
+def test_retry_ratio_applies_without_slack() -> None:
+    async def main() -> int:
+        budgets = _make_budgets(slack=0.0)
+        return sum(budgets.try_acquire(service=SERVICE, requests=5) for _ in range(100))
 
-    # 500 requests, of which eight tenths of a fifth.
-    assert 75 <= run_virtually(play()) <= 80
+    # Eight tenths of a fifth of 500 requests.
+    assert 75 <= run_virtually(main()) <= 80
 
 
-def test_next_decider_gives_nothing_that_was_saved_up_before_it_decided() -> None:
-    async def play() -> int:
-        first, second = _allowance(), _allowance(since=lambda: Millis(5000))
-        taken = 0
+def test_new_decider_does_not_grant_retries_accrued_before_it_took_over() -> None:
+    async def main() -> int:
+        first, second = _make_budgets(), _make_budgets(since=lambda: Millis(5000))
+        acquired = 0
         for step in range(100):
-            taken += _take_all(first if step < 50 else second)
+            acquired += _acquire_all(first if step < 50 else second)
             await asyncio.sleep(0.1)
-        return taken
+        return acquired
 
-    assert run_virtually(play()) <= 344
+    assert run_virtually(main()) <= 344
 
 
-def test_two_deciders_at_a_time_give_no_more_than_one() -> None:
-    async def play() -> int:
-        parts = [_allowance(share=lambda: 0.4), _allowance(share=lambda: 0.6)]
-        taken = 0
+def test_two_concurrent_deciders_grant_no_more_than_one() -> None:
+    async def main() -> int:
+        deciders = [_make_budgets(share=lambda: 0.4), _make_budgets(share=lambda: 0.6)]
+        acquired = 0
         for _ in range(100):
-            taken += sum(_take_all(part) for part in parts)
+            acquired += sum(_acquire_all(decider) for decider in deciders)
             await asyncio.sleep(0.1)
-        return taken
+        return acquired
 
-    assert run_virtually(play()) <= 344
+    assert run_virtually(main()) <= 344
 
 
 def _entry(name: str) -> StoreEntry:
@@ -123,8 +123,8 @@
     return StoreEntry(key=key, value=value, create_revision=REVISION, mod_revision=REVISION)
 
 
-def test_host_that_hears_nobody_counts_the_hosts_that_have_an_entry() -> None:
-    async def play() -> list[int]:
+def test_isolated_host_counts_hosts_with_a_store_entry() -> None:
+    async def main() -> list[int]:
         clock = Clock()
         directory = Directory(host=HostId("a"), seeds=(), clock=clock)
         presence = HostPresence(
@@ -142,4 +142,4 @@
         presence.on_changes(WatchBatch(entries=(), deleted=gone, revision=REVISION))
         return [*seen, directory.hosts]
 
-    assert run_virtually(play()) == [3, 2]
+    assert run_virtually(main()) == [3, 2]
--- a/testing/test_run_ledger.py
+++ b/testing/test_run_ledger.py
@@ -1,13 +1,13 @@
-"""What a coordinator counts of all hosts' generations."""
+"""Sums of the generations of all hosts in the ledger of a coordinator."""
 
 from __future__ import annotations
 
 import asyncio
 
 from tanagerscale.coordination import RunLedger
-from tanagerscale.coordination._ledger import DROP_MS
-from tanagerscale.coordination._ledger import GRANT_MS
-from tanagerscale.coordination._ledger import TOKEN_MS
+from tanagerscale.coordination._ledger import DROP_TIMEOUT_MS
+from tanagerscale.coordination._ledger import GRANT_TTL_MS
+from tanagerscale.coordination._ledger import TOKEN_INTERVAL_MS
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
 from tanagerscale.core import RequestId
@@ -35,8 +35,8 @@
     ledger.report(host=host, runs=HostRuns(number=number, decider="a", runs=list(uses)))
 
 
-def test_totals_add_up_what_all_hosts_have() -> None:
-    async def play() -> None:
+def test_totals_sum_the_runs_of_all_hosts() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         begun = _use("1", begun_ms=0, tokens=1040, made=40, copy_at=Y)
         _report(ledger, A, begun, _use("2", is_long=False))
@@ -47,22 +47,22 @@
         assert total.uncopied_tokens == 0
         assert ledger.totals()[Y].copy_tokens == 1040
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_run_without_a_copy_counts_as_such_once_it_has_begun() -> None:
-    async def play() -> None:
+def test_run_without_a_copy_counts_as_uncopied_once_it_has_begun() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1"))
         assert ledger.totals()[X].uncopied_tokens == 0
         _report(ledger, A, _use("1", begun_ms=0, tokens=1040), number=2)
         assert ledger.totals()[X].uncopied_tokens == 1040
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_nothing_is_left_when_runs_end_and_hosts_go() -> None:
-    async def play() -> None:
+def test_totals_are_empty_when_runs_end_and_hosts_are_forgotten() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1"))
         _report(ledger, B, _use("2"))
@@ -70,32 +70,32 @@
         ledger.forget(host=B)
         assert ledger.totals() == {}
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_older_report_that_comes_late_replaces_nothing() -> None:
-    async def play() -> None:
+def test_report_with_a_lower_number_is_ignored() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, number=2)
         _report(ledger, A, _use("1"), number=1)
         assert ledger.totals() == {}
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_answer_grows_in_the_count_though_its_host_says_nothing() -> None:
-    async def play() -> tuple[int, int]:
+def test_tokens_of_a_long_run_are_extrapolated_between_reports() -> None:
+    async def main() -> tuple[int, int]:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("long", begun_ms=0), _use("waiting"), _use("2", is_long=False))
         await asyncio.sleep(0.9)
         total = ledger.totals()[X]
         return total.long_tokens, total.short_tokens
 
-    assert run_virtually(play()) == (2000 + int(900 / TOKEN_MS), 1000)
+    assert run_virtually(main()) == (2000 + int(900 / TOKEN_INTERVAL_MS), 1000)
 
 
-def test_place_that_was_given_counts_until_its_host_tells_of_it() -> None:
-    async def play() -> None:
+def test_grant_counts_until_its_host_reports_the_run() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         ledger.grant(host=A, use=_use("1"))
         assert ledger.totals()[X].waiting == 1
@@ -104,33 +104,33 @@
         _report(ledger, A, number=2)
         assert ledger.totals() == {}
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_place_that_nobody_uses_is_free_again() -> None:
-    async def play() -> None:
+def test_unused_grant_expires() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         ledger.grant(host=A, use=_use("1"))
-        await asyncio.sleep((GRANT_MS - 10) / 1000)
+        await asyncio.sleep((GRANT_TTL_MS - 10) / 1000)
         assert ledger.totals()[X].waiting == 1
         await asyncio.sleep(0.02)
         assert ledger.totals() == {}
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_place_that_is_given_back_is_free_at_once() -> None:
-    async def play() -> None:
+def test_released_grant_is_removed_immediately() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         ledger.grant(host=A, use=_use("1"))
-        ledger.take_back(request=RequestId("1"))
+        ledger.release_grant(request=RequestId("1"))
         assert ledger.totals() == {}
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_copy_that_is_planned_counts_also_after_an_older_report() -> None:
-    async def play() -> None:
+def test_planned_copy_counts_when_a_report_does_not_include_it() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1", begun_ms=0))
         (run,) = ledger.runs_of(decider=A)
@@ -141,29 +141,29 @@
         ledger.end_plan(request=RequestId("1"))
         assert Y not in ledger.totals()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_copy_that_is_to_be_dropped_counts_no_more_for_a_moment() -> None:
-    async def play() -> None:
+def test_copy_being_dropped_is_not_counted_until_the_drop_times_out() -> None:
+    async def main() -> None:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1", begun_ms=0, copy_at=Y, copy_yields=True))
         (run,) = ledger.runs_of(decider=A)
         ledger.plan_drop(run=run)
         assert Y not in ledger.totals()
-        # Its host has not said so: perhaps it never heard of it.
-        await asyncio.sleep((DROP_MS + 10) / 1000)
+        # The host has not confirmed the drop; it may not have received the order.
+        await asyncio.sleep((DROP_TIMEOUT_MS + 10) / 1000)
         assert ledger.totals()[Y].yielding_tokens >= 1000
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def test_only_runs_of_hosts_that_let_one_decide_are_its_to_move() -> None:
-    async def play() -> list[str]:
+def test_runs_of_returns_only_runs_of_hosts_with_this_decider() -> None:
+    async def main() -> list[str]:
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1", begun_ms=0))
         other = HostRuns(number=1, decider="b", runs=[_use("2", begun_ms=0)])
         ledger.report(host=B, runs=other)
         return [run.use.request for run in ledger.runs_of(decider=A)]
 
-    assert run_virtually(play()) == ["1"]
+    assert run_virtually(main()) == ["1"]
--- a/testing/test_warmup.py
+++ b/testing/test_warmup.py
@@ -1,7 +1,7 @@
-"""Upstreams that warm up get no more than they bear, whichever hosts send it.
+"""Warming upstreams get requests at a limited rate, regardless of which hosts send them.
 
-The pattern: the upstreams of a failure domain come back together, cold and empty, so that every
-host finds them the least loaded. One that gets well above what it bears crashes.
+The upstreams of a failure domain become available together, cold and empty, so every host ranks
+them as least loaded. An upstream that gets well above its rate crashes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import pytest
 
 from tanagerscale.coordination import WarmupLimit
-from tanagerscale.coordination._ledger import GRANT_MS
+from tanagerscale.coordination._ledger import GRANT_TTL_MS
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
 from tanagerscale.core import UpstreamId
@@ -43,16 +43,16 @@
 from testing.test_roster import World
 
 COLD_MS = 1000
-PER_S = 10.0
-OVERSHOOT = 1.5
-SLACK = 5
-BOUND = PER_S * OVERSHOOT + SLACK
-"""What an upstream may get in a second; it crashes well above what it bears."""
+RATE_PER_S = 10.0
+BURST_FACTOR = 1.5
+BURST_SLACK = 5
+MAX_IN_A_SECOND = RATE_PER_S * BURST_FACTOR + BURST_SLACK
+"""Maximum number of requests to an upstream in a second; it crashes well above its rate."""
 
 ENTRY = make_entry("x")
 
 
-def _limit(*, share: float = 1.0, host: str = "host", per_s: float = PER_S) -> WarmupLimit:
+def _limit(*, share: float = 1.0, host: str = "host", per_s: float = RATE_PER_S) -> WarmupLimit:
     return WarmupLimit(
         host=HostId(host),
         tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=per_s)),
@@ -62,7 +62,7 @@
     )
 
 
-def _most_in_a_second(times: list[float]) -> int:
+def _max_in_a_second(times: list[float]) -> int:
     """Return the largest number of requests in any second."""
     most = 0
     window: deque[float] = deque()
@@ -75,60 +75,60 @@
 
 
 @pytest.mark.parametrize("per_s", [1.0, 4.0, 10.0, 36.0])
-def test_upstream_gets_no_more_than_it_bears_in_any_second(per_s: float) -> None:
-    async def play() -> tuple[int, int]:
+def test_cold_upstream_gets_at_most_its_rate_in_any_second(per_s: float) -> None:
+    async def main() -> tuple[int, int]:
         limit, rng = _limit(per_s=per_s), Random(1)
         sent = []
         for _ in range(4000):
             await asyncio.sleep(rng.expovariate(300))
-            if limit.take(ENTRY):
+            if limit.try_acquire(ENTRY):
                 sent.append(asyncio.get_running_loop().time())
-        return _most_in_a_second(sent), len(sent)
+        return _max_in_a_second(sent), len(sent)
 
-    most, sent = run_virtually(play())
+    most, sent = run_virtually(main())
     assert most <= per_s
     assert sent >= 5
 
 
-def test_two_deciders_within_a_second_give_less_than_an_upstream_bears_for_a_moment() -> None:
-    async def play() -> int:
+def test_two_deciders_in_one_second_stay_within_the_burst_limit() -> None:
+    async def main() -> int:
         first, second = _limit(), _limit(host="other")
-        return sum(first.take(ENTRY) for _ in range(50)) + sum(
-            second.take(ENTRY) for _ in range(50)
+        return sum(first.try_acquire(ENTRY) for _ in range(50)) + sum(
+            second.try_acquire(ENTRY) for _ in range(50)
         )
 
-    assert run_virtually(play()) <= PER_S * OVERSHOOT
+    assert run_virtually(main()) <= RATE_PER_S * BURST_FACTOR
 
 
 @pytest.mark.parametrize("hosts", [2, 9, 61, 195, 390])
-def test_hosts_that_are_all_alone_send_no_more_together(hosts: int) -> None:
-    async def play() -> int:
+def test_isolated_hosts_together_stay_within_the_limit(hosts: int) -> None:
+    async def main() -> int:
         limits = [_limit(host=f"host-{number}", share=1 / hosts) for number in range(hosts)]
-        return sum(limit.take(ENTRY) for limit in limits for _ in range(50))
+        return sum(limit.try_acquire(ENTRY) for limit in limits for _ in range(50))
 
-    assert 1 <= run_virtually(play()) <= BOUND
+    assert 1 <= run_virtually(main()) <= MAX_IN_A_SECOND
 
 
-def test_upstream_that_is_warm_gets_any_number() -> None:
-    async def play() -> bool:
+def test_warm_upstream_is_not_limited() -> None:
+    async def main() -> bool:
         limit = WarmupLimit(
             host=HostId("host"),
-            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=PER_S)),
+            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S)),
             upstreams=FakeUpstreams(entries=[ENTRY]),
             share=lambda: 1.0,
             clock=Clock(),
         )
-        return all(limit.take(ENTRY) for _ in range(1000)) and not limit.is_warming(ENTRY)
+        return all(limit.try_acquire(ENTRY) for _ in range(1000)) and not limit.is_warming(ENTRY)
 
-    assert run_virtually(play())
+    assert run_virtually(main())
 
 
-def test_upstream_counts_as_cold_after_its_failure_domain_was_taken_back() -> None:
-    async def play() -> list[bool]:
+def test_upstream_counts_as_cold_after_an_evacuation_ends() -> None:
+    async def main() -> list[bool]:
         upstreams = FakeUpstreams(entries=[ENTRY])
         limit = WarmupLimit(
             host=HostId("host"),
-            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=PER_S)),
+            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S)),
             upstreams=upstreams,
             share=lambda: 1.0,
             clock=Clock(),
@@ -139,11 +139,11 @@
             seen.append(limit.is_warming(ENTRY))
         return seen
 
-    assert run_virtually(play()) == [False, True, True, False]
+    assert run_virtually(main()) == [False, True, True, False]
 
 
-def test_entry_that_tells_of_another_cold_time_counts_from_when_it_was_written() -> None:
-    async def play() -> list[int]:
+def test_new_cold_time_in_an_entry_counts_from_its_revision() -> None:
+    async def main() -> list[int]:
         world = World()
         world.write("a")
         await asyncio.sleep(100)
@@ -154,21 +154,21 @@
         world.roster.on_snapshot(found)
         seen.append(world.roster.cold_ms(UpstreamId("a")))
         await asyncio.sleep(0.3)
-        # The same entry read once more is no newer word.
+        # Reading the same entry again does not restart its cold time.
         world.roster.on_snapshot(found)
         seen.append(world.roster.cold_ms(UpstreamId("a")))
         await asyncio.sleep(1)
         return [*seen, world.roster.cold_ms(UpstreamId("a"))]
 
-    assert run_virtually(play()) == [0, 800, 500, 0]
+    assert run_virtually(main()) == [0, 800, 500, 0]
 
 
 def _tables() -> FakeTables:
-    return FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=PER_S))
+    return FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S))
 
 
-def test_plain_requests_share_the_limit_and_the_rest_carries_the_load() -> None:
-    async def play() -> Counter[str]:
+def test_plain_requests_above_the_limit_go_to_warm_upstreams() -> None:
+    async def main() -> Counter[str]:
         bench = make_bench(make_entry("x"), make_entry("y"))
         bench.tables.table = _tables().table
         bench.upstreams.cold["x"] = 60_000
@@ -180,13 +180,13 @@
             await asyncio.sleep(0.003)
         return Counter(bench.caller.asked)
 
-    asked = run_virtually(play())
-    assert 1 <= asked["x"] <= PER_S
+    asked = run_virtually(main())
+    assert 1 <= asked["x"] <= RATE_PER_S
     assert asked["x"] + asked["y"] == 300
 
 
-def test_plain_request_is_refused_as_not_run_when_all_upstreams_are_cold_and_have_enough() -> None:
-    async def play() -> None:
+def test_plain_request_is_refused_as_not_executed_when_all_upstreams_are_at_the_limit() -> None:
+    async def main() -> None:
         bench = make_bench(make_entry("x"))
         bench.tables.table = _tables().table
         bench.upstreams.cold["x"] = 60_000
@@ -200,74 +200,74 @@
         assert {refusal.kind for refusal in refused} == {RefusalKind.OVERLOADED}
         assert all(refusal.retry_after_ms for refusal in refused)
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-def _play(scene: Callable[[Fleet], Coroutine[Any, Any, Any]]) -> Any:
-    async def play() -> Any:
+def _run(scenario: Callable[[Fleet], Coroutine[Any, Any, Any]]) -> Any:
+    async def main() -> Any:
         fleet = Fleet()
         await fleet.start(count=12, domains=3, engines=1)
-        fleet.write(CONFIGURATION_KEY, f"2 {COLD_MS} {PER_S}")
+        fleet.write(CONFIGURATION_KEY, f"2 {COLD_MS} {RATE_PER_S}")
         await asyncio.sleep(1)
-        return await scene(fleet)
+        return await scenario(fleet)
 
-    return run_virtually(play())
+    return run_virtually(main())
 
 
-async def _ask_often(fleet: Fleet, *, count: int) -> list[float]:
-    """Let all hosts ask for engines at once; return when an engine was given."""
-    given: list[float] = []
+async def _ask_concurrently(fleet: Fleet, *, count: int) -> list[float]:
+    """Ask for engines from all hosts at once; return when each placement was granted."""
+    granted: list[float] = []
 
     async def ask(number: int) -> None:
         host = fleet.hosts[number % len(fleet.hosts)]
         answer = await host.ask(f"r{number}", prompt=10, left_ms=900, is_long=False)
         if answer.kind is PlaceKind.SEND:
-            given.append(asyncio.get_running_loop().time())
+            granted.append(asyncio.get_running_loop().time())
             host.end(f"r{number}")
 
     await asyncio.gather(*(ask(number) for number in range(count)))
-    return given
+    return granted
 
 
-def test_generations_of_all_hosts_share_the_limit_of_an_engine() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_generations_of_all_hosts_share_the_limit_of_a_cold_engine() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.set_engine("e0", cold_ms=10_000)
         await asyncio.sleep(0.1)
-        given = await _ask_often(fleet, count=60)
-        assert 1 <= _most_in_a_second(given) <= PER_S
+        granted = await _ask_concurrently(fleet, count=60)
+        assert 1 <= _max_in_a_second(granted) <= RATE_PER_S
 
-    _play(scene)
+    _run(scenario)
 
 
 def test_limit_holds_when_the_decider_is_killed_within_the_second() -> None:
-    async def scene(fleet: Fleet) -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.set_engine("e0", cold_ms=10_000)
         await asyncio.sleep(0.1)
-        first = asyncio.create_task(_ask_often(fleet, count=30))
+        first = asyncio.create_task(_ask_concurrently(fleet, count=30))
         await asyncio.sleep(0.2)
         await fleet.kill(fleet.coordinators[0])
-        second = asyncio.create_task(_ask_often(fleet, count=30))
-        given = await first + await second
-        assert _most_in_a_second(given) <= BOUND
+        second = asyncio.create_task(_ask_concurrently(fleet, count=30))
+        granted = await first + await second
+        assert _max_in_a_second(granted) <= MAX_IN_A_SECOND
 
-    _play(scene)
+    _run(scenario)
 
 
-def test_limit_holds_when_no_host_reaches_another() -> None:
-    async def scene(fleet: Fleet) -> None:
+def test_limit_holds_when_all_hosts_are_isolated() -> None:
+    async def scenario(fleet: Fleet) -> None:
         fleet.set_engine("e0", cold_ms=60_000)
         await asyncio.sleep(0.1)
         for host in fleet.hosts:
             fleet.freeze(host)
-        await asyncio.sleep(10 + GRANT_MS / 1000)
-        given = await _ask_often(fleet, count=120)
-        assert _most_in_a_second(given) <= BOUND
+        await asyncio.sleep(10 + GRANT_TTL_MS / 1000)
+        granted = await _ask_concurrently(fleet, count=120)
+        assert _max_in_a_second(granted) <= MAX_IN_A_SECOND
 
-    _play(scene)
+    _run(scenario)
 
 
-def test_stale_cold_time_is_not_believed_for_ever() -> None:
-    async def play() -> bool:
+def test_upstream_is_warm_long_after_an_evacuation_ends() -> None:
+    async def main() -> bool:
         upstreams = FakeUpstreams(entries=[ENTRY], taken_back={"x": 59_000})
         limit = WarmupLimit(
             host=HostId("host"),
@@ -278,4 +278,4 @@
         )
         return limit.is_warming(ENTRY)
 
-    assert not run_virtually(play())
+    assert not run_virtually(main())
--- a/testing/test_warmup_machine.py
+++ b/testing/test_warmup_machine.py
@@ -1,8 +1,8 @@
-"""The limit of a cold upstream while deciders change and asks are lost, late and repeated.
+"""The rate limit of a cold upstream while deciders change and asks are lost, late or repeated.
 
-The pattern: an upstream comes back cold, all hosts find it empty, and hosts ask one decider, then
-another when its answer is lost or late, or decide alone. What each decider knows of who lets it
-decide is late too.
+An upstream becomes cold and all hosts rank it as least loaded. Hosts ask one decider, then another
+when its answer is lost or late, or decide for themselves. The deciders' data on which hosts use
+them is late too.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 
 HOSTS = tuple(f"host-{number}" for number in range(8))
 COORDINATORS = HOSTS[:3]
-PER_S = 10.0
-OVERSHOOT = 1.5
-SLACK = 5
+RATE_PER_S = 10.0
+BURST_FACTOR = 1.5
+BURST_SLACK = 5
 ENTRY = make_entry("x")
-CHANGE_PAUSE_MS = 1000
-"""Least time between two changes of the decider for all hosts; one that does not answer is passed
-over for longer."""
+MIN_CHANGE_INTERVAL_MS = 1000
+"""Minimum time between two changes of the decider for all hosts; skipping a decider that does not
+answer takes longer."""
 
 
-class _StoppedClock:
-    """Time that passes when it is told to."""
+class _ManualClock:
+    """A clock that only advances when the test advances it."""
 
     def __init__(self) -> None:
-        self.at = CHANGE_PAUSE_MS
+        self.at = MIN_CHANGE_INTERVAL_MS
 
     def now(self) -> Millis:
-        """Return the time."""
+        """Return the current time."""
         return Millis(self.at)
 
 
 class WarmupMachine(RuleBasedStateMachine):
-    """Hosts that ask for requests to one cold upstream, and those that decide."""
+    """Hosts that ask for requests to one cold upstream, and their deciders."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.time = _StoppedClock()
+        self.clock = _ManualClock()
         self.decider = dict.fromkeys(HOSTS, COORDINATORS[0])
         self.reported = dict(self.decider)
-        """What the deciders know of who lets whom decide."""
+        """Decider of each host as the deciders know it."""
         self.changed_at = 0
         self.sent: deque[int] = deque()
         self.limits = {host: self._limit(host) for host in HOSTS}
@@ -64,10 +64,10 @@
     def _limit(self, host: str) -> WarmupLimit:
         return WarmupLimit(
             host=HostId(host),
-            tables=FakeTables(table=make_table(cold_ms=60_000, cold_per_s=PER_S)),
+            tables=FakeTables(table=make_table(cold_ms=60_000, cold_per_s=RATE_PER_S)),
             upstreams=FakeUpstreams(entries=[ENTRY], cold={"x": 60_000}),
             share=lambda: self._share(host),
-            clock=cast(Clock, self.time),
+            clock=cast(Clock, self.clock),
         )
 
     def _share(self, decider: str) -> float:
@@ -76,45 +76,45 @@
 
     @rule(host=st.sampled_from(HOSTS), repeats=st.integers(1, 12))
     def ask(self, host: str, repeats: int) -> None:
-        """Send requests that the decider of a host allows."""
+        """Send the requests that the decider of a host allows."""
         for _ in range(repeats):
-            if self.limits[self.decider[host]].take(ENTRY):
-                self.sent.append(self.time.at)
+            if self.limits[self.decider[host]].try_acquire(ENTRY):
+                self.sent.append(self.clock.at)
 
     @rule(host=st.sampled_from(HOSTS))
-    def lose_the_answer(self, host: str) -> None:
-        """Let a decider count a request whose host does not hear of it."""
-        self.limits[self.decider[host]].take(ENTRY)
+    def lose_answer(self, host: str) -> None:
+        """Count a request at the decider whose answer its host does not receive."""
+        self.limits[self.decider[host]].try_acquire(ENTRY)
 
     @rule(host=st.sampled_from(HOSTS))
-    def be_cut_off(self, host: str) -> None:
-        """Let a host decide for itself; the others hear of it later."""
+    def isolate(self, host: str) -> None:
+        """Make a host decide for itself; the deciders are informed later."""
         self.decider[host] = host
 
     @rule(host=st.sampled_from(HOSTS))
     def report(self, host: str) -> None:
-        """Deliver what a host tells of its decider."""
+        """Deliver the report of a host about its decider."""
         self.reported[host] = self.decider[host]
 
     @rule(coordinator=st.sampled_from(COORDINATORS))
     def change_decider(self, coordinator: str) -> None:
-        """Let all hosts ask another decider, which hears of them at once."""
-        if self.time.at - self.changed_at >= CHANGE_PAUSE_MS:
-            self.changed_at = self.time.at
+        """Change the decider of all hosts, which is informed immediately."""
+        if self.clock.at - self.changed_at >= MIN_CHANGE_INTERVAL_MS:
+            self.changed_at = self.clock.at
             self.decider = dict.fromkeys(HOSTS, coordinator)
             self.reported = dict(self.decider)
 
     @rule(ms=st.integers(1, 700))
-    def wait(self, ms: int) -> None:
-        """Let time pass."""
-        self.time.at += ms
+    def advance(self, ms: int) -> None:
+        """Advance the clock."""
+        self.clock.at += ms
 
     @invariant()
-    def bound_holds_in_every_second(self) -> None:
-        """The upstream never gets so many requests in a second that it would crash."""
-        while self.sent and self.sent[0] <= self.time.at - MS_PER_SECOND:
+    def rate_limit_holds_in_every_second(self) -> None:
+        """The upstream never gets enough requests in a second to crash."""
+        while self.sent and self.sent[0] <= self.clock.at - MS_PER_SECOND:
             self.sent.popleft()
-        assert len(self.sent) <= PER_S * OVERSHOOT + SLACK
+        assert len(self.sent) <= RATE_PER_S * BURST_FACTOR + BURST_SLACK
 
 
 TestWarmup = WarmupMachine.TestCase
