--- a/src/tanagerscale/coordination/_coordinator.py
+++ b/src/tanagerscale/coordination/_coordinator.py
@@ -117,8 +117,10 @@
                 self.queue.withdraw(host=host, serial=message.serial)
             case RepeatAsk():
                 service = ServiceId(message.service)
-                may = self._retry_budgets.try_acquire(service=service, requests=message.requests)
-                self._send(host, RepeatAnswer(serial=message.serial, may_repeat=may))
+                is_allowed = self._retry_budgets.try_acquire(
+                    service=service, requests=message.requests
+                )
+                self._send(host, RepeatAnswer(serial=message.serial, may_repeat=is_allowed))
             case WarmupAsk():
                 self._answer_warmup(host, message)
             case MoveDone():
@@ -128,8 +130,8 @@
 
     def _answer_warmup(self, host: HostId, ask: WarmupAsk) -> None:
         entry = self._context.upstreams.get(UpstreamId(ask.upstream))
-        may = entry is None or self._context.warmup.try_acquire(entry)
-        self._send(host, WarmupAnswer(serial=ask.serial, may_send=may))
+        is_allowed = entry is None or self._context.warmup.try_acquire(entry)
+        self._send(host, WarmupAnswer(serial=ask.serial, may_send=is_allowed))
 
     def on_joined(self, host: HostId, domain: FailureDomainId) -> None:
         """Reset the state of a host that has connected, since it may be a new process."""
@@ -156,7 +158,7 @@
         self.queue.reevaluate()
         self.planner.reevaluate()
 
-    def on_currency(self, is_current: bool) -> None:
+    def on_store_currency(self, is_current: bool) -> None:
         """Record whether the store delivers notices of leaving upstreams."""
         if is_current:
             self._is_store_stale.clear()
--- a/src/tanagerscale/coordination/_directory.py
+++ b/src/tanagerscale/coordination/_directory.py
@@ -113,7 +113,7 @@
         return before
 
     @property
-    def decides_since(self) -> Millis:
+    def decider_since(self) -> Millis:
         """Time since which this host has been deciding for itself or for others."""
         return self._decides_since
 
--- a/src/tanagerscale/coordination/_ledger.py
+++ b/src/tanagerscale/coordination/_ledger.py
@@ -172,7 +172,7 @@
         self._set_plan(run, target, yields=yields, is_moving=True, for_ms=for_ms)
 
     def plan_drop(self, *, run: LedgerRun) -> None:
-        """Count the memory of a copy that a host is ordered to drop as free."""
+        """Count the memory of a copy as free, since its host is ordered to drop it."""
         self._set_plan(run, "", yields=False, is_moving=False, for_ms=DROP_TIMEOUT_MS)
 
     def end_plan(self, *, request: RequestId) -> None:
--- a/src/tanagerscale/coordination/_placement_queue.py
+++ b/src/tanagerscale/coordination/_placement_queue.py
@@ -118,7 +118,7 @@
             self._answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
 
     def withdraw(self, *, host: HostId, serial: int) -> None:
-        """Remove a generation that its host no longer wants to place."""
+        """Remove a generation whose placement its host has withdrawn."""
         self._waiting.pop((host, serial), None)
 
     def forget(self, *, host: HostId) -> None:
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -252,7 +252,7 @@
             slack=retries.slack,
             window_s=retries.window_s,
             share=self._share_of_hosts,
-            since=lambda: self.directory.decides_since,
+            since=lambda: self.directory.decider_since,
             clock=self._clock,
         )
 
@@ -300,7 +300,7 @@
         self.gate.changes.subscribe(self.coordinator.on_upstreams)
         self.roster.changes.subscribe(self.coordinator.on_upstreams)
         self.evacuations.changes.subscribe(lambda _: self.coordinator.reevaluate())
-        self.roster.currency.subscribe(self.coordinator.on_currency)
+        self.roster.currency.subscribe(self.coordinator.on_store_currency)
         self._work.changes.subscribe(lambda _: self.client.schedule_report())
 
     def _heartbeat(self) -> Heartbeat:
--- a/testing/_moving_scene.py
+++ b/testing/_moving_scene.py
@@ -136,7 +136,7 @@
     def lose_store(self) -> None:
         """Let the store tell of no more engines that leave."""
         self.bench.upstreams.is_current = False
-        self.coordinator.on_currency(False)
+        self.coordinator.on_store_currency(False)
 
     def leave(self, name: str) -> None:
         """Let an engine leave."""
--- a/testing/_single_host.py
+++ b/testing/_single_host.py
@@ -38,7 +38,7 @@
     """Orders sent so far."""
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def tell(self, host: HostId, message: Message) -> bool:
+    def deliver(self, host: HostId, message: Message) -> bool:
         """Deliver a message to this host; no other host can be reached."""
         if host != HOST:
             return False
@@ -63,7 +63,7 @@
     async def _execute(self, order: MoveOrder) -> None:
         is_done = False if self.movers is None else await self.movers.carry_out(order)
         self.client.report_now()
-        self.tell(HOST, MoveDone(number=order.number, is_done=is_done))
+        self.deliver(HOST, MoveDone(number=order.number, is_done=is_done))
 
 
 def make_single_host(
@@ -77,8 +77,8 @@
     """
     made: list[SingleHost] = []
 
-    def tell(host: HostId, message: Message) -> bool:
-        return made[0].tell(host, message)
+    def deliver(host: HostId, message: Message) -> bool:
+        return made[0].deliver(host, message)
 
     repeats = SharedRetryBudgets(
         ratio=0.2,
@@ -89,12 +89,17 @@
         clock=context.clock,
     )
     coordinator = Coordinator(
-        host=HOST, domain=DOMAIN, context=context, retry_budgets=repeats, engines=engines, send=tell
+        host=HOST,
+        domain=DOMAIN,
+        context=context,
+        retry_budgets=repeats,
+        engines=engines,
+        send=deliver,
     )
     client = CoordinationClient(
         host=HOST,
         directory=Directory(host=HOST, seeds=(), clock=context.clock),
-        send=tell,
+        send=deliver,
         uses=work.uses,
         incarnation=1,
         clock=context.clock,
