--- a/src/tanagerscale/forwarding/_segments.py
+++ b/src/tanagerscale/forwarding/_segments.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from tanagerscale.coordination import LateNote
+from tanagerscale.coordination import AttemptHealthRecorder
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
@@ -53,7 +53,7 @@
 
     entry: UpstreamEntry
     response: UpstreamResponse
-    late: LateNote
+    late: AttemptHealthRecorder
     first_event: Millis | None = None
     is_slow: bool = False
 
@@ -110,7 +110,7 @@
             domains=self._routed.domains,
         )
         late_ms = self._routed.route.target_ms
-        late = LateNote(health=self._parts.health, entry=entry, after_ms=late_ms)
+        late = AttemptHealthRecorder(health=self._parts.health, entry=entry, after_ms=late_ms)
         try:
             response = await self._parts.upstream_client.send(
                 upstream_request=self._build_request(entry, resume_target, progress)
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -179,7 +179,7 @@
         assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(fleet.hosts)
         answers = [await host.ask(f"r{number}") for number, host in enumerate(fleet.hosts)]
         assert {answer.upstream for answer in answers} == {"e0", "e2"}
-        fleet.take_back("domain-1")
+        fleet.end_evacuation("domain-1")
         await asyncio.sleep(PROPAGATION_S)
         assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(
             fleet.hosts
@@ -193,11 +193,15 @@
         for _ in range(20):
             fleet.evacuate("domain-1")
             await asyncio.sleep(0.01)
-            fleet.take_back("domain-1")
+            fleet.end_evacuation("domain-1")
         await asyncio.sleep(PROPAGATION_S)
         assert _all_open(fleet) == {"e0", "e1", "e2"}
         for _ in range(20):
-            fleet.take_back("domain-1") if "op/evacuate/domain-1" in fleet.backend.entries else None
+            (
+                fleet.end_evacuation("domain-1")
+                if "op/evacuate/domain-1" in fleet.backend.entries
+                else None
+            )
             fleet.evacuate("domain-1")
         await asyncio.sleep(PROPAGATION_S)
         assert _all_open(fleet) == {"e0", "e2"}
@@ -308,7 +312,7 @@
         await asyncio.sleep(PROPAGATION_S)
         isolated = fleet.members[0]
         fleet.freeze(isolated)
-        fleet.take_back("domain-1")
+        fleet.end_evacuation("domain-1")
         fleet.evacuate("domain-0")
         await asyncio.sleep(3)
         assert _open_engines(isolated) == {"e0", "e2"}
@@ -426,7 +430,7 @@
         fleet.set_engine("e2", state="leaving", domain="domain-2")
         await asyncio.sleep(PROPAGATION_S)
         for host in fleet.hosts:
-            parts = host.control.coordinator._parts
+            parts = host.control.coordinator._context
             assert UpstreamId("e1") not in {
                 entry.upstream for entry in eligible_upstreams(parts, SERVICE)
             }
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from tanagerscale.coordination._coordinator import REPORT_DELAY_MS
 from tanagerscale.coordination._coordinator import REPORT_LAG_MS
-from tanagerscale.coordination._coordinator import REPORT_MS
 from tanagerscale.core import RequestId
 from tanagerscale.core import UpstreamId
 from tanagerscale.forwarding import CopyFailure
@@ -320,9 +320,9 @@
         harness.add("1", at="x")
         harness.fill("y", tokens=31_000)
         await asyncio.sleep(0.6)
-        return harness.departures.gone_at(UpstreamId("x"))
+        return harness.departures.departure_time(UpstreamId("x"))
 
-    assert run_virtually(scenario()) == REPORT_MS + 2000 - REPORT_LAG_MS
+    assert run_virtually(scenario()) == REPORT_DELAY_MS + 2000 - REPORT_LAG_MS
 
 
 def test_advance_copy_in_progress_is_used_when_the_notice_arrives() -> None:
--- a/testing/test_forwarding_health.py
+++ b/testing/test_forwarding_health.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from tanagerscale.coordination import UpstreamHealth
-from tanagerscale.coordination._health import FIRST_EJECTION_MS
-from tanagerscale.coordination._health import TELL_MS
+from tanagerscale.coordination._health import BASE_EJECTION_MS
+from tanagerscale.coordination._health import TALLY_INTERVAL_MS
 from tanagerscale.coordination._health import WINDOW_MS
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
@@ -25,7 +25,7 @@
 
 
 def _usable(health: UpstreamHealth) -> list[str]:
-    return [entry.upstream for entry in health.usable(ENTRIES)]
+    return [entry.upstream for entry in health.exclude_ejected(ENTRIES)]
 
 
 def test_upstream_is_ejected_after_failures_and_readmitted_later() -> None:
@@ -34,7 +34,7 @@
         for _ in range(3):
             health.note_bad(upstream=X)
         assert _usable(health) == ["y", "z"]
-        await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
+        await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["x", "y", "z"]
 
     run_virtually(scenario())
@@ -46,7 +46,7 @@
         for _ in range(2):
             for _ in range(3):
                 health.note_bad(upstream=X)
-            await asyncio.sleep((FIRST_EJECTION_MS + 10) / 1000)
+            await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["y", "z"]
 
     run_virtually(scenario())
@@ -94,7 +94,7 @@
         published: list[AnswerTallies] = []
         health.news.subscribe(published.append)
         health.note_good(upstream=Y)
-        await asyncio.sleep(TELL_MS / 1000)
+        await asyncio.sleep(TALLY_INTERVAL_MS / 1000)
         assert published == []
         health.note_good(upstream=X)
         health.note_bad(upstream=X)
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tanagerscale.coordination._coordinator import REPORT_LAG_MS
-from tanagerscale.coordination._planner import RENEW_MS
+from tanagerscale.coordination._planner import MAX_COPY_AGE_MS
 from tanagerscale.core import HostId
 from tanagerscale.core import UpstreamId
 from tanagerscale.forwarding import CopyFailure
@@ -25,9 +25,9 @@
 from tanagerscale.forwarding._stream import StreamRun
 from tanagerscale.generated.messages import HostRuns
 from tanagerscale.generated.messages import RunUse
-from testing._alone import HOST
 from testing._gateway_fakes import copy_failure
 from testing._move_harness import MoveHarness
+from testing._single_host import HOST
 from testing._virtual_time import run_virtually
 
 SETTLE_S = 5
@@ -112,7 +112,7 @@
         stuck = harness.add("stuck", at="x", made=3000)
         harness.add_copy(stuck, at="y")
         harness.bench.engines.refused.add("stuck")
-        await asyncio.sleep(RENEW_MS / 1000)
+        await asyncio.sleep(MAX_COPY_AGE_MS / 1000)
         for name in ("b", "c"):
             harness.add(name, at="x")
         await asyncio.sleep(SETTLE_S)
@@ -170,7 +170,9 @@
         async with _run_departure_watch(harness):
             while not harness.bench.upstreams.leaving:
                 await asyncio.sleep(0.01)
-            left_ms = harness.departures.gone_at(UpstreamId("x")) - harness.bench.parts.clock.now()
+            left_ms = (
+                harness.departures.departure_time(UpstreamId("x")) - harness.bench.parts.clock.now()
+            )
         assert 380 <= left_ms <= 400
 
     run_virtually(scenario())
