--- a/src/tanagerscale/coordination/_parts.py
+++ b/src/tanagerscale/coordination/_parts.py
@@ -171,6 +171,6 @@
         running=total.running,
         waiting_tokens=total.waiting_tokens,
         waiting=total.waiting,
-        batch=entry.places if engine is None else engine.batch,
+        batch=entry.max_concurrency if engine is None else engine.batch,
         cold_ms=upstreams.cold_ms(entry.upstream),
     )
--- a/src/tanagerscale/daemon/_crashes.py
+++ b/src/tanagerscale/daemon/_crashes.py
@@ -17,7 +17,7 @@
 from tanagerscale.generated.messages import Verdict
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.quarantine import Fingerprint
 from tanagerscale.quarantine import Quarantine
 from tanagerscale.quarantine import RunEnd
@@ -123,7 +123,7 @@
         for stop in self._stops.get((request.fingerprint, request.engine), ()):
             stop.set()
 
-    def _on_message(self, received: Received) -> None:
+    def _on_message(self, received: ReceivedMessage) -> None:
         if isinstance(received.message, Verdict):
             self._quarantine.on_peer_verdict(verdict=received.message, peer=received.host)
 
--- a/src/tanagerscale/daemon/_host.py
+++ b/src/tanagerscale/daemon/_host.py
@@ -130,7 +130,7 @@
         """Carry out a planned stop: no new work, then the end of all that runs."""
         self._leaving = True
         self._router.set_leaving(leaving=True)
-        self._mesh.beat_now()
+        self._mesh.send_heartbeat()
         grace_s = self._settings.host.stop_grace_ms / MS_PER_SECOND
         try:
             await asyncio.wait_for(self._door.wait_empty(), grace_s)
@@ -198,7 +198,7 @@
         self._gate = UpstreamGate(
             clock=self._clock,
             rng=self._rng,
-            spread=lambda message: self._mesh.broadcast(message=message),
+            broadcast=lambda message: self._mesh.broadcast(message=message),
         )
         self._host_list = HostListFollower(
             url=settings.host_list.url,
--- a/src/tanagerscale/daemon/_peers.py
+++ b/src/tanagerscale/daemon/_peers.py
@@ -19,13 +19,13 @@
 from tanagerscale.generated.upstream import ListedEntry
 from tanagerscale.generated.upstream import ListedKind
 from tanagerscale.generated.upstream import ListedState
-from tanagerscale.membership import HeadSpread
+from tanagerscale.membership import HeadReplicator
 from tanagerscale.membership import HostListFollower
 from tanagerscale.membership import Mesh
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.membership import peer_addresses
-from tanagerscale.membership import spread_leaving
+from tanagerscale.membership import subscribe_gate
 from tanagerscale.routing import PoolRouter
 
 _log = get_logger(part="peers")
@@ -73,11 +73,11 @@
         self._keys = keys
         self._limits = limits
         self._seeds = seeds
-        self._spread = HeadSpread(network=mesh, follower=follower, clock=clock)
+        self._spread = HeadReplicator(network=mesh, follower=follower, clock=clock)
 
     def start(self) -> None:
         """Subscribe to everything."""
-        spread_leaving(gate=self._gate, mesh=self._mesh, entries=self._host_list.entries)
+        subscribe_gate(gate=self._gate, mesh=self._mesh, entries=self._host_list.entries)
         self._host_list.entries.subscribe(self._on_list)
         self._mesh.messages.subscribe(self._on_message)
         self._spread.start()
@@ -90,7 +90,7 @@
     def use_seeds(self) -> None:
         """Connect to the seeds, when there is no host list."""
         self._mesh.set_peers(peer_addresses(entries=(), seeds=self._seeds))
-        self._spread.hosts_are_known()
+        self._spread.note_hosts_known()
 
     def is_live(self, host: HostId, incarnation: int) -> bool:
         """Return whether a host is in the same life as when it made a record.
@@ -111,9 +111,9 @@
         self._router.set_known_hosts(max(1, len(live)))
         others = frozenset(HostId(entry.id) for entry in live) - {self._mesh.host}
         self._limits.set_peers(peers=others)
-        self._spread.hosts_are_known()
+        self._spread.note_hosts_known()
 
-    def _on_message(self, received: Received) -> None:
+    def _on_message(self, received: ReceivedMessage) -> None:
         if isinstance(received.message, Heartbeat):
             self._limits.on_heartbeat(host=received.host, heartbeat=received.message)
         elif isinstance(received.message, Attached):
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -43,7 +43,7 @@
 from tanagerscale.generated.messages import MoveOrder
 from tanagerscale.generated.records import HostRecord
 from tanagerscale.membership import Evacuations
-from tanagerscale.membership import HeadSpread
+from tanagerscale.membership import HeadReplicator
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import Message
 from tanagerscale.membership import Transport
@@ -109,7 +109,7 @@
         )
         self.mesh = self._make_mesh(transport)
         self._relay = NewsRelay(network=self.mesh, directory=self.directory, clock=clock)
-        self.gate = UpstreamGate(clock=clock, rng=rng, spread=self._relay.tell)
+        self.gate = UpstreamGate(clock=clock, rng=rng, broadcast=self._relay.tell)
         self.evacuations = Evacuations(domain_of=edges.evacuated_domain, clock=clock)
         self.roster = UpstreamRoster(
             gate=self.gate,
@@ -177,8 +177,8 @@
             clock=self._clock,
             rng=self._rng,
             heartbeat_source=self._heartbeat,
-            ends_unwanted=True,
-            interval_ms=lambda _: beat_ms(
+            closes_unwanted=True,
+            heartbeat_interval_ms=lambda _: beat_ms(
                 hosts=self.directory.hosts, is_coordinator=self.directory.is_coordinator
             ),
             transport=transport,
@@ -187,15 +187,15 @@
     def _make_feed(self, topic: ListTopic, listener: FeedListener) -> ListFeed:
         return ListFeed(topic=topic, listener=listener, tell=self._tell, clock=self._clock)
 
-    def _make_spread(self) -> HeadSpread:
-        return HeadSpread(
+    def _make_spread(self) -> HeadReplicator:
+        return HeadReplicator(
             network=self.mesh,
             follower=self.keeper,
             clock=self._clock,
-            patience_ms=lambda: PATIENCE_MS if self.duties.follows_store else 0,
-            distance=lambda host: distance(self._host, host),
-            check_ms=SPREAD_CHECK_MS,
-            tell=self._relay.tell,
+            request_delay_ms=lambda: PATIENCE_MS if self.duties.follows_store else 0,
+            order_key=lambda host: distance(self._host, host),
+            check_interval_ms=SPREAD_CHECK_MS,
+            broadcast=self._relay.tell,
         )
 
     def _make_presence(self) -> HostPresence:
@@ -300,7 +300,7 @@
         self.gate.changes.subscribe(self.coordinator.on_upstreams)
         self.roster.changes.subscribe(self.coordinator.on_upstreams)
         self.evacuations.changes.subscribe(lambda _: self.coordinator.look())
-        self.roster.currency.subscribe(self.coordinator.on_currency)
+        self.roster.is_current_changes.subscribe(self.coordinator.on_currency)
         self._work.changes.subscribe(lambda _: self.client.report_soon())
 
     def _heartbeat(self) -> Heartbeat:
@@ -326,7 +326,7 @@
         self.feed.on_calls(answered=is_answered)
         self.duties.on_own_store(is_lost=not is_answered)
         if self.directory.is_coordinator:
-            self.mesh.beat_now()
+            self.mesh.send_heartbeat()
 
     def _service_of(self, upstream: UpstreamId) -> ServiceId | None:
         entry = self.roster.get(upstream)
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -139,7 +139,7 @@
     async def stop(self) -> None:
         """Carry out a planned stop: no new work, then the end of all that runs."""
         self._leaving = True
-        self._control.mesh.beat_now()
+        self._control.mesh.send_heartbeat()
         self._server.begin_stop()
         self._spawn(self._control.withdraw())
         _log.info("The host stops.", running=self._dispatcher.running)
@@ -191,7 +191,7 @@
     @property
     def upstreams_known(self) -> int:
         """How many upstreams are listed."""
-        return self._control.roster.known
+        return self._control.roster.known_count
 
     @property
     def runs_known(self) -> int:
--- a/src/tanagerscale/gateway/_peers.py
+++ b/src/tanagerscale/gateway/_peers.py
@@ -32,7 +32,7 @@
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.quarantine import Suspects
 
@@ -142,7 +142,7 @@
             return True
         return self._mesh.send(host=host, message=message)
 
-    def _on_received(self, received: Received) -> None:
+    def _on_received(self, received: ReceivedMessage) -> None:
         self.on_message(received.host, received.message)
 
     def _on_live(self, peers: tuple[PeerInfo, ...]) -> None:
--- a/src/tanagerscale/membership/__init__.py
+++ b/src/tanagerscale/membership/__init__.py
@@ -1,9 +1,13 @@
-"""Which hosts and upstreams there are, and messages between hosts."""
+"""Membership of hosts and upstreams, and the messages between hosts."""
 
 from __future__ import annotations
 
 from tanagerscale.membership._evacuations import Evacuations
 from tanagerscale.membership._gate import UpstreamGate
+from tanagerscale.membership._gate_subscriptions import subscribe_gate
+from tanagerscale.membership._head_replication import NOT_PACKED
+from tanagerscale.membership._head_replication import HeadFollower
+from tanagerscale.membership._head_replication import HeadReplicator
 from tanagerscale.membership._host_list import HostListFollower
 from tanagerscale.membership._host_list import peer_addresses
 from tanagerscale.membership._link import CloseReason
@@ -14,13 +18,9 @@
 from tanagerscale.membership._peers import MeshCounters
 from tanagerscale.membership._peers import PeerAddress
 from tanagerscale.membership._peers import PeerInfo
-from tanagerscale.membership._peers import Received
+from tanagerscale.membership._peers import ReceivedMessage
 from tanagerscale.membership._roster import UpstreamRoster
-from tanagerscale.membership._scale import stretch
-from tanagerscale.membership._spread import NOT_PACKED
-from tanagerscale.membership._spread import HeadFollower
-from tanagerscale.membership._spread import HeadSpread
-from tanagerscale.membership._upstreams import spread_leaving
+from tanagerscale.membership._scale import interval_multiplier
 from tanagerscale.membership._websocket import peer_ssl_contexts
 from tanagerscale.membership._wire import FrameError
 from tanagerscale.membership._wire import FrameErrorKind
@@ -35,7 +35,7 @@
     "FrameError",
     "FrameErrorKind",
     "HeadFollower",
-    "HeadSpread",
+    "HeadReplicator",
     "HostListFollower",
     "Link",
     "LinkClosedError",
@@ -44,14 +44,14 @@
     "Message",
     "PeerAddress",
     "PeerInfo",
-    "Received",
+    "ReceivedMessage",
     "Transport",
     "UpstreamGate",
     "UpstreamRoster",
     "decode_frame",
     "encode_frame",
+    "interval_multiplier",
     "peer_addresses",
     "peer_ssl_contexts",
-    "spread_leaving",
-    "stretch",
+    "subscribe_gate",
 ]
--- a/src/tanagerscale/membership/_evacuations.py
+++ b/src/tanagerscale/membership/_evacuations.py
@@ -1,4 +1,4 @@
-"""Which failure domains the operators have evacuated."""
+"""Failure domains that operators have evacuated."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from tanagerscale.store import StoreRange
 from tanagerscale.store import WatchBatch
 
-RETURN_MEMORY_MS: Final = 60_000
-"""How long it is known when an evacuation ended. Upstreams warm up within seconds."""
+ENDED_RETENTION_MS: Final = 60_000
+"""How long the end time of an evacuation is kept. Upstreams warm up within seconds."""
 
 _log = get_logger(part="evacuations")
 
-DomainOf = Callable[[str], FailureDomainId | None]
+ParseDomain = Callable[[str], FailureDomainId | None]
 
 
 @final
 class Evacuations:
-    """Keeps which failure domains are to get no new requests.
+    """Tracks the failure domains whose upstreams must get no new requests.
 
-    What is known stays in force while the store can't be read.
+    The last known evacuations stay in force while the store can't be read.
 
-    :param domain_of: Returns which failure domain a key of the store evacuates; ``None`` for keys
-        that evacuate none.
-    :param clock: Time.
+    :param domain_of: Parses a store key into the failure domain that it evacuates; returns ``None``
+        for keys that evacuate none.
+    :param clock: Source of the current time.
     """
 
-    def __init__(self, *, domain_of: DomainOf, clock: Clock) -> None:
-        self._domain_of = domain_of
+    def __init__(self, *, domain_of: ParseDomain, clock: Clock) -> None:
+        self._parse_domain = domain_of
         self._clock = clock
         self._domains: frozenset[FailureDomainId] = frozenset()
         self._ended_at: dict[FailureDomainId, Millis] = {}
@@ -46,60 +46,64 @@
 
     @property
     def has_read(self) -> bool:
-        """Whether the evacuations were read once since this host started."""
+        """Whether the evacuations have been read since this host started."""
         return self._has_read
 
     @property
     def domains(self) -> frozenset[FailureDomainId]:
-        """The failure domains that are evacuated."""
+        """The evacuated failure domains."""
         return self._domains
 
     @property
     def changes(self) -> Observable[None]:
-        """Fires after each change."""
+        """Emits after each change of the evacuated failure domains."""
         return self._changes
 
     def is_evacuated(self, domain: FailureDomainId) -> bool:
-        """Return whether the upstreams of a failure domain are to get no new requests."""
+        """Return whether the upstreams of a failure domain must get no new requests."""
         return domain in self._domains
 
-    def ended_ms(self, domain: FailureDomainId) -> int | None:
-        """Return how long ago the evacuation of a failure domain ended; ``None`` for long ago."""
+    def ms_since_end(self, domain: FailureDomainId) -> int | None:
+        """Return the time since the evacuation of a failure domain ended, in milliseconds.
+
+        :param domain: The failure domain.
+        :returns: ``None`` if it was not evacuated or the end is no longer remembered.
+        """
         ended_at = self._ended_at.get(domain)
         return None if ended_at is None else self._clock.now() - ended_at
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Take in all keys at once."""
+        """Replace the evacuations with the content of a full read of the store."""
         self._has_read = True
-        self._set(self._known(entry.key for entry in found.entries))
+        self._replace_domains(self._parse_domains(entry.key for entry in found.entries))
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in changes."""
-        begun = self._known(entry.key for entry in batch.entries)
-        self._set(self._domains - self._known(batch.deleted) | begun)
+        """Apply changes that a watch of the store reports."""
+        begun = self._parse_domains(entry.key for entry in batch.entries)
+        self._replace_domains(self._domains - self._parse_domains(batch.deleted) | begun)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Do nothing: what is known stays in force."""
+        """Do nothing; the last known evacuations stay in force during an outage."""
 
     def on_calls(self, *, answered: bool) -> None:
-        """Do nothing: what is known stays in force."""
+        """Do nothing; the last known evacuations stay in force while calls fail."""
 
-    def _known(self, keys: Iterable[str]) -> frozenset[FailureDomainId]:
-        domains = (self._domain_of(key) for key in keys)
+    def _parse_domains(self, keys: Iterable[str]) -> frozenset[FailureDomainId]:
+        domains = (self._parse_domain(key) for key in keys)
         return frozenset(domain for domain in domains if domain is not None)
 
-    def _set(self, domains: frozenset[FailureDomainId]) -> None:
+    def _replace_domains(self, domains: frozenset[FailureDomainId]) -> None:
         before, self._domains = self._domains, domains
         if domains == before:
             return
         now = self._clock.now()
         self._ended_at = {
-            domain: at for domain, at in self._ended_at.items() if now - at < RETURN_MEMORY_MS
+            domain: at for domain, at in self._ended_at.items() if now - at < ENDED_RETENTION_MS
         }
         for domain in sorted(domains - before):
             self._ended_at.pop(domain, None)
-            _log.info("A failure domain is evacuated.", failure_domain=domain)
+            _log.info("Failure domain evacuated.", failure_domain=domain)
         for domain in sorted(before - domains):
             self._ended_at[domain] = now
-            _log.info("A failure domain takes requests again.", failure_domain=domain)
+            _log.info("Failure domain evacuation ended.", failure_domain=domain)
         self._changes.on_next(None)
--- a/src/tanagerscale/membership/_gate.py
+++ b/src/tanagerscale/membership/_gate.py
@@ -1,4 +1,4 @@
-"""Which upstreams take new work."""
+"""Which upstreams accept new requests."""
 
 from __future__ import annotations
 
@@ -22,17 +22,26 @@
 from tanagerscale.generated.upstream import ListedKind
 from tanagerscale.generated.upstream import ListedState
 
-_FIRST_BREAK_MS = 750
-"""Longer than the time between two reads by the owner, which thus keep a dead engine closed."""
-_LONGEST_BREAK_MS = 6000
+_MIN_BACKOFF_MS = 750
+"""Must exceed the interval at which the owner polls an engine, so that failed polls keep a dead
+engine closed."""
+_MAX_BACKOFF_MS = 6000
 
-_LEAVING_MEMORY_MS = 600_000
-"""How long a word of leaving holds where the list tells no incarnations, longer than any lag."""
+_LEAVING_TTL_MS = 600_000
+"""How long a leaving notice holds if the host list has no incarnations; must exceed the lag of the
+list."""
 
 log = get_logger(part="gate")
 
 
 class _Breaker(Struct, kw_only=True):
+    """Circuit breaker of one upstream.
+
+    :param failures: Number of failed probes in a row.
+    :param until: Time before which no probe may be sent.
+    :param timer: Publishes the change when that time is reached.
+    """
+
     failures: int = 0
     until: int = 0
     timer: asyncio.TimerHandle | None = None
@@ -40,150 +49,155 @@
 
 @final
 class UpstreamGate:
-    """Knows which upstreams are leaving and which can't be reached.
+    """Tracks which upstreams are leaving and which are unreachable.
 
-    The host list, an upstream's own refusal and a peer's word each suffice to close an upstream.
-    The first of them is spread to the peers. Only a later life of the upstream opens it again,
-    so a list that lags behind does not.
+    The host list, a refusal by the upstream itself or a message from a peer each suffice to close
+    an upstream. The first of these notices is broadcast to the peers. Only a newer incarnation
+    reopens the upstream, so that a lagging host list does not.
 
-    :param clock: Time.
-    :param rng: Spreads the probes of a failed upstream.
-    :param spread: Tells the peers.
+    :param clock: Source of the current time.
+    :param rng: Random number generator used to add jitter to the probes of a failed upstream.
+    :param broadcast: Sends a message to all peers.
     """
 
     def __init__(
-        self, *, clock: Clock, rng: Random, spread: Callable[[UpstreamLeaving], None]
+        self, *, clock: Clock, rng: Random, broadcast: Callable[[UpstreamLeaving], None]
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._spread = spread
-        self._listed: dict[UpstreamId, int] = {}
-        self._leaving: dict[UpstreamId, int] = {}
-        self._heard: dict[UpstreamId, Millis] = {}
+        self._broadcast = broadcast
+        self._newest_incarnations: dict[UpstreamId, int] = {}
+        self._leaving_incarnations: dict[UpstreamId, int] = {}
+        self._leaving_noted_at: dict[UpstreamId, Millis] = {}
         self._listed_leaving: frozenset[UpstreamId] = frozenset()
         self._breakers: dict[UpstreamId, _Breaker] = {}
         self._changes: Subject[UpstreamId] = Subject()
 
     @property
     def changes(self) -> Observable[UpstreamId]:
-        """Each upstream whose openness may have changed."""
+        """Emits each upstream whose availability may have changed."""
         return self._changes
 
     def is_open(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream takes new work."""
+        """Return whether an upstream accepts new requests."""
         return not self.is_leaving(upstream) and not self.is_broken(upstream)
 
     def is_leaving(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream's present life is known to end."""
-        leaving = self._leaving.get(upstream)
-        if leaving is None or leaving < self._listed.get(upstream, 0):
+        """Return whether the current incarnation of an upstream is known to be leaving."""
+        leaving = self._leaving_incarnations.get(upstream)
+        if leaving is None or leaving < self._newest_incarnations.get(upstream, 0):
             return False
-        return leaving > 0 or upstream in self._listed_leaving or self._is_recent(upstream)
+        return leaving > 0 or upstream in self._listed_leaving or self._is_leaving_recent(upstream)
 
     def is_broken(self, upstream: UpstreamId) -> bool:
-        """Return whether calls to an upstream failed and it is not yet time for a probe."""
+        """Return whether calls to an upstream failed and the next probe is not due yet."""
         breaker = self._breakers.get(upstream)
         return breaker is not None and self._clock.now() < breaker.until
 
-    def on_list(self, entries: Sequence[ListedEntry]) -> None:
-        """Take in the host list."""
+    def on_host_list(self, entries: Sequence[ListedEntry]) -> None:
+        """Apply a new version of the host list."""
         upstreams = [entry for entry in entries if entry.kind is ListedKind.UPSTREAM]
         self._listed_leaving = frozenset(
             UpstreamId(entry.id) for entry in upstreams if entry.state is ListedState.LEAVING
         )
         for entry in upstreams:
             upstream = UpstreamId(entry.id)
-            self.note_listed(upstream=upstream, incarnation=entry.incarnation)
+            self.note_incarnation(upstream=upstream, incarnation=entry.incarnation)
             if entry.state is ListedState.LEAVING:
                 self.note_leaving(upstream=upstream, incarnation=entry.incarnation)
 
     def on_peer(self, message: UpstreamLeaving) -> None:
-        """Take in a peer's word."""
+        """Handle a notice from a peer that an upstream is leaving."""
         upstream = UpstreamId(message.upstream)
         self.note_leaving(upstream=upstream, incarnation=message.incarnation)
 
     def note_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
-        """Close a leaving upstream and tell the peers, unless that is known already.
+        """Close a leaving upstream and notify the peers, unless that is already known.
 
         :param upstream: The upstream.
-        :param incarnation: Which life of it ends; ``None`` means the one listed now, which is
-            what its own refusal is about.
+        :param incarnation: The incarnation that is leaving; ``None`` means the newest known one,
+            which is the one that a refusal by the upstream itself refers to.
         """
-        life = self._listed.get(upstream, 0) if incarnation is None else incarnation
+        leaving_incarnation = (
+            self._newest_incarnations.get(upstream, 0) if incarnation is None else incarnation
+        )
         if incarnation is None:
-            self._heard[upstream] = self._clock.now()
-        if self._leaving.get(upstream, -1) >= life:
+            self._leaving_noted_at[upstream] = self._clock.now()
+        if self._leaving_incarnations.get(upstream, -1) >= leaving_incarnation:
             return
-        self._heard[upstream] = self._clock.now()
-        self._leaving[upstream] = life
-        if life == 0:
-            self._tell_later(upstream, delay_ms=_LEAVING_MEMORY_MS)
-        log.info("Upstream is leaving.", upstream=upstream, incarnation=life)
-        self._spread(UpstreamLeaving(upstream=upstream, incarnation=life))
+        self._leaving_noted_at[upstream] = self._clock.now()
+        self._leaving_incarnations[upstream] = leaving_incarnation
+        if leaving_incarnation == 0:
+            self._schedule_change(upstream, delay_ms=_LEAVING_TTL_MS)
+        log.info("Upstream is leaving.", upstream=upstream, incarnation=leaving_incarnation)
+        self._broadcast(UpstreamLeaving(upstream=upstream, incarnation=leaving_incarnation))
         self._changes.on_next(upstream)
 
-    def note_listed(self, *, upstream: UpstreamId, incarnation: int) -> None:
-        """Record a life of an upstream that takes new work.
+    def note_incarnation(self, *, upstream: UpstreamId, incarnation: int) -> None:
+        """Record an incarnation of an upstream that accepts new requests.
 
         :param upstream: The upstream.
-        :param incarnation: Which life it is; word that an earlier one leaves does not close it.
+        :param incarnation: The incarnation; a notice that an earlier one is leaving does not close
+            it.
         """
-        if incarnation > self._listed.get(upstream, 0):
-            self._listed[upstream] = incarnation
+        if incarnation > self._newest_incarnations.get(upstream, 0):
+            self._newest_incarnations[upstream] = incarnation
             self._changes.on_next(upstream)
 
     def note_gone(self, *, upstream: UpstreamId) -> None:
-        """Close an upstream whose address another one has now."""
-        self.note_leaving(upstream=upstream, incarnation=max(self._listed.get(upstream, 0), 1))
+        """Close an upstream whose address has been reassigned to another upstream."""
+        self.note_leaving(
+            upstream=upstream, incarnation=max(self._newest_incarnations.get(upstream, 0), 1)
+        )
 
     def forget(self, *, upstream: UpstreamId) -> None:
-        """Drop what is known of an upstream whose id will not come again."""
-        self._leaving.pop(upstream, None)
-        self._heard.pop(upstream, None)
-        self._listed.pop(upstream, None)
+        """Delete all state of an upstream whose id will not be used again."""
+        self._leaving_incarnations.pop(upstream, None)
+        self._leaving_noted_at.pop(upstream, None)
+        self._newest_incarnations.pop(upstream, None)
         breaker = self._breakers.pop(upstream, None)
         if breaker is not None and breaker.timer is not None:
             breaker.timer.cancel()
 
-    def _tell_later(self, upstream: UpstreamId, *, delay_ms: int) -> asyncio.TimerHandle:
-        """Publish a change that comes by time alone."""
-        # One millisecond more, as the clock cuts fractions off.
+    def _schedule_change(self, upstream: UpstreamId, *, delay_ms: int) -> asyncio.TimerHandle:
+        """Schedule a change notification for a change that only the passage of time causes."""
+        # Add one millisecond because the clock truncates to whole milliseconds.
         delay_s = (delay_ms + 1) / MS_PER_SECOND
         return asyncio.get_running_loop().call_later(delay_s, self._changes.on_next, upstream)
 
-    def _is_recent(self, upstream: UpstreamId) -> bool:
-        return self._clock.now() - self._heard[upstream] < _LEAVING_MEMORY_MS
+    def _is_leaving_recent(self, upstream: UpstreamId) -> bool:
+        return self._clock.now() - self._leaving_noted_at[upstream] < _LEAVING_TTL_MS
 
     def leaving_messages(self) -> tuple[UpstreamLeaving, ...]:
-        """Return what a host that has just connected should know."""
+        """Return the leaving notices to send to a newly connected host."""
         return tuple(
-            UpstreamLeaving(upstream=upstream, incarnation=life)
-            for upstream, life in self._leaving.items()
+            UpstreamLeaving(upstream=upstream, incarnation=leaving_incarnation)
+            for upstream, leaving_incarnation in self._leaving_incarnations.items()
             if self.is_leaving(upstream)
         )
 
     def note_down(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream could not be reached; it rests before the next probe."""
+        """Record that an upstream was unreachable and back off before the next probe."""
         breaker = self._breakers.setdefault(upstream, _Breaker())
-        probing = not self.is_broken(upstream)
-        if probing:
+        is_probe = not self.is_broken(upstream)
+        if is_probe:
             breaker.failures += 1
-        # Calls made together fail together, so only a failed probe makes the rest longer; but
-        # the upstream stays closed while calls go on failing.
-        doublings = breaker.failures - 1 if probing else 0
-        rest = min(_FIRST_BREAK_MS * 2**doublings, _LONGEST_BREAK_MS)
-        until = self._clock.now() + int(rest * self._rng.uniform(0.75, 1.25))
+        # Concurrent calls fail together, so only a failed probe doubles the backoff. The upstream
+        # stays closed as long as calls keep failing.
+        doublings = breaker.failures - 1 if is_probe else 0
+        backoff_ms = min(_MIN_BACKOFF_MS * 2**doublings, _MAX_BACKOFF_MS)
+        until = self._clock.now() + int(backoff_ms * self._rng.uniform(0.75, 1.25))
         if until <= breaker.until:
             return
         breaker.until = until
         if breaker.timer is not None:
             breaker.timer.cancel()
-        breaker.timer = self._tell_later(upstream, delay_ms=until - self._clock.now())
-        if probing:
+        breaker.timer = self._schedule_change(upstream, delay_ms=until - self._clock.now())
+        if is_probe:
             self._changes.on_next(upstream)
 
     def note_up(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream has answered."""
+        """Record that an upstream responded, which resets its circuit breaker."""
         breaker = self._breakers.pop(upstream, None)
         if breaker is None:
             return
--- a/src/tanagerscale/membership/_upstreams.py
+++ b/src/tanagerscale/membership/_gate_subscriptions.py
@@ -1,4 +1,4 @@
-"""Joins the gate to the sources of its news."""
+"""Subscribes the gate to the sources of leaving notices."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from tanagerscale.membership._gate import UpstreamGate
 from tanagerscale.membership._mesh import Mesh
 from tanagerscale.membership._peers import PeerInfo
-from tanagerscale.membership._peers import Received
+from tanagerscale.membership._peers import ReceivedMessage
 
 
-def spread_leaving(
+def subscribe_gate(
     *, gate: UpstreamGate, mesh: Mesh, entries: Observable[tuple[ListedEntry, ...]]
 ) -> DisposableBase:
-    """Feed the gate from the host list and the peers, and tell each new peer what it knows.
+    """Feed the gate from the host list and the peers, and send each new peer its leaving notices.
 
-    The gate's own news reach the peers by the ``spread`` it was made with, which should be
-    the mesh's ``broadcast``.
+    New notices of the gate itself reach the peers through the ``broadcast`` function that it was
+    created with, which should be the mesh's ``broadcast``.
 
-    :param gate: Which upstreams take new work.
-    :param mesh: The other hosts.
+    :param gate: Tracks which upstreams accept new requests.
+    :param mesh: Connections to the peers.
     :param entries: The host list.
-    :returns: What ends it.
+    :returns: Subscription; dispose of it to disconnect the gate.
     """
 
-    def on_received(received: Received) -> None:
+    def on_received(received: ReceivedMessage) -> None:
         if isinstance(received.message, UpstreamLeaving):
             gate.on_peer(received.message)
 
@@ -37,7 +37,7 @@
             mesh.send(host=peer.host, message=message)
 
     return CompositeDisposable(
-        entries.subscribe(gate.on_list),
+        entries.subscribe(gate.on_host_list),
         mesh.messages.subscribe(on_received),
         mesh.joined.subscribe(on_joined),
     )
--- a/src/tanagerscale/membership/_host_list.py
+++ b/src/tanagerscale/membership/_host_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of hosts and upstreams."""
+"""Client for the platform's list of hosts and upstreams, which lags behind the actual state."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 @final
 class HostListFollower:
-    """Reads the list again and again; during its outages the last one read stays.
+    """Polls the host list; during outages it keeps the last list that it read.
 
-    :param url: Where the list is; the empty string means that there is none.
-    :param interval_ms: Time between two reads, in milliseconds.
-    :param clock: Time.
+    :param url: URL of the list; the empty string means that there is none.
+    :param interval_ms: Polling interval, in milliseconds.
+    :param clock: Source of the current time.
     """
 
     def __init__(self, *, url: str, interval_ms: int, clock: Clock) -> None:
@@ -45,35 +45,35 @@
         self._clock = clock
         self._entries: BehaviorSubject[tuple[ListedEntry, ...]] = BehaviorSubject(())
         self._task: asyncio.Task[None] | None = None
-        self._failing = False
+        self._is_failing = False
         self._has_read = not url
 
     @property
     def has_read(self) -> bool:
-        """Whether the list has been read once, or there is none."""
+        """Whether the list has been read at least once, or there is none."""
         return self._has_read
 
     @property
     def entries(self) -> Observable[tuple[ListedEntry, ...]]:
-        """The list, whenever it has changed."""
+        """Emits the list each time it changes."""
         return self._entries
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start to poll the list."""
         if self._url:
-            self._task = asyncio.create_task(self._follow())
+            self._task = asyncio.create_task(self._poll_forever())
 
     async def stop(self) -> None:
-        """Read no more."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def _follow(self) -> None:
+    async def _poll_forever(self) -> None:
         timeout = ClientTimeout(total=_READ_TIMEOUT_MS / MS_PER_SECOND)
         async with ClientSession(timeout=timeout) as session:
             while True:
-                self._publish(await self._read(session))
+                self._handle_result(await self._read(session))
                 await self._clock.sleep(self._interval_ms)
 
     async def _read(self, session: ClientSession) -> Result[HostList, str]:
@@ -85,15 +85,17 @@
         except (ClientError, OSError, TimeoutError, msgspec.MsgspecError) as error:
             return Failure(f"{type(error).__name__}: {error}")
 
-    def _publish(self, read: Result[HostList, str]) -> None:
-        if isinstance(read, Failure):
-            if not self._failing:
-                log.warning("Host list unreadable; the last one stays.", cause=read.failure())
-            self._failing = True
+    def _handle_result(self, result: Result[HostList, str]) -> None:
+        if isinstance(result, Failure):
+            if not self._is_failing:
+                log.warning(
+                    "Cannot read the host list; keeping the last one.", cause=result.failure()
+                )
+            self._is_failing = True
             return
-        self._failing = False
+        self._is_failing = False
         self._has_read = True
-        entries = tuple(read.unwrap().entries)
+        entries = tuple(result.unwrap().entries)
         if entries != self._entries.value:
             self._entries.on_next(entries)
 
@@ -101,15 +103,15 @@
 def peer_addresses(
     *, entries: tuple[ListedEntry, ...], seeds: tuple[str, ...]
 ) -> tuple[PeerAddress, ...]:
-    """Return where peers may be: the listed hosts, and the seeds the list does not name.
+    """Return the addresses of possible peers: the listed hosts, and seeds that are not listed.
 
     :param entries: The host list.
-    :param seeds: Addresses of the settings.
+    :param seeds: Addresses from the settings.
     """
     listed = {
         entry.address: PeerAddress(address=entry.address, host=HostId(entry.id))
         for entry in entries
         if entry.kind is ListedKind.HOST
     }
-    unnamed = {seed: PeerAddress(address=seed) for seed in seeds}
-    return tuple((unnamed | listed).values())
+    seed_addresses = {seed: PeerAddress(address=seed) for seed in seeds}
+    return tuple((seed_addresses | listed).values())
--- a/src/tanagerscale/membership/_link.py
+++ b/src/tanagerscale/membership/_link.py
@@ -1,4 +1,4 @@
-"""What the mesh asks of the network."""
+"""Interface between the mesh and the network."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 @unique
 class CloseReason(IntEnum):
-    """Why a connection between hosts ended; the values are WebSocket close codes."""
+    """Why a connection between hosts was closed; the values are WebSocket close codes."""
 
     NORMAL = 1000
     BROKEN = 1006
-    """The network ended it; this value is never sent."""
+    """The network connection failed; this value is never sent."""
     TOO_LARGE = 1009
     VERSION = 4001
     MALFORMED = 4002
     DUPLICATE = 4003
-    """The two hosts have another connection, which they keep."""
+    """The two hosts keep another connection instead."""
     SILENT = 4004
     STALE_INCARNATION = 4005
     SELF = 4006
-    """The host has called itself."""
+    """The host connected to itself."""
     HANDSHAKE = 4007
-    """The other side did not introduce itself in time."""
+    """The other side sent no hello in time."""
 
 
-REMEDIES = {
+CLOSE_REASON_TEXTS = {
     CloseReason.NORMAL: "The host has stopped.",
     CloseReason.BROKEN: "The network ended the connection; it will be made again.",
     CloseReason.TOO_LARGE: "The frame is too large; update the older host.",
@@ -42,54 +42,58 @@
     CloseReason.SELF: "The host called itself; the address needs no seed.",
     CloseReason.HANDSHAKE: "No introduction came in time; the connection may be made again.",
 }
-"""What the other side is told, by reason; short enough for a close frame."""
+"""Texts sent to the other side in the close frame; each must fit into one."""
 
 
 class LinkClosedError(Exception):
-    """The connection has ended.
+    """Raised when the connection has closed.
 
-    :param reason: Why, as far as the other side or the network told.
+    :param reason: Close reason that the other side or the network reported.
     """
 
     def __init__(self, reason: CloseReason) -> None:
-        super().__init__(REMEDIES[reason])
+        super().__init__(CLOSE_REASON_TEXTS[reason])
         self.reason = reason
 
 
 class Link(Protocol):
-    """One connection that carries whole frames in order."""
+    """A connection that carries whole frames in order."""
 
     async def send(self, frame: bytes) -> None:
-        """Send a frame, waiting while the network is slow.
+        """Send a frame, waiting while the send buffer is full.
 
-        :raises LinkClosedError: When the connection has ended.
+        :raises LinkClosedError: If the connection has closed.
         """
 
     async def receive(self) -> bytes:
         """Wait for the next frame.
 
-        :raises LinkClosedError: When the connection has ended.
+        :raises LinkClosedError: If the connection has closed.
         """
 
     async def close(self, *, reason: CloseReason) -> None:
-        """End the connection and tell the other side why; idempotent."""
+        """Close the connection and send the other side the reason; idempotent."""
 
 
-Accept: TypeAlias = Callable[[Link], Awaitable[None]]
-"""Serves one accepted connection until it ends."""
+LinkHandler: TypeAlias = Callable[[Link], Awaitable[None]]
+"""Serves one accepted connection until it closes."""
 
 
 class Transport(Protocol):
-    """Makes and accepts connections."""
+    """Opens and accepts connections."""
 
-    async def listen(self, *, address: str, accept: Accept) -> str:
-        """Accept connections and return the address bound."""
+    async def listen(self, *, address: str, accept: LinkHandler) -> str:
+        """Accept connections and return the bound address.
+
+        :param address: IP address and port; port 0 chooses a free port.
+        :param accept: Called with each accepted connection.
+        """
 
     async def connect(self, *, address: str) -> Link:
-        """Make a connection.
+        """Open a connection.
 
-        :raises LinkClosedError: When nobody answers there in time.
+        :raises LinkClosedError: If no connection is established in time.
         """
 
     async def stop(self) -> None:
-        """Accept no more connections and end the accepted ones."""
+        """Stop accepting connections and close the accepted ones."""
--- a/src/tanagerscale/membership/_mesh.py
+++ b/src/tanagerscale/membership/_mesh.py
@@ -1,4 +1,4 @@
-"""Connections of this host to the others."""
+"""Connections between this host and its peers."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 from tanagerscale.membership._peers import MeshCounters
 from tanagerscale.membership._peers import PeerAddress
 from tanagerscale.membership._peers import PeerInfo
-from tanagerscale.membership._peers import Received
-from tanagerscale.membership._scale import stretch
+from tanagerscale.membership._peers import ReceivedMessage
+from tanagerscale.membership._scale import interval_multiplier
 from tanagerscale.membership._session import HEARTBEAT_INTERVAL_MS
-from tanagerscale.membership._session import OLDEST_VERSION
+from tanagerscale.membership._session import MIN_PROTOCOL_VERSION
 from tanagerscale.membership._session import PROTOCOL_VERSION
 from tanagerscale.membership._session import PeerSession
 from tanagerscale.membership._session import exchange_hello
@@ -41,36 +41,38 @@
 from tanagerscale.membership._wire import Message
 from tanagerscale.membership._wire import encode_frame
 
-_FIRST_BACKOFF_MS = 200
-_LONGEST_BACKOFF_MS = 3000
-_BEAT_SPREAD = (0.8, 1.0)
-"""Hosts that started together would all send at one moment; after a few intervals they don't."""
-_UNWANTED_MS = 5000
-"""How long a connection is kept that is not wanted any more; hosts that come and go soon want it
-again, and what was asked over it is answered by then."""
-_YIELD_MS = 500
-"""How long the host with the higher id lets the other one connect first."""
+_MIN_BACKOFF_MS = 200
+_MAX_BACKOFF_MS = 3000
+_HEARTBEAT_JITTER = (0.8, 1.0)
+"""Range of the random factor on the heartbeat interval. Within a few intervals it
+desynchronizes hosts that started together and would otherwise all send at the same moment."""
+_UNWANTED_GRACE_MS = 5000
+"""How long a connection is kept after it is no longer wanted. A host that leaves and soon rejoins
+reuses it, and pending requests on it are answered within this time."""
+_DIAL_DELAY_MS = 500
+"""How long the host with the higher id waits, so that the other one can connect first."""
 
 log = get_logger(part="mesh")
 
 
 @final
 class Mesh:
-    """Keeps one connection to each other host and carries messages over it.
-
-    :param host: This host.
-    :param failure_domain: Its failure domain.
-    :param incarnation: Wall clock at the process's start, in milliseconds.
-    :param listen: IP number and port to accept peers at; port 0 takes a free one.
-    :param clock: Time.
-    :param rng: Spreads reconnections.
-    :param heartbeat_source: Returns what the next heartbeat tells.
-    :param ends_unwanted: Whether connections that this host made end some time after it wants them
-        no more; otherwise they are kept while they last.
-    :param interval_ms: Returns how long until the next heartbeat, for a number of peers.
-    :param server_ssl: Context for accepted connections; ``None`` means no TLS.
-    :param client_ssl: Context for connections made.
-    :param transport: Used in place of WebSockets, in tests.
+    """Maintains one connection to each peer and exchanges messages with it.
+
+    :param host: Id of this host.
+    :param failure_domain: Failure domain of this host.
+    :param incarnation: Wall-clock time when this process started, in milliseconds.
+    :param listen: IP address and port to accept peers on; port 0 chooses a free port.
+    :param clock: Source of the current time.
+    :param rng: Random number generator used to add jitter to heartbeats and reconnections.
+    :param heartbeat_source: Builds the content of the next heartbeat.
+    :param closes_unwanted: Whether to close connections that this host made some time after their
+        address was removed from the wanted ones; otherwise they stay until they fail.
+    :param heartbeat_interval_ms: Returns the heartbeat interval for a number of peers, in
+        milliseconds.
+    :param server_ssl: TLS context for accepted connections; ``None`` means no TLS.
+    :param client_ssl: TLS context for outgoing connections; ``None`` means no TLS.
+    :param transport: Replaces WebSockets in tests.
     """
 
     def __init__(
@@ -83,9 +85,9 @@
         clock: Clock,
         rng: Random,
         heartbeat_source: Callable[[], Heartbeat] = lambda: Heartbeat(revision=0),
-        ends_unwanted: bool = False,
-        interval_ms: Callable[[int], int] = lambda peers: int(
-            HEARTBEAT_INTERVAL_MS * stretch(peers=peers)
+        closes_unwanted: bool = False,
+        heartbeat_interval_ms: Callable[[int], int] = lambda peers: int(
+            HEARTBEAT_INTERVAL_MS * interval_multiplier(peers=peers)
         ),
         server_ssl: ssl.SSLContext | None = None,
         client_ssl: ssl.SSLContext | None = None,
@@ -98,8 +100,8 @@
         self._clock = clock
         self._rng = rng
         self._heartbeat_source = heartbeat_source
-        self._ends_unwanted = ends_unwanted
-        self._interval_of = interval_ms
+        self._closes_unwanted = closes_unwanted
+        self._get_heartbeat_interval_ms = heartbeat_interval_ms
         self._transport = transport or WebSocketTransport(
             server_ssl=server_ssl, client_ssl=client_ssl
         )
@@ -107,63 +109,63 @@
         self._sessions: dict[HostId, PeerSession] = {}
         self._targets: dict[str, PeerAddress] = {}
         self._dialers: dict[str, asyncio.Task[None]] = {}
-        self._tried: set[str] = set()
-        self._host_at: dict[str, HostId] = {}
-        """Who answered at an address, which may not be whom the lagging list names."""
+        self._tried_addresses: set[str] = set()
+        self._host_by_address: dict[str, HostId] = {}
+        """The host that answered at an address; the lagging host list may name another one."""
         self._unwanted_since: dict[HostId, Millis] = {}
-        """Since when connections that this host made lead to an address it does not want."""
-        self._serving: set[asyncio.Task[Any]] = set()
-        self._beat: asyncio.Task[None] | None = None
+        """Since when the address of a connection that this host made has not been wanted."""
+        self._serve_tasks: set[asyncio.Task[Any]] = set()
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self._interval_ms = HEARTBEAT_INTERVAL_MS
-        self._messages: Subject[Received] = Subject()
+        self._messages: Subject[ReceivedMessage] = Subject()
         self._joined: Subject[PeerInfo] = Subject()
         self._live: BehaviorSubject[tuple[PeerInfo, ...]] = BehaviorSubject(())
         self.counters = MeshCounters()
 
     @property
     def host(self) -> HostId:
-        """The id of the host this mesh serves."""
+        """The id of this host."""
         return self._host
 
     @property
     def failure_domain(self) -> FailureDomainId:
-        """The failure domain of that host."""
+        """The failure domain of this host."""
         return self._failure_domain
 
     @property
-    def messages(self) -> Observable[Received]:
-        """Every message from a peer, heartbeats included."""
+    def messages(self) -> Observable[ReceivedMessage]:
+        """Emits every message from a peer, including heartbeats."""
         return self._messages
 
     @property
     def live(self) -> BehaviorSubject[tuple[PeerInfo, ...]]:
-        """The hosts connected now, by id; this host is not among them."""
+        """The connected peers, sorted by id; excludes this host."""
         return self._live
 
     @property
     def joined(self) -> Observable[PeerInfo]:
-        """Each host when a connection to it begins, a renewed one included."""
+        """Emits each peer when a connection to it is established, including reconnections."""
         return self._joined
 
     @property
-    def all_tried(self) -> bool:
-        """Whether each known address has been tried at least once."""
-        return self._tried >= self._targets.keys()
+    def has_tried_all(self) -> bool:
+        """Whether a connection to each known address has been attempted at least once."""
+        return self._tried_addresses >= self._targets.keys()
 
     async def start(self) -> str:
-        """Accept peers.
+        """Start to accept connections and to send heartbeats.
 
-        :returns: The address bound.
+        :returns: The bound address.
         """
         self._address = await self._transport.listen(address=self._listen, accept=self._accept)
-        self._beat = asyncio.create_task(self._send_heartbeats())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats_forever())
         return self._address
 
     async def stop(self) -> None:
-        """End all connections."""
-        tasks: list[asyncio.Task[Any]] = [*self._dialers.values(), *self._serving]
-        if self._beat is not None:
-            tasks.append(self._beat)
+        """Close all connections and stop accepting new ones."""
+        tasks: list[asyncio.Task[Any]] = [*self._dialers.values(), *self._serve_tasks]
+        if self._heartbeat_task is not None:
+            tasks.append(self._heartbeat_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -173,7 +175,7 @@
     def set_peers(self, peers: Sequence[PeerAddress]) -> None:
         """Replace the addresses to connect to.
 
-        :param peers: Hosts of the host list, and seeds. This host's own address does no harm.
+        :param peers: Hosts of the host list, and seeds. This host's own address is ignored.
         """
         wanted = {
             peer.address: peer
@@ -182,43 +184,43 @@
         }
         for address in self._dialers.keys() - wanted.keys():
             self._dialers.pop(address).cancel()
-            self._tried.discard(address)
-            self._host_at.pop(address, None)
+            self._tried_addresses.discard(address)
+            self._host_by_address.pop(address, None)
         for address, peer in wanted.items():
             self._targets[address] = peer
             if address not in self._dialers:
-                self._dialers[address] = asyncio.create_task(self._dial(address=address))
+                self._dialers[address] = asyncio.create_task(self._keep_connected(address=address))
         self._targets = wanted
 
     def send(self, *, host: HostId, message: Message) -> bool:
         """Send a message without waiting.
 
-        :returns: Whether the host is connected and takes frames; that the message arrives is
-            not promised.
+        :returns: Whether the host is connected and its queue accepted the frame; delivery is not
+            guaranteed.
         """
         session = self._sessions.get(host)
         return session is not None and session.send(encode_frame(message))
 
     def broadcast(self, *, message: Message) -> None:
-        """Send a message to each connected host."""
+        """Send a message to all connected hosts."""
         frame = encode_frame(message)
         for session in self._sessions.values():
             session.send(frame)
 
-    def beat_now(self) -> None:
-        """Send a heartbeat out of turn, such as when a planned stop begins."""
-        self.broadcast(message=self._heartbeat())
+    def send_heartbeat(self) -> None:
+        """Send a heartbeat immediately, for example when a planned stop begins."""
+        self.broadcast(message=self._build_heartbeat())
 
-    async def _send_heartbeats(self) -> None:
+    async def _send_heartbeats_forever(self) -> None:
         while True:
-            await self._clock.sleep(int(self._interval_ms * self._rng.uniform(*_BEAT_SPREAD)))
-            self._interval_ms = self._interval_of(len(self._sessions))
-            if self._ends_unwanted:
-                self._end_unwanted()
-            self.beat_now()
-
-    def _end_unwanted(self) -> None:
-        """End connections that this host made and has not wanted for some time."""
+            await self._clock.sleep(int(self._interval_ms * self._rng.uniform(*_HEARTBEAT_JITTER)))
+            self._interval_ms = self._get_heartbeat_interval_ms(len(self._sessions))
+            if self._closes_unwanted:
+                self._close_unwanted()
+            self.send_heartbeat()
+
+    def _close_unwanted(self) -> None:
+        """Close connections that this host made and has not wanted for the grace period."""
         now = self._clock.now()
         unwanted = {
             host: session
@@ -227,89 +229,91 @@
         }
         self._unwanted_since = {host: self._unwanted_since.get(host, now) for host in unwanted}
         for host, session in unwanted.items():
-            if now - self._unwanted_since[host] >= _UNWANTED_MS:
+            if now - self._unwanted_since[host] >= _UNWANTED_GRACE_MS:
                 session.end(reason=CloseReason.NORMAL)
 
-    def _heartbeat(self) -> Heartbeat:
+    def _build_heartbeat(self) -> Heartbeat:
         return msgspec.structs.replace(self._heartbeat_source(), next_ms=self._interval_ms)
 
     async def _accept(self, link: Link) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving.add(task)
+        self._serve_tasks.add(task)
         try:
-            await self._serve(link=link, dialed=False)
+            await self._serve(link=link, is_dialer=False)
         finally:
-            self._serving.discard(task)
+            self._serve_tasks.discard(task)
 
-    async def _dial(self, *, address: str) -> None:
-        """Keep one connection to an address, whoever of the two hosts made it."""
-        backoff = _FIRST_BACKOFF_MS
+    async def _keep_connected(self, *, address: str) -> None:
+        """Keep one connection to an address, made by either of the two hosts."""
+        backoff = _MIN_BACKOFF_MS
         host = self._targets[address].host
         if host is not None and self._host > host:
-            await self._clock.sleep(_YIELD_MS)
+            await self._clock.sleep(_DIAL_DELAY_MS)
         while True:
-            session = self._session_at(address=address)
+            session = self._find_session(address=address)
             if session is not None:
-                self._tried.add(address)
+                self._tried_addresses.add(address)
                 await session.ended.wait()
-                backoff = _FIRST_BACKOFF_MS
+                backoff = _MIN_BACKOFF_MS
             else:
                 started = self._clock.now()
-                if await self._dial_once(address=address) is CloseReason.SELF:
+                if await self._connect_once(address=address) is CloseReason.SELF:
                     return
-                if self._clock.now() - started > _LONGEST_BACKOFF_MS:
-                    backoff = _FIRST_BACKOFF_MS
+                if self._clock.now() - started > _MAX_BACKOFF_MS:
+                    backoff = _MIN_BACKOFF_MS
             await self._clock.sleep(int(backoff * self._rng.uniform(0.5, 1.5)))
-            backoff = min(2 * backoff, _LONGEST_BACKOFF_MS)
+            backoff = min(2 * backoff, _MAX_BACKOFF_MS)
 
-    async def _dial_once(self, *, address: str) -> CloseReason:
+    async def _connect_once(self, *, address: str) -> CloseReason:
         try:
             link = await self._transport.connect(address=address)
         except LinkClosedError as error:
-            self._tried.add(address)
+            self._tried_addresses.add(address)
             return error.reason
-        # The session outlives this task when the address leaves the host list.
-        serving = asyncio.create_task(self._serve(link=link, dialed=True, address=address))
-        self._serving.add(serving)
-        serving.add_done_callback(self._serving.discard)
-        return await asyncio.shield(serving)
-
-    def _session_at(self, *, address: str) -> PeerSession | None:
-        expected = self._host_at.get(address, self._targets[address].host)
+        # The session outlives this task if the address is removed from the host list.
+        serve_task = asyncio.create_task(self._serve(link=link, is_dialer=True, address=address))
+        self._serve_tasks.add(serve_task)
+        serve_task.add_done_callback(self._serve_tasks.discard)
+        return await asyncio.shield(serve_task)
+
+    def _find_session(self, *, address: str) -> PeerSession | None:
+        expected = self._host_by_address.get(address, self._targets[address].host)
         for host, session in self._sessions.items():
             if host == expected or session.peer.address == address:
                 return session
         return None
 
-    async def _serve(self, *, link: Link, dialed: bool, address: str = "") -> CloseReason:
-        """Carry one connection from its introduction to its end."""
+    async def _serve(self, *, link: Link, is_dialer: bool, address: str = "") -> CloseReason:
+        """Serve one connection from the handshake until it closes."""
         try:
-            theirs = await exchange_hello(link=link, hello=self._hello(), counters=self.counters)
+            peer_hello = await exchange_hello(
+                link=link, hello=self._build_hello(), counters=self.counters
+            )
         except LinkClosedError as error:
             return error.reason
         finally:
-            self._tried.add(address)
-        host = HostId(theirs.host)
-        if dialed:
-            self._host_at[address] = host
+            self._tried_addresses.add(address)
+        host = HostId(peer_hello.host)
+        if is_dialer:
+            self._host_by_address[address] = host
         session = PeerSession(
             link=link,
             peer=PeerInfo(
                 host=host,
-                incarnation=theirs.incarnation,
-                failure_domain=FailureDomainId(theirs.failure_domain),
-                address=theirs.peers_address or address,
+                incarnation=peer_hello.incarnation,
+                failure_domain=FailureDomainId(peer_hello.failure_domain),
+                address=peer_hello.peers_address or address,
                 revision=Revision(0),
                 leaving=False,
             ),
-            dialer=self._host if dialed else host,
+            dialer=self._host if is_dialer else host,
             clock=self._clock,
             counters=self.counters,
             on_message=self._on_message,
-            on_change=self._publish,
+            on_change=self._publish_live,
         )
-        refusal = self._adopt(session)
+        refusal = self._register(session)
         if refusal is not None:
             await link.close(reason=refusal)
             return refusal
@@ -318,8 +322,8 @@
     async def _run(self, session: PeerSession) -> CloseReason:
         host = session.peer.host
         log.info("Peer connected.", peer=host, incarnation=session.peer.incarnation)
-        session.send(encode_frame(self._heartbeat()))
-        self._publish()
+        session.send(encode_frame(self._build_heartbeat()))
+        self._publish_live()
         self._joined.on_next(session.peer)
         reason = CloseReason.NORMAL
         try:
@@ -327,15 +331,15 @@
         finally:
             if self._sessions.get(host) is session:
                 del self._sessions[host]
-                self._publish()
+                self._publish_live()
             log.info("Peer disconnected.", peer=host, reason=reason.name.lower())
         return reason
 
-    def _adopt(self, session: PeerSession) -> CloseReason | None:
-        """Make a session the one to its host, or return why it is not.
+    def _register(self, session: PeerSession) -> CloseReason | None:
+        """Register a session as the only one to its host, or return the reason to close it.
 
-        Both sides come to the same choice between two connections made at the same moment:
-        the one that the host with the lower id made.
+        If both hosts connect at the same time, both sides keep the same connection: the one that
+        the host with the lower id made.
         """
         host = session.peer.host
         if host == self._host:
@@ -352,10 +356,10 @@
         self._sessions[host] = session
         return None
 
-    def _hello(self) -> Hello:
+    def _build_hello(self) -> Hello:
         return Hello(
             version=PROTOCOL_VERSION,
-            oldest_version=OLDEST_VERSION,
+            oldest_version=MIN_PROTOCOL_VERSION,
             host=self._host,
             incarnation=self._incarnation,
             failure_domain=self._failure_domain,
@@ -363,8 +367,8 @@
         )
 
     def _on_message(self, host: HostId, message: Message) -> None:
-        self._messages.on_next(Received(host=host, message=message))
+        self._messages.on_next(ReceivedMessage(host=host, message=message))
 
-    def _publish(self) -> None:
+    def _publish_live(self) -> None:
         peers = sorted(self._sessions.items())
         self._live.on_next(tuple(session.peer for _, session in peers))
--- a/src/tanagerscale/membership/_peers.py
+++ b/src/tanagerscale/membership/_peers.py
@@ -1,4 +1,4 @@
-"""What the mesh knows of other hosts."""
+"""Data that the mesh keeps about other hosts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PeerAddress(Struct, frozen=True, kw_only=True):
-    """Where a host may be reached.
+    """An address at which a host may be reachable.
 
-    :param address: IP number and port.
-    :param host: Its id, or ``None`` for a seed, whose id is learnt when it answers.
+    :param address: IP address and port.
+    :param host: Id of the host; ``None`` for a seed, whose id is unknown until it sends its hello.
     """
 
     address: str
@@ -22,14 +22,14 @@
 
 
 class PeerInfo(Struct, frozen=True, kw_only=True):
-    """A host that this one is connected to.
-
-    :param host: Its id.
-    :param incarnation: Which process of the host it is; a higher one is newer.
-    :param failure_domain: Its failure domain.
-    :param address: Where it accepts peers.
-    :param revision: Revision of the declarations in force there, as last heard.
-    :param leaving: Whether it is in a planned stop.
+    """A connected peer.
+
+    :param host: Id of the host.
+    :param incarnation: Incarnation of its process; a higher number is newer.
+    :param failure_domain: Failure domain of the host.
+    :param address: Address at which it accepts peers.
+    :param revision: Last reported revision of the declarations in force on the host.
+    :param leaving: Whether the host is in a planned stop.
     """
 
     host: HostId
@@ -40,24 +40,24 @@
     leaving: bool
 
 
-class Received(Struct, frozen=True, kw_only=True):
-    """A message with the host that sent it."""
+class ReceivedMessage(Struct, frozen=True, kw_only=True):
+    """A message and the host that sent it."""
 
     host: HostId
     message: Message
 
 
 class MeshCounters(Struct, kw_only=True):
-    """What has passed since the start; plain numbers, so that any meter can read them."""
+    """Traffic counters since the start; plain numbers that any metrics library can read."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
     received_messages: int = 0
     received_bytes: int = 0
     dropped_messages: int = 0
-    """Not sent, as the peer took too few."""
+    """Messages dropped because the send queue to a slow peer was full."""
     malformed_frames: int = 0
     unknown_tags: int = 0
     refused_versions: int = 0
     refused_hellos: int = 0
-    """Connections that ended before the hosts knew each other."""
+    """Connections that failed in the handshake."""
--- a/src/tanagerscale/membership/_roster.py
+++ b/src/tanagerscale/membership/_roster.py
@@ -1,4 +1,4 @@
-"""The upstreams there are, through outages of the store that lists them."""
+"""The known upstreams, kept through outages of the store that lists them."""
 
 from __future__ import annotations
 
@@ -31,37 +31,47 @@
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
 
-LAPSE_GRACE_MS: Final = 2200
-"""How long an entry may be missing after the store was away. Live upstreams write theirs anew
-within about two seconds of its return."""
+OUTAGE_GRACE_MS: Final = 2200
+"""How long an entry may be missing after a store outage. Live upstreams rewrite their entries
+within about two seconds after the store recovers."""
 
-TOGETHER_MS: Final = 1000
-TOGETHER_SHARE: Final = 0.34
-"""Entries that go within a second, and are a third of those that stay or more, may have lapsed
-while the store was away."""
+MASS_EXPIRY_WINDOW_MS: Final = 1000
+MASS_EXPIRY_RATIO: Final = 0.34
+"""Entries that disappear within one second and number at least about a third of the remaining ones
+may have expired during an undetected store outage."""
 
-TOGETHER_GRACE_MS: Final = 1800
-"""How long these may be missing; a little less than the two seconds after which a leaving upstream
-gets no new work, in case they are gone indeed."""
+MASS_EXPIRY_GRACE_MS: Final = 1800
+"""How long entries of a mass expiry may be missing. In case the upstreams are really gone, it is
+slightly less than the two seconds after which a leaving upstream must get no new requests."""
 
 UNREADABLE_GRACE_MS: Final = 1800
-"""How long what runs on an upstream stays there after others have written over its entry. It writes
-its own within a heartbeat of 1.2 s; two seconds after a notice it must get no new work, and it gets
-none from the start."""
+"""How long running requests stay on an upstream after another writer has overwritten its entry. The
+upstream rewrites its own entry within a heartbeat of 1.2 s. Two seconds after a leaving notice it
+must get no new requests; it gets none from the moment its entry is unreadable."""
 
-OLDER_START_MS: Final = 1800
-"""How long the entry of an earlier start must stand to be believed. A write of a start that is
-over, which the store carried out late, is written over within a heartbeat of 1.2 s."""
+OLDER_START_DELAY_MS: Final = 1800
+"""How long the entry of an earlier start must stay unchanged to be accepted. If the store only
+applied a write of an ended start late, the current start overwrites it within a heartbeat of
+1.2 s."""
 
-GONE_MEMORY_MS: Final = 60_000
-"""How long an upstream that is gone stays known, for what still runs on it."""
+GONE_RETENTION_MS: Final = 60_000
+"""How long the record of a gone upstream is kept for the requests that still run on it."""
 
 _log = get_logger(part="roster")
 
-Decode = Callable[[str, bytes], Result[UpstreamEntry, str]]
+DecodeEntry = Callable[[str, bytes], Result[UpstreamEntry, str]]
 
 
-class _Known(Struct, kw_only=True):
+class _UpstreamRecord(Struct, kw_only=True):
+    """State of one start of an upstream.
+
+    :param entry: Its latest entry.
+    :param revision: Store revision of that entry.
+    :param cold_until: When its warm-up ends.
+    :param missing_since: Since when its entry is missing or unreadable; ``None`` if it is neither.
+    :param is_readable: Whether the entry in the store could be decoded.
+    """
+
     entry: UpstreamEntry
     revision: StoreRevision
     cold_until: Millis
@@ -71,13 +81,13 @@
 
 @final
 class UpstreamRoster:
-    """Keeps the entries of upstreams and closes the gate of those that leave.
+    """Tracks the entries of upstreams in the store and reports leaving upstreams to the gate.
 
-    :param gate: Learns of leaving upstreams and tells the peers.
-    :param evacuations: Which failure domains get no new requests.
-    :param decode: Reads one entry of the store.
-    :param name_of: Returns whose entry stands under a key.
-    :param clock: Time.
+    :param gate: Records leaving upstreams and notifies the peers.
+    :param evacuations: The failure domains that get no new requests.
+    :param decode: Decodes one store entry from its key and value.
+    :param name_of: Returns the name of the upstream whose entry has a key.
+    :param clock: Source of the current time.
     """
 
     def __init__(
@@ -85,7 +95,7 @@
         *,
         gate: UpstreamGate,
         evacuations: Evacuations,
-        decode: Decode,
+        decode: DecodeEntry,
         name_of: Callable[[str], UpstreamName],
         clock: Clock,
     ) -> None:
@@ -94,189 +104,202 @@
         self._decode = decode
         self._name_of = name_of
         self._clock = clock
-        self._known: dict[UpstreamId, _Known] = {}
+        self._records: dict[UpstreamId, _UpstreamRecord] = {}
         self._current: dict[UpstreamName, UpstreamId] = {}
-        self._written: dict[UpstreamName, StoreRevision] = {}
-        self._store_away = True
-        self._calls_fail = False
-        self._store_back_at = Millis(-LAPSE_GRACE_MS)
+        self._written_revisions: dict[UpstreamName, StoreRevision] = {}
+        self._is_store_unavailable = True
+        self._are_calls_failing = False
+        self._store_recovered_at = Millis(-OUTAGE_GRACE_MS)
         self._has_read = False
         self._changes: Subject[UpstreamId] = Subject()
         self._replaced: Subject[UpstreamEntry] = Subject()
-        self._currency: Subject[bool] = Subject()
+        self._is_current_changes: Subject[bool] = Subject()
 
     @property
     def has_read(self) -> bool:
-        """Whether the store was read once since this host started."""
+        """Whether the store has been read since this host started."""
         return self._has_read
 
     @property
     def is_current(self) -> bool:
-        """Whether the store tells of changes; otherwise upstreams may leave without notice."""
-        return not self._store_away and not self._calls_fail
+        """Whether the store reports changes; otherwise upstreams may leave without notice."""
+        return not self._is_store_unavailable and not self._are_calls_failing
 
     @property
-    def currency(self) -> Observable[bool]:
-        """Whether the store tells of changes, after each change of that."""
-        return self._currency
+    def is_current_changes(self) -> Observable[bool]:
+        """Emits ``is_current`` each time it changes."""
+        return self._is_current_changes
 
     @property
     def replaced(self) -> Observable[UpstreamEntry]:
-        """Each start of an upstream that is over, since the upstream has started again."""
+        """Emits the entry of each earlier start when its upstream has restarted."""
         return self._replaced
 
     @property
     def changes(self) -> Observable[UpstreamId]:
-        """Each upstream whose entry was written or is gone."""
+        """Emits each upstream whose entry was written or is gone."""
         return self._changes
 
     @property
-    def known(self) -> int:
-        """How many upstreams are known, those that are gone for less than a minute included."""
-        return len(self._known)
+    def known_count(self) -> int:
+        """Number of known upstreams, including those that have been gone for less than a minute."""
+        return len(self._records)
 
     def get(self, upstream: UpstreamId) -> UpstreamEntry | None:
-        """Return the entry of an upstream, also for a while after it is gone."""
-        known = self._known.get(upstream)
-        return None if known is None else known.entry
+        """Return the entry of an upstream, including for a minute after the upstream is gone."""
+        record = self._records.get(upstream)
+        return None if record is None else record.entry
 
     def open_for(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return the upstreams of a service that take new work."""
-        return [entry for entry in self._listed(service) if self._gate.is_open(entry.upstream)]
+        """Return the upstreams of a service that accept new requests."""
+        return [
+            entry for entry in self._iterate_eligible(service) if self._gate.is_open(entry.upstream)
+        ]
 
     def staying(self, service: ServiceId) -> list[UpstreamEntry]:
-        """Return the upstreams of a service that are not leaving, failing ones included."""
+        """Return the upstreams of a service that are not leaving, including failing ones."""
         return [
-            entry for entry in self._listed(service) if not self._gate.is_leaving(entry.upstream)
+            entry
+            for entry in self._iterate_eligible(service)
+            if not self._gate.is_leaving(entry.upstream)
         ]
 
     def is_evacuated(self, upstream: UpstreamId) -> bool:
-        """Return whether an upstream gets no requests since its failure domain is evacuated."""
-        known = self._known.get(upstream)
-        return known is not None and self._evacuations.is_evacuated(known.entry.failure_domain)
+        """Return whether an upstream gets no requests because its failure domain is evacuated."""
+        record = self._records.get(upstream)
+        return record is not None and self._evacuations.is_evacuated(record.entry.failure_domain)
 
     def has_evacuated(self, service: ServiceId) -> bool:
-        """Return whether upstreams of a service stay that get no requests."""
+        """Return whether a service has upstreams that are evacuated but not leaving."""
         return any(
-            known.entry.service == service
-            and self._evacuations.is_evacuated(known.entry.failure_domain)
+            record.entry.service == service
+            and self._evacuations.is_evacuated(record.entry.failure_domain)
             and not self._gate.is_leaving(upstream)
-            for upstream, known in self._known.items()
+            for upstream, record in self._records.items()
         )
 
-    def _listed(self, service: ServiceId) -> Iterator[UpstreamEntry]:
-        for known in self._known.values():
-            entry = known.entry
-            is_wanted = known.is_readable and entry.service == service
-            if is_wanted and not self._evacuations.is_evacuated(entry.failure_domain):
+    def _iterate_eligible(self, service: ServiceId) -> Iterator[UpstreamEntry]:
+        for record in self._records.values():
+            entry = record.entry
+            is_match = record.is_readable and entry.service == service
+            if is_match and not self._evacuations.is_evacuated(entry.failure_domain):
                 yield entry
 
     def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return how much longer an upstream is cold by its own word."""
-        known = self._known.get(upstream)
-        return 0 if known is None else max(known.cold_until - self._clock.now(), 0)
+        """Return the remaining warm-up time that an upstream reports, in milliseconds."""
+        record = self._records.get(upstream)
+        return 0 if record is None else max(record.cold_until - self._clock.now(), 0)
 
     def taken_back_ms(self, upstream: UpstreamId) -> int | None:
-        """Return how long ago its failure domain's evacuation ended; ``None`` for long ago."""
-        known = self._known.get(upstream)
-        return None if known is None else self._evacuations.ended_ms(known.entry.failure_domain)
+        """Return the time since the evacuation of an upstream's failure domain ended.
+
+        :param upstream: The upstream.
+        :returns: Milliseconds; ``None`` if the upstream is unknown, its failure domain was not
+            evacuated or the end is no longer remembered.
+        """
+        record = self._records.get(upstream)
+        return (
+            None if record is None else self._evacuations.ms_since_end(record.entry.failure_domain)
+        )
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Take in all entries at once."""
+        """Apply a full read of the store."""
         present = {self._name_of(entry.key) for entry in found.entries}
         for entry in found.entries:
-            self._take(entry)
+            self._handle_entry(entry)
         self._note_missing(self._current.keys() - present, found.revision)
         self._has_read = True
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in changes."""
+        """Apply changes that a watch of the store reports."""
         for entry in batch.entries:
-            self._take(entry)
+            self._handle_entry(entry)
         deleted = {self._name_of(key) for key in batch.deleted}
         for name in deleted & self._current.keys():
-            self._written[name] = batch.revision
+            self._written_revisions[name] = batch.revision
         self._note_missing(deleted, batch.revision)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Note when the store answers again; entries may have lapsed meanwhile."""
-        before = self.is_current
-        if reachable and self._store_away:
-            self._store_back_at = self._clock.now()
-        self._store_away = not reachable
-        self._tell_currency(before)
+        """Record whether the store is reachable; entries may have expired during an outage."""
+        was_current = self.is_current
+        if reachable and self._is_store_unavailable:
+            self._store_recovered_at = self._clock.now()
+        self._is_store_unavailable = not reachable
+        self._publish_is_current(was_current)
 
     def on_calls(self, *, answered: bool) -> None:
-        """Note that other calls to the store fail, or are answered again.
+        """Record whether calls to the store other than the watch are answered.
 
-        A watch that waits at a store that refuses calls hears nothing and does not end.
+        A watch on a store that rejects calls receives no changes and does not end.
         """
-        before = self.is_current
-        if answered and self._calls_fail:
-            self._store_back_at = self._clock.now()
-        self._calls_fail = not answered
-        self._tell_currency(before)
+        was_current = self.is_current
+        if answered and self._are_calls_failing:
+            self._store_recovered_at = self._clock.now()
+        self._are_calls_failing = not answered
+        self._publish_is_current(was_current)
 
-    def _tell_currency(self, before: bool) -> None:
-        if self.is_current is not before:
-            self._currency.on_next(self.is_current)
+    def _publish_is_current(self, was_current: bool) -> None:
+        if self.is_current is not was_current:
+            self._is_current_changes.on_next(self.is_current)
 
-    def _take(self, stored: StoreEntry) -> None:
+    def _handle_entry(self, stored: StoreEntry) -> None:
         decoded = self._decode(stored.key, stored.value)
         if isinstance(decoded, Failure):
             name = self._name_of(stored.key)
             if name in self._current:
-                self._written[name] = stored.mod_revision
-            self._refuse(name, stored.mod_revision, decoded.failure())
+                self._written_revisions[name] = stored.mod_revision
+            self._reject(name, stored.mod_revision, decoded.failure())
             return
-        self._take_entry(decoded.unwrap(), stored.mod_revision)
+        self._handle_decoded(decoded.unwrap(), stored.mod_revision)
 
-    def _take_entry(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
-        self._written[entry.name] = revision
-        known = self._current_of(entry.name)
-        if known is None or entry.started_ms >= known.entry.started_ms:
-            self._use(entry, revision)
+    def _handle_decoded(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
+        self._written_revisions[entry.name] = revision
+        record = self._get_current(entry.name)
+        if record is None or entry.started_ms >= record.entry.started_ms:
+            self._apply(entry, revision)
         elif entry.started_ms == 0:
-            told = known.entry.upstream
-            self._refuse(entry.name, revision, f"It tells no start, as {told} did before.")
+            previous = record.entry.upstream
+            self._reject(entry.name, revision, f"It tells no start, as {previous} did before.")
         else:
-            self._doubt(entry, revision, known.entry)
+            self._defer(entry, revision, record.entry)
 
-    def _use(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
-        """Take an entry as what its upstream says of itself now."""
-        known = self._current_of(entry.name)
-        if known is None or known.entry.upstream != entry.upstream:
+    def _apply(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
+        """Apply an entry as the current state of its upstream."""
+        record = self._get_current(entry.name)
+        if record is None or record.entry.upstream != entry.upstream:
             self._add(entry, revision)
-            if known is not None:
-                self._replace(known, revision)
+            if record is not None:
+                self._retire(record, revision)
         else:
-            self._renew(known, entry, revision)
+            self._update(record, entry, revision)
         if entry.state is UpstreamState.LEAVING:
             self._gate.note_leaving(upstream=entry.upstream, incarnation=revision)
         else:
-            # Written anew it takes work again, whatever was said of it before.
-            self._gate.note_listed(upstream=entry.upstream, incarnation=revision)
+            # A rewritten entry reopens the upstream, whatever was reported before.
+            self._gate.note_incarnation(upstream=entry.upstream, incarnation=revision)
         self._changes.on_next(entry.upstream)
 
-    def _renew(self, known: _Known, entry: UpstreamEntry, revision: StoreRevision) -> None:
-        """Take in what an upstream says anew; the same words heard again are no older by that."""
-        if revision != known.revision:
-            known.cold_until = self._cold_until(entry)
-        known.revision = revision
-        known.entry = entry
-        known.missing_since = None
-        known.is_readable = True
-
-    def _cold_until(self, entry: UpstreamEntry) -> Millis:
+    def _update(
+        self, record: _UpstreamRecord, entry: UpstreamEntry, revision: StoreRevision
+    ) -> None:
+        """Update a record; reading the same revision again does not restart the warm-up time."""
+        if revision != record.revision:
+            record.cold_until = self._compute_cold_until(entry)
+        record.revision = revision
+        record.entry = entry
+        record.missing_since = None
+        record.is_readable = True
+
+    def _compute_cold_until(self, entry: UpstreamEntry) -> Millis:
         return Millis(self._clock.now() + entry.cold_ms)
 
-    def _current_of(self, name: UpstreamName) -> _Known | None:
+    def _get_current(self, name: UpstreamName) -> _UpstreamRecord | None:
         upstream = self._current.get(name)
-        return None if upstream is None else self._known.get(upstream)
+        return None if upstream is None else self._records.get(upstream)
 
     def _add(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
-        self._known[entry.upstream] = _Known(
-            entry=entry, revision=revision, cold_until=self._cold_until(entry)
+        self._records[entry.upstream] = _UpstreamRecord(
+            entry=entry, revision=revision, cold_until=self._compute_cold_until(entry)
         )
         self._current[entry.name] = entry.upstream
         _log.info(
@@ -288,100 +311,103 @@
             revision=revision,
         )
 
-    def _replace(self, known: _Known, revision: StoreRevision) -> None:
-        """Take an earlier start as gone: the upstream has started again and runs nothing of it."""
-        _log.info(
-            "An upstream has started again.", upstream=known.entry.upstream, revision=revision
-        )
-        known.missing_since = self._clock.now()
-        self._take_as_gone(known.entry.upstream, revision)
-        self._replaced.on_next(known.entry)
+    def _retire(self, record: _UpstreamRecord, revision: StoreRevision) -> None:
+        """Mark an earlier start as gone; the restarted upstream runs none of its requests."""
+        _log.info("Upstream restarted.", upstream=record.entry.upstream, revision=revision)
+        record.missing_since = self._clock.now()
+        self._mark_gone(record.entry.upstream, revision)
+        self._replaced.on_next(record.entry)
 
-    def _doubt(self, entry: UpstreamEntry, revision: StoreRevision, newer: UpstreamEntry) -> None:
-        """Leave out the entry of an earlier start, unless nobody writes over it."""
+    def _defer(self, entry: UpstreamEntry, revision: StoreRevision, newer: UpstreamEntry) -> None:
+        """Ignore the entry of an earlier start for now; apply it later if nothing overwrites it."""
         _log.info(
-            "An entry of an earlier start is doubted.",
+            "Deferred an entry of an earlier start of an upstream.",
             upstream=entry.upstream,
             newer=newer.upstream,
             revision=revision,
         )
         loop = asyncio.get_running_loop()
-        loop.call_later(OLDER_START_MS / MS_PER_SECOND, self._use_if_last, entry, revision)
+        loop.call_later(
+            OLDER_START_DELAY_MS / MS_PER_SECOND, self._apply_if_unchanged, entry, revision
+        )
 
-    def _use_if_last(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
-        if self._written.get(entry.name) == revision:
-            self._use(entry, revision)
+    def _apply_if_unchanged(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
+        if self._written_revisions.get(entry.name) == revision:
+            self._apply(entry, revision)
 
-    def _refuse(self, name: UpstreamName, revision: StoreRevision, detail: str) -> None:
-        """Leave out an entry that no upstream wrote, and give no work by the one before it."""
-        _log.warning("An entry is refused.", name=name, revision=revision, detail=detail)
-        known = self._current_of(name)
-        if known is None or not known.is_readable:
+    def _reject(self, name: UpstreamName, revision: StoreRevision, detail: str) -> None:
+        """Ignore an entry that its upstream did not write, and send the upstream no requests."""
+        _log.warning("Rejected an upstream entry.", name=name, revision=revision, detail=detail)
+        record = self._get_current(name)
+        if record is None or not record.is_readable:
             return
-        known.is_readable = False
-        self._changes.on_next(known.entry.upstream)
-        if known.missing_since is None:
-            known.missing_since = self._clock.now()
-            self._take_as_gone_later(known, revision, UNREADABLE_GRACE_MS)
+        record.is_readable = False
+        self._changes.on_next(record.entry.upstream)
+        if record.missing_since is None:
+            record.missing_since = self._clock.now()
+            self._mark_gone_later(record, revision, UNREADABLE_GRACE_MS)
 
     def _note_missing(self, names: Set[UpstreamName], revision: StoreRevision) -> None:
         now = self._clock.now()
         missing = [
-            known
+            record
             for name in names
-            if (known := self._current_of(name)) is not None and known.missing_since is None
+            if (record := self._get_current(name)) is not None and record.missing_since is None
         ]
-        for known in missing:
-            known.missing_since = now
-        wait_ms = max(self._store_back_at + LAPSE_GRACE_MS - now, 0)
-        if wait_ms == 0 and self._lapsed_together(now):
-            wait_ms = TOGETHER_GRACE_MS
-        for known in missing:
-            self._take_as_gone_later(known, revision, wait_ms)
-
-    def _take_as_gone_later(self, known: _Known, revision: StoreRevision, wait_ms: int) -> None:
-        upstream = known.entry.upstream
+        for record in missing:
+            record.missing_since = now
+        wait_ms = max(self._store_recovered_at + OUTAGE_GRACE_MS - now, 0)
+        if wait_ms == 0 and self._is_mass_expiry(now):
+            wait_ms = MASS_EXPIRY_GRACE_MS
+        for record in missing:
+            self._mark_gone_later(record, revision, wait_ms)
+
+    def _mark_gone_later(
+        self, record: _UpstreamRecord, revision: StoreRevision, wait_ms: int
+    ) -> None:
+        upstream = record.entry.upstream
         _log.info(
-            "An entry is gone.",
+            "Upstream entry is missing or unreadable.",
             upstream=upstream,
             taken_as_gone_in_ms=wait_ms,
             store_revision=revision,
         )
         if not wait_ms:
-            self._take_as_gone(upstream, revision)
+            self._mark_gone(upstream, revision)
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(wait_ms / MS_PER_SECOND, self._take_as_gone, upstream, revision)
+        loop.call_later(wait_ms / MS_PER_SECOND, self._mark_gone, upstream, revision)
 
-    def _lapsed_together(self, now: Millis) -> bool:
-        """Return whether so many entries went at once that the store itself may have been away.
+    def _is_mass_expiry(self, now: Millis) -> bool:
+        """Return whether so many entries disappeared at once that the store may have had an outage.
 
-        A watch that waits does not show that its store is down.
+        A waiting watch does not reveal that its store is down.
         """
-        current = [self._known[upstream] for upstream in self._current.values()]
-        lately = [
-            known
-            for known in current
-            if known.missing_since is not None and now - known.missing_since < TOGETHER_MS
+        current = [self._records[upstream] for upstream in self._current.values()]
+        recent = [
+            record
+            for record in current
+            if record.missing_since is not None
+            and now - record.missing_since < MASS_EXPIRY_WINDOW_MS
         ]
-        present = sum(known.missing_since is None for known in current)
-        return len(lately) > 1 and len(lately) >= present * TOGETHER_SHARE
+        present = sum(record.missing_since is None for record in current)
+        return len(recent) > 1 and len(recent) >= present * MASS_EXPIRY_RATIO
 
-    def _take_as_gone(self, upstream: UpstreamId, revision: StoreRevision) -> None:
-        known = self._known.get(upstream)
-        if known is None or known.missing_since is None:
+    def _mark_gone(self, upstream: UpstreamId, revision: StoreRevision) -> None:
+        record = self._records.get(upstream)
+        if record is None or record.missing_since is None:
             return
-        # It may serve for a little longer, so it is treated as leaving.
+        # The upstream may still serve for a short time, so it is treated as leaving.
         self._gate.note_leaving(upstream=upstream, incarnation=revision)
         self._changes.on_next(upstream)
         loop = asyncio.get_running_loop()
-        loop.call_later(GONE_MEMORY_MS / MS_PER_SECOND, self._forget, upstream)
-
-    def _forget(self, upstream: UpstreamId) -> None:
-        known = self._known.get(upstream)
-        if known is not None and known.missing_since is not None:
-            del self._known[upstream]
-            if self._current.get(known.entry.name) == upstream:
-                del self._current[known.entry.name]
-                self._written.pop(known.entry.name, None)
+        loop.call_later(GONE_RETENTION_MS / MS_PER_SECOND, self._delete_if_gone, upstream)
+
+    def _delete_if_gone(self, upstream: UpstreamId) -> None:
+        record = self._records.get(upstream)
+        if record is not None and record.missing_since is not None:
+            del self._records[upstream]
+            if self._current.get(record.entry.name) == upstream:
+                del self._current[record.entry.name]
+                self._written_revisions.pop(record.entry.name, None)
             self._gate.forget(upstream=upstream)
--- a/src/tanagerscale/membership/_scale.py
+++ b/src/tanagerscale/membership/_scale.py
@@ -1,18 +1,22 @@
-"""What the number of hosts changes in how they talk.
+"""Scaling of the message rate with the number of hosts.
 
-The load it answers: in a full mesh every host's news goes to every other one, so that the messages
-of all hosts together grow with the square of their number.
+In a full mesh every host sends its updates to every other host, so the total number of messages
+grows with the square of the number of hosts.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-FEW_PEERS: Final = 16
-"""Peers that a host tells each of its news directly. Today's installations have at most nine hosts;
-beyond it news is told less often or by way of other hosts."""
+MAX_PEERS_AT_BASE_INTERVAL: Final = 16
+"""Largest number of peers to which a host sends each update directly at the base interval. With
+more peers, updates are sent less often or through other hosts. Current installations have at most
+nine hosts."""
 
 
-def stretch(*, peers: int) -> float:
-    """Return how much rarer regular messages to all peers have to be, so that they stay few."""
-    return max(peers / FEW_PEERS, 1.0)
+def interval_multiplier(*, peers: int) -> float:
+    """Return the factor by which to lengthen the interval of periodic messages to all peers.
+
+    :param peers: Number of peers.
+    """
+    return max(peers / MAX_PEERS_AT_BASE_INTERVAL, 1.0)
--- a/src/tanagerscale/membership/_session.py
+++ b/src/tanagerscale/membership/_session.py
@@ -1,4 +1,4 @@
-"""One established connection to a peer."""
+"""One established connection to a peer, and the handshake that precedes it."""
 
 from __future__ import annotations
 
@@ -27,31 +27,31 @@
 from tanagerscale.membership._wire import encode_frame
 
 PROTOCOL_VERSION = 1
-OLDEST_VERSION = 1
+MIN_PROTOCOL_VERSION = 1
 HEARTBEAT_INTERVAL_MS = 1000
-SILENT_INTERVALS = 3
-"""A peer not heard for so many of its intervals is taken as failed, whatever its connection looks
-like. Peers whose host is dark are found sooner, by the kernel."""
-STALE_INTERVALS = 1.5
-"""A connection silent for so many intervals gives way to a new one."""
+MAX_SILENT_INTERVALS = 3
+"""A peer that is silent for this many of its heartbeat intervals counts as failed, whatever the
+state of its connection. The kernel detects unreachable hosts sooner."""
+STALE_AFTER_INTERVALS = 1.5
+"""A connection silent for this many heartbeat intervals is replaced by a new one."""
 
-_HELLO_TIMEOUT_MS = 2000
-_QUEUE_FRAMES = 1024
+_HANDSHAKE_TIMEOUT_MS = 2000
+_MAX_QUEUED_FRAMES = 1024
 
 log = get_logger(part="mesh")
 
 
 @final
 class PeerSession:
-    """A connection after both hosts have introduced themselves.
+    """A connection to a peer after a successful handshake.
 
     :param link: The connection.
-    :param peer: Who is at its other end.
-    :param dialer: Which of the two hosts made the connection.
-    :param clock: Judges silence.
-    :param counters: Counts what passes.
-    :param on_message: Called with each message but heartbeats.
-    :param on_change: Called when a heartbeat tells something new of the peer.
+    :param peer: The peer, as it introduced itself.
+    :param dialer: The host that made the connection.
+    :param clock: Source of the current time, used to measure silence.
+    :param counters: Counters of messages and bytes.
+    :param on_message: Called with each message.
+    :param on_change: Called when a heartbeat changes the state of the peer.
     """
 
     def __init__(
@@ -72,8 +72,8 @@
         self._counters = counters
         self._on_message = on_message
         self._on_change = on_change
-        self._outgoing: asyncio.Queue[bytes] = asyncio.Queue(maxsize=_QUEUE_FRAMES)
-        self._last_heard = clock.now()
+        self._outgoing: asyncio.Queue[bytes] = asyncio.Queue(maxsize=_MAX_QUEUED_FRAMES)
+        self._last_received_at = clock.now()
         self._interval_ms = HEARTBEAT_INTERVAL_MS
         self._reader: asyncio.Task[CloseReason] | None = None
         self._end_reason: CloseReason | None = None
@@ -81,24 +81,24 @@
 
     @property
     def peer(self) -> PeerInfo:
-        """What the peer last told of itself."""
+        """The peer with its latest reported state."""
         return self._peer
 
     @property
     def dialer(self) -> HostId:
-        """Which of the two hosts made the connection."""
+        """The host that made the connection."""
         return self._dialer
 
     @property
     def is_stale(self) -> bool:
-        """Whether so little is heard that a new connection takes this one's place."""
-        silent_ms = self._clock.now() - self._last_heard
-        return silent_ms >= STALE_INTERVALS * self._interval_ms
+        """Whether the peer has been silent so long that a new connection may replace this one."""
+        silent_ms = self._clock.now() - self._last_received_at
+        return silent_ms >= STALE_AFTER_INTERVALS * self._interval_ms
 
     def send(self, frame: bytes) -> bool:
         """Queue a frame.
 
-        :returns: Whether there was room; without it the frame is dropped.
+        :returns: Whether the queue had room; otherwise the frame is dropped.
         """
         try:
             self._outgoing.put_nowait(frame)
@@ -108,13 +108,16 @@
         return True
 
     def end(self, *, reason: CloseReason) -> None:
-        """Make ``run`` return with a reason."""
+        """Make ``run`` return ``reason``."""
         self._end_reason = reason
         if self._reader is not None:
             self._reader.cancel()
 
     async def run(self) -> CloseReason:
-        """Carry messages until the connection ends, and tell the peer why it did."""
+        """Exchange messages until the connection closes, and send the peer the reason.
+
+        :returns: Why the connection closed.
+        """
         self._reader = asyncio.create_task(self._read())
         writer = asyncio.create_task(self._write())
         reason = CloseReason.NORMAL
@@ -136,25 +139,27 @@
             try:
                 await self._link.send(frame)
             except LinkClosedError:
-                return  # The reader finds out too, and ends the session.
+                return  # The reader gets the same error and ends the session.
             self._counters.sent_messages += 1
             self._counters.sent_bytes += len(frame)
 
     async def _read(self) -> CloseReason:
         while True:
             try:
-                async with asyncio.timeout(SILENT_INTERVALS * self._interval_ms / MS_PER_SECOND):
+                async with asyncio.timeout(
+                    MAX_SILENT_INTERVALS * self._interval_ms / MS_PER_SECOND
+                ):
                     data = await self._link.receive()
             except TimeoutError:
                 return CloseReason.SILENT
             except LinkClosedError as error:
                 return error.reason
-            self._last_heard = self._clock.now()
-            if not self._take(data):
+            self._last_received_at = self._clock.now()
+            if not self._handle_frame(data):
                 return CloseReason.MALFORMED
 
-    def _take(self, data: bytes) -> bool:
-        """Handle one frame; return whether the connection may go on."""
+    def _handle_frame(self, data: bytes) -> bool:
+        """Handle one frame; return whether the connection can stay open."""
         self._counters.received_messages += 1
         self._counters.received_bytes += len(data)
         decoded = decode_frame(data)
@@ -164,21 +169,21 @@
                 self._counters.unknown_tags += 1
                 return True
             self._counters.malformed_frames += 1
-            log.warning("Frame refused.", peer=self._peer.host, detail=error.detail)
+            log.warning("Rejected a malformed frame.", peer=self._peer.host, detail=error.detail)
             return False
         self._deliver(decoded.unwrap())
         return True
 
     def _deliver(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            self._note_heartbeat(message)
+            self._handle_heartbeat(message)
         try:
             self._on_message(self._peer.host, message)
-        # A fault in one subscriber must not cut the host from its peers.
+        # A failing subscriber must not disconnect the host from its peers.
         except Exception:
             log.exception("Message handler failed.", kind=type(message).__name__)
 
-    def _note_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         self._interval_ms = heartbeat.next_ms
         revision = Revision(heartbeat.revision)
         if revision == self._peer.revision and heartbeat.leaving == self._peer.leaving:
@@ -190,34 +195,39 @@
 
 
 async def exchange_hello(*, link: Link, hello: Hello, counters: MeshCounters) -> Hello:
-    """Introduce this host and read who the other one is.
-
-    :param link: A fresh connection, which is closed with a reason when this fails.
-    :param hello: This host's introduction.
-    :param counters: Counts refusals.
-    :returns: The other host's introduction.
-    :raises LinkClosedError: When the hosts can't talk.
+    """Perform the handshake: send this host's hello and receive the peer's.
+
+    :param link: A new connection; it is closed with a reason if the handshake fails.
+    :param hello: This host's hello.
+    :param counters: Counters of rejected handshakes.
+    :returns: The peer's hello.
+    :raises LinkClosedError: If the handshake times out, the peer sends anything but a hello, or the
+        hosts share no protocol version.
     """
     try:
-        async with asyncio.timeout(_HELLO_TIMEOUT_MS / MS_PER_SECOND):
+        async with asyncio.timeout(_HANDSHAKE_TIMEOUT_MS / MS_PER_SECOND):
             await link.send(encode_frame(hello))
             data = await link.receive()
     except TimeoutError:
-        return await _refuse(link=link, reason=CloseReason.HANDSHAKE, counters=counters)
+        return await _reject(link=link, reason=CloseReason.HANDSHAKE, counters=counters)
     decoded = decode_frame(data)
-    theirs = None if isinstance(decoded, Failure) else decoded.unwrap()
-    if not isinstance(theirs, Hello):
+    peer_hello = None if isinstance(decoded, Failure) else decoded.unwrap()
+    if not isinstance(peer_hello, Hello):
         counters.malformed_frames += 1
-        return await _refuse(link=link, reason=CloseReason.MALFORMED, counters=counters)
-    common = min(hello.version, theirs.version)
-    if common < max(hello.oldest_version, theirs.oldest_version):
+        return await _reject(link=link, reason=CloseReason.MALFORMED, counters=counters)
+    common = min(hello.version, peer_hello.version)
+    if common < max(hello.oldest_version, peer_hello.oldest_version):
         counters.refused_versions += 1
-        log.warning("Peer of another version refused.", peer=theirs.host, version=theirs.version)
-        return await _refuse(link=link, reason=CloseReason.VERSION, counters=counters)
-    return theirs
+        log.warning(
+            "Rejected a peer that shares no protocol version with this host.",
+            peer=peer_hello.host,
+            version=peer_hello.version,
+        )
+        return await _reject(link=link, reason=CloseReason.VERSION, counters=counters)
+    return peer_hello
 
 
-async def _refuse(*, link: Link, reason: CloseReason, counters: MeshCounters) -> Hello:
+async def _reject(*, link: Link, reason: CloseReason, counters: MeshCounters) -> Hello:
     counters.refused_hellos += 1
     await link.close(reason=reason)
     raise LinkClosedError(reason)
--- a/src/tanagerscale/membership/_websocket.py
+++ b/src/tanagerscale/membership/_websocket.py
@@ -15,16 +15,17 @@
 
 from tanagerscale.core import watch_peer
 from tanagerscale.generated.settings import TlsSection
-from tanagerscale.membership._link import REMEDIES
-from tanagerscale.membership._link import Accept
+from tanagerscale.membership._link import CLOSE_REASON_TEXTS
 from tanagerscale.membership._link import CloseReason
 from tanagerscale.membership._link import Link
 from tanagerscale.membership._link import LinkClosedError
+from tanagerscale.membership._link import LinkHandler
 from tanagerscale.membership._wire import MAX_FRAME_BYTES
 
-SILENCE_S = 4
-"""Seconds after which the kernel ends a connection to a dark host. Heartbeats find it after three
-of their intervals, which are longer the more hosts there are; they alone find a frozen one."""
+DEAD_PEER_TIMEOUT_S = 4
+"""Seconds after which the kernel closes a connection to an unreachable host. Heartbeats detect it
+after three of their intervals, which grow with the number of hosts; only heartbeats detect a frozen
+host."""
 _OPEN_TIMEOUT_S = 2.0
 _CLOSE_TIMEOUT_S = 0.5
 _MAX_QUEUED_FRAMES = 64
@@ -37,34 +38,34 @@
 
     def __init__(self, *, connection: Connection) -> None:
         self._connection = connection
-        watch_peer(connection.transport, silence_s=SILENCE_S, sent_too=True)
+        watch_peer(connection.transport, silence_s=DEAD_PEER_TIMEOUT_S, sent_too=True)
 
     async def send(self, frame: bytes) -> None:
-        """Send a frame, waiting while the network is slow."""
+        """Send a frame, waiting while the send buffer is full."""
         try:
             await self._connection.send(frame)
         except ConnectionClosed as error:
-            raise LinkClosedError(_reason_of(error)) from error
+            raise LinkClosedError(_get_close_reason(error)) from error
 
     async def receive(self) -> bytes:
-        """Wait for the next frame; text is answered as malformed by the reader."""
+        """Wait for the next frame; the caller rejects text frames as malformed."""
         try:
             frame = await self._connection.recv()
         except ConnectionClosed as error:
-            raise LinkClosedError(_reason_of(error)) from error
+            raise LinkClosedError(_get_close_reason(error)) from error
         return frame if isinstance(frame, bytes) else frame.encode()
 
     async def close(self, *, reason: CloseReason) -> None:
-        """End the connection and tell the other side why."""
-        await self._connection.close(code=reason.value, reason=REMEDIES[reason])
+        """Close the connection and send the other side the reason."""
+        await self._connection.close(code=reason.value, reason=CLOSE_REASON_TEXTS[reason])
 
 
 @final
 class WebSocketTransport:
-    """Makes and accepts WebSockets.
+    """Opens and accepts WebSocket connections.
 
-    :param server_ssl: Context for accepted connections; ``None`` means no TLS.
-    :param client_ssl: Context for connections made.
+    :param server_ssl: TLS context for accepted connections; ``None`` means no TLS.
+    :param client_ssl: TLS context for outgoing connections; ``None`` means no TLS.
     """
 
     def __init__(
@@ -77,8 +78,8 @@
         self._client_ssl = client_ssl
         self._server: Server | None = None
 
-    async def listen(self, *, address: str, accept: Accept) -> str:
-        """Accept connections and return the address bound."""
+    async def listen(self, *, address: str, accept: LinkHandler) -> str:
+        """Accept connections and return the bound address."""
 
         async def handle(connection: ServerConnection) -> None:
             await accept(WebSocketLink(connection=connection))
@@ -101,7 +102,7 @@
         return f"{host}:{bound_port}"
 
     async def connect(self, *, address: str) -> Link:
-        """Make a connection."""
+        """Open a connection."""
         scheme = "ws" if self._client_ssl is None else "wss"
         try:
             connection = await connect(
@@ -121,7 +122,7 @@
         return WebSocketLink(connection=connection)
 
     async def stop(self) -> None:
-        """Accept no more connections and end the accepted ones."""
+        """Stop accepting connections and close the accepted ones."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -129,14 +130,14 @@
 
 
 def peer_ssl_contexts(*, tls: TlsSection) -> tuple[ssl.SSLContext, ssl.SSLContext] | None:
-    """Return the contexts for accepted and for made connections.
+    """Return the TLS contexts for accepted and for outgoing connections.
 
-    Either side shows a certificate of the installation's authority and checks the other's.
-    Peers are called by IP number, so the name in the certificate is not checked.
+    Each side presents a certificate of the installation's authority and verifies the other one.
+    Peers connect by IP address, so the host name in the certificate is not checked.
 
     :param tls: The ``[tls]`` section.
-    :returns: The server's and the client's context, or ``None`` without a certificate.
-    :raises OSError: When a file can't be read.
+    :returns: The server and the client context; ``None`` if no certificate is configured.
+    :raises OSError: If a file cannot be read.
     """
     if not tls.peers_certificate:
         return None
@@ -152,7 +153,7 @@
     return contexts[0], contexts[1]
 
 
-def _reason_of(error: ConnectionClosed) -> CloseReason:
+def _get_close_reason(error: ConnectionClosed) -> CloseReason:
     frame = error.rcvd or error.sent
     try:
         return CloseReason.BROKEN if frame is None else CloseReason(frame.code)
--- a/src/tanagerscale/membership/_wire.py
+++ b/src/tanagerscale/membership/_wire.py
@@ -1,4 +1,4 @@
-"""Frames between hosts: a tag and a message, as CBOR."""
+"""Encoding of the frames between hosts: a pair of a tag and a message, in CBOR."""
 
 from __future__ import annotations
 
@@ -81,32 +81,32 @@
     | RunningRequest
     | Finished
 )
-"""Anything one host tells another."""
+"""Any message that one host sends to another."""
 
-_TYPES: dict[str, type[Message]] = {kind.__name__: kind for kind in get_args(Message)}
+_TYPES_BY_TAG: dict[str, type[Message]] = {kind.__name__: kind for kind in get_args(Message)}
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-"""Room for a few of the store's values, which hold up to a megabyte each."""
+"""Must hold several values of the store, which are up to one megabyte each."""
 
 _MAX_DEPTH = 8
-_FRAME_LENGTH = 2
+_FRAME_ITEMS = 2
 
 
 @unique
 class FrameErrorKind(Enum):
-    """Why a frame could not be read."""
+    """Why a frame could not be decoded."""
 
     MALFORMED = "malformed"
-    """The bytes break the protocol; the connection is of no use any more."""
+    """The bytes violate the protocol; the connection must be closed."""
     UNKNOWN_TAG = "unknown-tag"
-    """A message this version does not know; it is skipped."""
+    """The message type is unknown to this version; the frame is skipped."""
 
 
 class FrameError(Struct, frozen=True, kw_only=True):
-    """A frame that could not be read.
+    """Describes a frame that could not be decoded.
 
-    :param kind: Whether it may be skipped.
-    :param detail: One sentence that names the remedy.
+    :param kind: Kind of error, which determines whether the frame may be skipped.
+    :param detail: One sentence that states the fault and the remedy.
     """
 
     kind: FrameErrorKind
@@ -114,15 +114,15 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message's bytes on the wire."""
+    """Encode a message as a frame."""
     return cbor2.dumps([type(message).__name__, msgspec.to_builtins(message)])
 
 
 def decode_frame(data: bytes) -> Result[Message, FrameError]:
-    """Read a frame that came from a peer.
+    """Decode a frame received from a peer.
 
-    :param data: The bytes as received; they may be anything.
-    :returns: The message, or why there is none.
+    :param data: The received bytes; they are untrusted.
+    :returns: The message, or the decoding error.
     """
     try:
         frame = cbor2.loads(
@@ -132,23 +132,25 @@
             allow_duplicate_keys=False,
             strict_hashable_types=True,
         )
-    # The decoder runs converters of its own for CBOR's semantic tags, and each may raise
-    # what it likes on hostile input.
+    # The decoder runs its own converters for CBOR's semantic tags, and each of them may raise any
+    # exception on hostile input.
     except Exception as error:
-        return Failure(_malformed(f"The frame is no CBOR ({type(error).__name__})"))
-    if not isinstance(frame, list) or len(frame) != _FRAME_LENGTH or not isinstance(frame[0], str):
-        return Failure(_malformed("The frame is not a pair of a tag and a map"))
+        return Failure(_build_malformed_error(f"The frame is no CBOR ({type(error).__name__})"))
+    if not isinstance(frame, list) or len(frame) != _FRAME_ITEMS or not isinstance(frame[0], str):
+        return Failure(_build_malformed_error("The frame is not a pair of a tag and a map"))
     tag, body = frame
-    kind = _TYPES.get(tag)
+    kind = _TYPES_BY_TAG.get(tag)
     if kind is None:
         detail = "The peer speaks a newer version; update this host to understand its messages."
         return Failure(FrameError(kind=FrameErrorKind.UNKNOWN_TAG, detail=detail))
     try:
         return Success(msgspec.convert(body, type=kind))
     except (msgspec.ValidationError, RecursionError) as error:
-        return Failure(_malformed(f"The {kind.__name__} is not as the schema says ({error})"))
+        return Failure(
+            _build_malformed_error(f"The {kind.__name__} is not as the schema says ({error})")
+        )
 
 
-def _malformed(cause: str) -> FrameError:
+def _build_malformed_error(cause: str) -> FrameError:
     detail = f"{cause}; make sure that only hosts of this installation reach the peers' address."
     return FrameError(kind=FrameErrorKind.MALFORMED, detail=detail)
--- a/src/tanagerscale/platform/_edges.py
+++ b/src/tanagerscale/platform/_edges.py
@@ -17,7 +17,7 @@
 from tanagerscale.platform._registry import decode_entry
 from tanagerscale.platform._registry import name_of
 from tanagerscale.platform._store import PlatformStore
-from tanagerscale.upstreams import SILENCE_S
+from tanagerscale.upstreams import DEAD_PEER_TIMEOUT_S
 from tanagerscale.upstreams import ConnectionPool
 
 CONNECT_TIMEOUT_MS: Final = 400
@@ -45,11 +45,11 @@
             clock=clock,
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
             idle_ms=IDLE_MS,
-            silence_s=silence_s,
+            dead_peer_timeout_s=silence_s,
         )
 
     store_pool = pool(STORE_SILENCE_S)
-    upstream_pool = pool(SILENCE_S)
+    upstream_pool = pool(DEAD_PEER_TIMEOUT_S)
 
     async def close() -> None:
         store_pool.close()
--- a/src/tanagerscale/platform/_engines.py
+++ b/src/tanagerscale/platform/_engines.py
@@ -37,7 +37,7 @@
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
 from tanagerscale.upstreams import HttpConnection
-from tanagerscale.upstreams import Reply
+from tanagerscale.upstreams import ResponseHead
 from tanagerscale.upstreams import RunState
 from tanagerscale.upstreams import UpstreamEntry
 
@@ -70,7 +70,7 @@
     """
 
     def __init__(
-        self, *, reply: Reply, connection: HttpConnection, pool: ConnectionPool, address: str
+        self, *, reply: ResponseHead, connection: HttpConnection, pool: ConnectionPool, address: str
     ) -> None:
         self._reply = reply
         self._connection = connection
@@ -107,7 +107,7 @@
     @property
     def is_leaving(self) -> bool:
         """Whether the upstream may be about to leave."""
-        return not self._reply.keeps_connection
+        return not self._reply.keep_alive
 
     async def read_some(self) -> bytes:
         """Return the next bytes of the body, or none after its proper end."""
@@ -132,7 +132,7 @@
         if not self._done:
             self._done = True
             self._pool.release(
-                address=self._address, connection=self._connection, reply=self._reply
+                address=self._address, connection=self._connection, response=self._reply
             )
 
 
@@ -159,7 +159,7 @@
             raise
         return PlatformAnswer(reply=reply, connection=connection, pool=self._pool, address=address)
 
-    async def _own_reply(self, connection: HttpConnection, request_id: str) -> Reply:
+    async def _own_reply(self, connection: HttpConnection, request_id: str) -> ResponseHead:
         """Skip late and repeated answers to earlier requests on the same connection."""
         for _ in range(MOST_STRAY_REPLIES):
             reply = await connection.receive()
@@ -229,7 +229,7 @@
         except BaseException:
             connection.close()
             raise
-        self._pool.release(address=address, connection=connection, reply=reply)
+        self._pool.release(address=address, connection=connection, response=reply)
         return reply.status, content
 
 
--- a/src/tanagerscale/platform/_registry.py
+++ b/src/tanagerscale/platform/_registry.py
@@ -69,7 +69,7 @@
             service=ServiceId(wire.service),
             address=wire.address,
             failure_domain=FailureDomainId(wire.zone),
-            places=wire.slots,
+            max_concurrency=wire.slots,
             state=_STATES[wire.state],
             cold_ms=int(wire.cold_remaining_ms),
         )
--- a/src/tanagerscale/platform/_store.py
+++ b/src/tanagerscale/platform/_store.py
@@ -36,7 +36,7 @@
 from tanagerscale.upstreams import ConnectionPool
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
-from tanagerscale.upstreams import Reply
+from tanagerscale.upstreams import ResponseHead
 
 HTTP_OK: Final = 200
 HTTP_NOT_FOUND: Final = 404
@@ -208,7 +208,7 @@
         if method == "POST":
             head += ["Content-Type: application/json", f"Content-Length: {len(content)}"]
         connection = await self._pool.acquire(address=self._address)
-        reply: Reply | None = None
+        reply: ResponseHead | None = None
         try:
             connection.send(
                 method=method, head=("\r\n".join(head) + "\r\n\r\n").encode(), body=content
@@ -218,7 +218,7 @@
         except BaseException:
             connection.close()
             raise
-        self._pool.release(address=self._address, connection=connection, reply=reply)
+        self._pool.release(address=self._address, connection=connection, response=reply)
         return _checked(reply.status, answer)
 
 
--- a/src/tanagerscale/routing/_protocol.py
+++ b/src/tanagerscale/routing/_protocol.py
@@ -20,7 +20,7 @@
 from tanagerscale.generated.declarations import Objective
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.policy import AccountSpec
 from tanagerscale.policy import PlacementRequest
 from tanagerscale.policy import Scheduler
@@ -97,7 +97,7 @@
         """The host that this process is."""
 
     @property
-    def messages(self) -> Observable[Received]:
+    def messages(self) -> Observable[ReceivedMessage]:
         """Messages from the peers."""
 
     @property
--- a/src/tanagerscale/routing/_router.py
+++ b/src/tanagerscale/routing/_router.py
@@ -23,7 +23,7 @@
 from tanagerscale.generated.messages import RunningRequest
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.policy import EngineSpec
 from tanagerscale.policy import PlacementRequest
 from tanagerscale.routing._cells import CellId
@@ -243,7 +243,7 @@
         else:
             self._network.send(host=host, message=message)
 
-    def _on_received(self, received: Received) -> None:
+    def _on_received(self, received: ReceivedMessage) -> None:
         self._on_message(received.host, received.message)
 
     def _on_message(self, host: HostId, message: Message) -> None:
--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -40,7 +40,7 @@
 from tanagerscale.generated.records import ClaimState
 from tanagerscale.generated.upstream import RefusalKind
 from tanagerscale.upstreams import ServiceCall
-from tanagerscale.upstreams import ServiceReply
+from tanagerscale.upstreams import ServiceResponse
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 
@@ -59,7 +59,7 @@
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Send a call once."""
 
 
@@ -94,11 +94,11 @@
     def __init__(self, *, parts: ServiceParts) -> None:
         self._parts = parts
         self._running: Counter[str] = Counter()
-        self._tasks: set[asyncio.Task[Result[ServiceReply, Problem]]] = set()
+        self._tasks: set[asyncio.Task[Result[ServiceResponse, Problem]]] = set()
 
     async def call(
         self, *, service: Service, account: ClientAccountId, key: str, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         """Return the service's answer, or the final problem.
 
         :param service: Its declaration.
@@ -117,7 +117,7 @@
 
     async def _repeatable(
         self, service: Service, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         tried: set[str] = set()
         may_have_run = False
         while len(tried) < MAX_TRIES:
@@ -137,7 +137,7 @@
 
     async def _claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         claim_key = ClaimKey(account=account, service=ServiceId(service.name), idempotency_key=key)
         claimed = await self._parts.claims.claim(
             key=claim_key, request_digest=_digest(call), ttl_s=service.claim_ttl_s
@@ -154,8 +154,8 @@
         raise AssertionError("A Result is a Success or a Failure.")
 
     async def _in_background(
-        self, call: Coroutine[None, None, Result[ServiceReply, Problem]]
-    ) -> Result[ServiceReply, Problem]:
+        self, call: Coroutine[None, None, Result[ServiceResponse, Problem]]
+    ) -> Result[ServiceResponse, Problem]:
         # A caller that leaves may ask again, so the call goes on and its answer is recorded.
         task = asyncio.ensure_future(call)
         self._tasks.add(task)
@@ -169,7 +169,7 @@
 
     async def _run_claimed(
         self, service: Service, call: ServiceCall, granted: Granted
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         result = await self._once(
             service, call, may_send=lambda: granted.may_dispatch(now=self._parts.clock.now())
         )
@@ -181,7 +181,7 @@
 
     async def _once(
         self, service: Service, call: ServiceCall, *, may_send: Callable[[], bool]
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Send a call at most once; only an upstream that cannot have run it is passed over."""
         tried: set[str] = set()
         error = UpstreamError(kind=UpstreamErrorKind.NOT_SENT, detail="No upstream takes work.")
@@ -200,7 +200,7 @@
 
     async def _send(
         self, service: Service, address: str, call: ServiceCall
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         upstream = UpstreamId(address)
         self._running[address] += 1
         try:
@@ -265,7 +265,7 @@
     return blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _outcome_of(result: Result[ServiceReply, UpstreamError]) -> ClaimOutcome:
+def _outcome_of(result: Result[ServiceResponse, UpstreamError]) -> ClaimOutcome:
     match result:
         case Success(reply):
             return ClaimOutcome(
@@ -279,9 +279,9 @@
     return ClaimOutcome(state=ClaimState.UNKNOWN)
 
 
-def _from_record(recorded: Recorded) -> ServiceReply:
+def _from_record(recorded: Recorded) -> ServiceResponse:
     outcome = recorded.outcome
-    return ServiceReply(
+    return ServiceResponse(
         status=outcome.status,
         content_type=outcome.content_type,
         headers=[("Content-Type", outcome.content_type)],
--- a/src/tanagerscale/upstreams/__init__.py
+++ b/src/tanagerscale/upstreams/__init__.py
@@ -1,18 +1,18 @@
-"""Access to upstreams: model engines and plain services."""
+"""Clients for upstreams: model engines and plain services."""
 
 from __future__ import annotations
 
-from tanagerscale.upstreams._connection import SILENCE_S
+from tanagerscale.upstreams._connection import DEAD_PEER_TIMEOUT_S
 from tanagerscale.upstreams._connection import ExchangeError
 from tanagerscale.upstreams._connection import ExchangeFailure
 from tanagerscale.upstreams._connection import HttpConnection
-from tanagerscale.upstreams._connection import Reply
+from tanagerscale.upstreams._connection import ResponseHead
 from tanagerscale.upstreams._entries import UpstreamEntry
 from tanagerscale.upstreams._entries import UpstreamState
 from tanagerscale.upstreams._http_engine import HttpEngineClient
 from tanagerscale.upstreams._http_service import HttpServiceClient
 from tanagerscale.upstreams._http_service import ServiceCall
-from tanagerscale.upstreams._http_service import ServiceReply
+from tanagerscale.upstreams._http_service import ServiceResponse
 from tanagerscale.upstreams._pool import ConnectionPool
 from tanagerscale.upstreams._protocol import EngineClient
 from tanagerscale.upstreams._protocol import TokenBatches
@@ -22,7 +22,7 @@
 from tanagerscale.upstreams._reports import RunState
 
 __all__ = [
-    "SILENCE_S",
+    "DEAD_PEER_TIMEOUT_S",
     "ConnectionPool",
     "EngineClient",
     "EngineReport",
@@ -31,10 +31,10 @@
     "HttpConnection",
     "HttpEngineClient",
     "HttpServiceClient",
-    "Reply",
+    "ResponseHead",
     "RunState",
     "ServiceCall",
-    "ServiceReply",
+    "ServiceResponse",
     "TokenBatches",
     "UpstreamEntry",
     "UpstreamError",
--- a/src/tanagerscale/upstreams/_connection.py
+++ b/src/tanagerscale/upstreams/_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to an upstream, for one request at a time."""
+"""An HTTP/1.1 connection to an upstream that carries one request at a time."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 from tanagerscale.core import watch_peer
 
 MAX_HEAD_BYTES: Final = 64 * 1024
-"""Largest field and line of a reply's head that is read."""
+"""Maximum size of the status line and of each header field of a response."""
 
 READ_BUFFER_BYTES: Final = 64 * 1024
-"""What may wait unread before the upstream is slowed down; a few hundred events."""
+"""Amount of unread data, a few hundred events, above which reading from the upstream is paused."""
 
-SILENCE_S: Final = 6
-"""After so long without an acknowledgement a peer counts as gone. A stream so outlives a cut of its
-link that its caller would have waited for."""
+DEAD_PEER_TIMEOUT_S: Final = 6
+"""Time without an acknowledgement after which a peer counts as dead. It is long enough for a stream
+to survive a network interruption that its caller would have waited out."""
 
 NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 
 @unique
 class ExchangeFailure(Enum):
-    """How far a request came before it failed."""
+    """How far a request got before it failed."""
 
     NOT_SENT = "not-sent"
-    """Not one byte of it has left."""
+    """No byte of the request was sent."""
     LOST = "lost"
-    """It was sent and its answer was not received whole."""
+    """The request was sent, but no complete response was received."""
 
 
 class ExchangeError(Exception):
-    """A request that got no whole answer.
+    """Raised when a request got no complete response.
 
-    :param failure: How far it came.
-    :param detail: What went wrong, in a few words.
+    :param failure: How far the request got.
+    :param detail: Short description of the fault.
     """
 
     def __init__(self, failure: ExchangeFailure, detail: str) -> None:
@@ -57,77 +57,80 @@
 
 
 @final
-class _Protocol(ResponseHandler):
-    """aiohttp's reader of replies, which also keeps whether the connection was reset."""
+class _ResponseProtocol(ResponseHandler):
+    """aiohttp's response parser that also records whether the connection was reset."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self.was_reset = False
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Keep how it ended, since a body without a length is whole only after a clean end."""
+        """Record how the connection ended.
+
+        A body without a length is complete only after a clean end.
+        """
         self.was_reset = exc is not None
         super().connection_lost(exc)
 
 
-class Reply(Struct, frozen=True, kw_only=True):
-    """The head of a reply; its body is read from the connection.
+class ResponseHead(Struct, frozen=True, kw_only=True):
+    """The head of a response; the body is read from the connection.
 
     :param status: HTTP status.
-    :param reason: Its phrase.
-    :param headers: Its header fields.
-    :param ends_with_connection: Whether only the end of the connection tells the end of the body.
-    :param keeps_connection: Whether the upstream lets the connection be used again.
+    :param reason: Reason phrase.
+    :param headers: Header fields.
+    :param is_close_delimited: Whether only the end of the connection marks the end of the body.
+    :param keep_alive: Whether the upstream allows another request on the connection.
     """
 
     status: int
     reason: str
     headers: CIMultiDictProxy[str]
-    ends_with_connection: bool
-    keeps_connection: bool
+    is_close_delimited: bool
+    keep_alive: bool
 
 
 @final
 class HttpConnection:
-    """A connection that carries one request after another.
+    """A connection that carries requests one after another.
 
-    :param transport: The socket.
-    :param protocol: Reads replies.
-    :param opened: When it was made.
+    :param transport: Transport of the socket.
+    :param protocol: Parser of the responses.
+    :param opened: Time when the connection was opened.
     """
 
     def __init__(
-        self, *, transport: asyncio.Transport, protocol: _Protocol, opened: Millis
+        self, *, transport: asyncio.Transport, protocol: _ResponseProtocol, opened: Millis
     ) -> None:
         self._transport = transport
         self._protocol = protocol
         self._body: StreamReader | None = None
-        self._reply: Reply | None = None
+        self._response_head: ResponseHead | None = None
         self._closed = False
         self.last_used = opened
         self.used = False
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent: it is open and nothing unasked has arrived."""
+        """Whether it can carry another request: it is open and no unsolicited data has arrived."""
         return (
             self._protocol.is_connected()
             and not self._protocol.should_close
-            and (self._reply is None or self._reply.keeps_connection)
+            and (self._response_head is None or self._response_head.keep_alive)
         )
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection has not ended."""
+        """Whether the connection is still open."""
         return self._protocol.is_connected()
 
     def send(self, *, method: str, head: bytes, body: bytes) -> None:
         """Send a request.
 
-        :param method: Its method, which decides whether a reply has a body.
-        :param head: The whole head with the empty line at its end.
-        :param body: The body.
-        :raises ExchangeError: The connection had ended before.
+        :param method: HTTP method, which determines whether the response has a body.
+        :param head: Complete head, including the empty line at the end.
+        :param body: Body; may be empty.
+        :raises ExchangeError: If the connection had already ended.
         """
         if not self._protocol.is_connected():
             raise ExchangeError(ExchangeFailure.NOT_SENT, "The connection had ended")
@@ -142,10 +145,10 @@
         self.used = True
         self._transport.write(head + body if body else head)
 
-    async def receive(self) -> Reply:
-        """Wait for the head of the next reply.
+    async def receive(self) -> ResponseHead:
+        """Wait for the head of the next response, skipping interim (1xx) responses.
 
-        :raises ExchangeError: The connection ended, or what came was no reply.
+        :raises ExchangeError: If the connection ends or the received data is not an HTTP response.
         """
         try:
             message, payload = await self._protocol.read()
@@ -155,30 +158,32 @@
             detail = f"No answer came ({type(error).__name__})"
             raise ExchangeError(ExchangeFailure.LOST, detail) from error
         self._body = payload
-        self._reply = _to_reply(message)
-        return self._reply
+        self._response_head = _build_response_head(message)
+        return self._response_head
 
     async def read_some(self) -> bytes:
-        """Return the next bytes of the body, or none after its end.
+        """Return the next bytes of the body; empty at the end of the body.
 
-        :raises ExchangeError: The body is not whole.
+        :raises ExchangeError: If the body is incomplete.
         """
         assert self._body is not None
-        assert self._reply is not None
+        assert self._response_head is not None
         try:
             chunk = await self._body.readany()
         except (ClientError, HttpProcessingError, OSError) as error:
             detail = f"The answer broke off ({type(error).__name__})"
             raise ExchangeError(ExchangeFailure.LOST, detail) from error
-        cut = self._closed or (self._reply.ends_with_connection and self._protocol.was_reset)
-        if not chunk and cut:
+        is_truncated = self._closed or (
+            self._response_head.is_close_delimited and self._protocol.was_reset
+        )
+        if not chunk and is_truncated:
             raise ExchangeError(ExchangeFailure.LOST, "The answer broke off")
         return chunk
 
     async def read_all(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises ExchangeError: The body is not whole.
+        :raises ExchangeError: If the body is incomplete.
         """
         chunks = []
         while chunk := await self.read_some():
@@ -186,43 +191,44 @@
         return b"".join(chunks)
 
     def close(self) -> None:
-        """End the connection at once, so that the upstream stops what it does for it."""
+        """Close the connection immediately, so that the upstream stops working on the request."""
         self._closed = True
         self._transport.abort()
 
 
 async def open_connection(
-    *, address: str, timeout_ms: int, now: Millis, silence_s: int = SILENCE_S
+    *, address: str, timeout_ms: int, now: Millis, dead_peer_timeout_s: int = DEAD_PEER_TIMEOUT_S
 ) -> HttpConnection:
-    """Make a connection.
-
-    :param address: IP number and port.
-    :param timeout_ms: Longest wait.
-    :param now: The present time.
-    :param silence_s: Seconds without an acknowledgement after which the peer counts as gone.
-    :raises ExchangeError: Nobody answered there in time.
+    """Open a connection.
+
+    :param address: IP address and port.
+    :param timeout_ms: Maximum time to wait, in milliseconds.
+    :param now: Current time.
+    :param dead_peer_timeout_s: Seconds without an acknowledgement after which the peer counts as
+        dead.
+    :raises ExchangeError: If no connection is established in time.
     """
     loop = asyncio.get_running_loop()
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
             transport, protocol = await loop.create_connection(
-                lambda: _Protocol(loop), host.strip("[]"), int(port)
+                lambda: _ResponseProtocol(loop), host.strip("[]"), int(port)
             )
     except (OSError, TimeoutError, ValueError) as error:
         detail = f"No connection to {address} ({type(error).__name__})"
         raise ExchangeError(ExchangeFailure.NOT_SENT, detail) from error
-    watch_peer(transport, silence_s=silence_s)
+    watch_peer(transport, silence_s=dead_peer_timeout_s)
     return HttpConnection(transport=transport, protocol=protocol, opened=now)
 
 
-def _to_reply(message: RawResponseMessage) -> Reply:
-    framed = message.chunked or "Content-Length" in message.headers
-    bodiless = message.code in NO_BODY_STATUSES
-    return Reply(
+def _build_response_head(message: RawResponseMessage) -> ResponseHead:
+    is_self_delimited = message.chunked or "Content-Length" in message.headers
+    has_no_body = message.code in NO_BODY_STATUSES
+    return ResponseHead(
         status=message.code,
         reason=message.reason or "",
         headers=message.headers,
-        ends_with_connection=not framed and not bodiless,
-        keeps_connection=(framed or bodiless) and not message.should_close,
+        is_close_delimited=not is_self_delimited and not has_no_body,
+        keep_alive=(is_self_delimited or has_no_body) and not message.should_close,
     )
--- a/src/tanagerscale/upstreams/_entries.py
+++ b/src/tanagerscale/upstreams/_entries.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself where upstreams are listed."""
+"""Entries that upstreams publish about themselves."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 @unique
 class UpstreamState(Enum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new requests."""
 
     READY = "ready"
     LEAVING = "leaving"
 
 
 class UpstreamEntry(Struct, frozen=True, kw_only=True):
-    """One start of an upstream; another start is another upstream.
-
-    :param upstream: Its id, which no other start shares, so that nothing that is known of one start
-        is believed of another.
-    :param name: What it is registered under; a later start may have the same name.
-    :param started_ms: When it started, in milliseconds since 1970 by its own clock; 0 when it does
-        not tell.
-    :param service: The service it answers for.
-    :param address: IP number and port. Another upstream may have it later.
-    :param failure_domain: Where it stands.
-    :param places: How many requests it works on at once.
-    :param state: Whether it takes new work.
-    :param cold_ms: How much longer it is slow after its start.
+    """One start of an upstream; each restart counts as a new upstream.
+
+    :param upstream: Id of this start. It is never shared with another start, so that state recorded
+        for one start is not applied to another.
+    :param name: Name under which the upstream is registered; a later start may have the same name.
+    :param started_ms: When it started, in milliseconds since 1970 by its own clock; 0 if it does
+        not report that.
+    :param service: Service that it provides.
+    :param address: IP address and port; may later be reassigned to another upstream.
+    :param failure_domain: Failure domain in which it runs.
+    :param max_concurrency: Number of requests that it processes at the same time.
+    :param state: Whether it accepts new requests.
+    :param cold_ms: Remaining time for which it is slow after its start, in milliseconds.
     """
 
     upstream: UpstreamId
@@ -43,6 +43,6 @@
     service: ServiceId
     address: str
     failure_domain: FailureDomainId
-    places: int
+    max_concurrency: int
     state: UpstreamState
     cold_ms: int
--- a/src/tanagerscale/upstreams/_http_engine.py
+++ b/src/tanagerscale/upstreams/_http_engine.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP."""
+"""HTTP client for model engines."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 DATA_OBJECT = b"data: {"
 MAX_EVENT_BYTES = 1 << 20
 CONNECT_TIMEOUT_S = 1.0
-REPLY_TIMEOUT_S = 2.0
+RESPONSE_TIMEOUT_S = 2.0
 RESUME_TIMEOUT_S = 1.0
-"""An engine that lives answers a resume at once, since it has no prompt to read."""
+"""A working engine answers a resume at once because it has no prompt to process."""
 STALL_TIMEOUT_S = 1.0
-"""Short, since a resume on an engine that is only slow costs a connection and nothing else."""
+"""Short because a resume on an engine that is merely slow costs only a connection."""
 JSON_HEADERS = {"Content-Type": "application/json"}
 
 _Body = TypeVar("_Body")
@@ -42,117 +42,126 @@
 
 @final
 class HttpEngineClient:
-    """One engine behind its published HTTP protocol.
+    """Client of one engine over its published HTTP protocol.
 
-    :param session: Shared by all clients of the process.
-    :param address: IP number and port.
-    :param stall_s: Longest wait for the next byte of a reply that has begun, in seconds.
+    :param session: HTTP session shared by all clients of the process.
+    :param address: IP address and port.
+    :param stall_timeout_s: Maximum time to wait for the next byte of a response that has begun, in
+        seconds; a stall is detected after one to two times this value.
     """
 
     def __init__(
-        self, *, session: aiohttp.ClientSession, address: str, stall_s: float = STALL_TIMEOUT_S
+        self,
+        *,
+        session: aiohttp.ClientSession,
+        address: str,
+        stall_timeout_s: float = STALL_TIMEOUT_S,
     ) -> None:
         self._session = session
         self._base = f"http://{address}"
-        self._events = msgspec.json.Decoder(TokenEvent)
-        self._stall_s = stall_s
+        self._event_decoder = msgspec.json.Decoder(TokenEvent)
+        self._stall_timeout_s = stall_timeout_s
         self._stream_timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         self._call_timeout = aiohttp.ClientTimeout(
-            total=REPLY_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
+            total=RESPONSE_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
         )
 
     def generate(self, *, request: EngineRequest) -> TokenBatches:
-        """Start an attempt and follow it; the iterator ends after its first failure.
+        """Start an attempt and stream its events; the iterator ends after the first failure.
 
-        :param request: The attempt; its id must be new.
+        :param request: The request; its attempt id must not have been used before.
         """
         url = f"{self._base}/v1/completions"
         body = msgspec.json.encode(request)
         attempt = AttemptId(request.attempt_id)
-        return self._follow("POST", url, attempt, body, REPLY_TIMEOUT_S)
+        return self._follow("POST", url, attempt, body, RESPONSE_TIMEOUT_S)
 
     def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
-        """Follow a running or finished attempt.
+        """Stream the events of a running or finished attempt.
 
-        :param attempt: The attempt.
-        :param offset: Number of tokens already held.
+        :param attempt: Id of the attempt.
+        :param offset: Number of tokens already received.
         """
         url = f"{self._base}/v1/completions/{attempt}/events?offset={offset}"
         return self._follow("GET", url, attempt, None, RESUME_TIMEOUT_S)
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
-        """Stop an attempt; idempotent.
+        """Cancel an attempt; idempotent.
 
-        :param attempt: The attempt.
+        :param attempt: Id of the attempt.
         """
         result = await self._call("DELETE", f"/v1/completions/{attempt}", None)
         return result.map(lambda _body: None)
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Read the late load report."""
+        """Read the load report, which lags behind the actual load."""
         return _decode(await self._call("GET", "/load", None), LoadReport)
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Read the cache events with a sequence above ``after``.
+        """Read the cache events with a sequence number above ``after``.
 
-        :param after: Last sequence seen.
+        :param after: Last sequence number received.
         """
         return _decode(await self._call("GET", f"/cache-events?after={after}", None), CacheEvents)
 
     async def state(self) -> Result[EngineState, UpstreamError]:
-        """Read what the engine holds."""
+        """Read the state of the engine, such as the models that it holds."""
         return _decode(await self._call("GET", "/state", None), EngineState)
 
     async def order(self, *, order: EngineOrder) -> Result[EngineState, UpstreamError]:
-        """Give an order.
+        """Send an order to the engine.
 
-        :param order: The order, with its fencing number.
+        :param order: The order, including its fencing number.
         """
         return _decode(await self._call("POST", "/orders", msgspec.json.encode(order)), EngineState)
 
     async def _follow(
-        self, method: str, url: str, attempt: AttemptId, body: bytes | None, reply_s: float
+        self, method: str, url: str, attempt: AttemptId, body: bytes | None, reply_timeout_s: float
     ) -> TokenBatches:
         response = None
-        guard = None
+        detector = None
         try:
-            async with asyncio.timeout(reply_s):
+            async with asyncio.timeout(reply_timeout_s):
                 response = await self._session.request(
                     method, url, data=body, headers=JSON_HEADERS, timeout=self._stream_timeout
                 )
-            error = await _reply_error(response, attempt)
+            error = await _find_error(response, attempt)
             if error is not None:
                 yield Failure(error)
                 return
-            # The empty batch tells that the engine has accepted the attempt.
+            # The empty batch signals that the engine has accepted the attempt.
             yield Success(())
-            guard = _StallGuard(response=response, limit_s=self._stall_s)
+            detector = _StallDetector(response=response, interval_s=self._stall_timeout_s)
             pending = b""
             async for chunk in response.content.iter_any():
-                events, pending = self._split(pending + chunk)
-                guard.reading = False
+                events, pending = self._decode_events(pending + chunk)
+                detector.is_reading = False
                 yield Success(events)
-                guard.progressed()
-            stalled = guard.fired
-            kind = UpstreamErrorKind.STALLED if stalled else UpstreamErrorKind.BROKEN
-            yield Failure(_error(kind, "The reply ended."))
+                detector.note_progress()
+            has_stall = detector.has_stalled
+            kind = UpstreamErrorKind.STALLED if has_stall else UpstreamErrorKind.BROKEN
+            yield Failure(_build_error(kind, "The reply ended."))
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            stalled = guard is not None and guard.fired
-            yield Failure(_STALLED if stalled else _classify(error, replied=response is not None))
+            has_stall = detector is not None and detector.has_stalled
+            yield Failure(
+                _STALLED
+                if has_stall
+                else _classify_exception(error, has_response=response is not None)
+            )
         finally:
-            if guard is not None:
-                guard.stop()
+            if detector is not None:
+                detector.stop()
             if response is not None:
                 response.close()
 
-    def _split(self, data: bytes) -> tuple[list[TokenEvent], bytes]:
-        """Return the events in ``data`` and the rest behind the last of them."""
+    def _decode_events(self, data: bytes) -> tuple[list[TokenEvent], bytes]:
+        """Decode the events in ``data``; return them and the incomplete rest."""
         *frames, pending = data.split(EVENT_END)
         if len(pending) > MAX_EVENT_BYTES:
             raise msgspec.ValidationError("An event is larger than the protocol allows.")
-        decode = self._events.decode
-        # Comments that keep a connection open, and markers such as [DONE], carry no token; a
-        # token that is lost with them shows as a gap.
+        decode = self._event_decoder.decode
+        # Keep-alive comments and markers such as [DONE] carry no token. If a token were skipped
+        # with them, it would show up as a gap in the offsets.
         events = [
             decode(frame[start + len(DATA_FIELD) :])
             for frame in frames
@@ -163,7 +172,7 @@
     async def _call(
         self, method: str, path: str, body: bytes | None
     ) -> Result[bytes, UpstreamError]:
-        replied = False
+        has_response = False
         try:
             async with self._session.request(
                 method,
@@ -172,69 +181,71 @@
                 headers=JSON_HEADERS,
                 timeout=self._call_timeout,
             ) as response:
-                replied = True
-                error = await _reply_error(response, None)
+                has_response = True
+                error = await _find_error(response, None)
                 if error is not None:
                     return Failure(error)
                 return Success(await response.read())
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            return Failure(_classify(error, replied=replied))
+            return Failure(_classify_exception(error, has_response=has_response))
 
 
 @final
-class _StallGuard:
-    """Closes a reply that makes no progress while it is read.
+class _StallDetector:
+    """Closes a response that makes no progress while it is being read.
 
-    The library's own read timeout moves a timer for each read; this one looks at its watch only
-    once each interval, so a stall is noticed after one to two intervals.
+    The library's own read timeout resets a timer on each read. This class checks only once per
+    interval, so that it detects a stall after one to two intervals.
 
-    :param response: The reply.
-    :param limit_s: The interval, in seconds.
+    :param response: The response to watch.
+    :param interval_s: Interval between checks, in seconds.
     """
 
-    def __init__(self, *, response: aiohttp.ClientResponse, limit_s: float) -> None:
-        self.reading = True
-        self.fired = False
-        self._progress = False
+    def __init__(self, *, response: aiohttp.ClientResponse, interval_s: float) -> None:
+        self.is_reading = True
+        self.has_stalled = False
+        self._has_progressed = False
         self._response = response
-        self._limit_s = limit_s
+        self._interval_s = interval_s
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(limit_s, self._look)
+        self._timer = self._loop.call_later(interval_s, self._check)
 
-    def progressed(self) -> None:
-        """Record that bytes have come and that the next ones are waited for."""
-        self._progress = True
-        self.reading = True
+    def note_progress(self) -> None:
+        """Record that data was received and that the next read has begun."""
+        self._has_progressed = True
+        self.is_reading = True
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop checking."""
         self._timer.cancel()
 
-    def _look(self) -> None:
-        if self.reading and not self._progress:
-            self.fired = True
+    def _check(self) -> None:
+        if self.is_reading and not self._has_progressed:
+            self.has_stalled = True
             self._response.close()
             return
-        self._progress = False
-        self._timer = self._loop.call_later(self._limit_s, self._look)
+        self._has_progressed = False
+        self._timer = self._loop.call_later(self._interval_s, self._check)
 
 
-async def _reply_error(
+async def _find_error(
     response: aiohttp.ClientResponse, attempt: AttemptId | None
 ) -> UpstreamError | None:
     if response.status >= 300:
-        return _refused(response.status, await response.read())
+        return _build_refusal_error(response.status, await response.read())
     if attempt is not None and response.headers.get(ATTEMPT_HEADER, attempt) != attempt:
-        return _error(UpstreamErrorKind.MALFORMED, "The reply belongs to another attempt.")
+        return _build_error(UpstreamErrorKind.MALFORMED, "The reply belongs to another attempt.")
     return None
 
 
-def _refused(status: int, body: bytes) -> UpstreamError:
+def _build_refusal_error(status: int, body: bytes) -> UpstreamError:
     try:
         refusal = msgspec.json.decode(body, type=Refusal)
     except msgspec.MsgspecError:
-        # Without the published refusal nothing proves that the call was not executed.
-        return _error(UpstreamErrorKind.BROKEN, f"The engine answered {status} without a reason.")
+        # Only a refusal as the protocol defines it proves that the call was not executed.
+        return _build_error(
+            UpstreamErrorKind.BROKEN, f"The engine answered {status} without a reason."
+        )
     return UpstreamError(
         kind=UpstreamErrorKind.REFUSED,
         detail=f"The engine refused: {refusal.kind.value}.",
@@ -242,18 +253,18 @@
     )
 
 
-def _classify(error: Exception, *, replied: bool) -> UpstreamError:
+def _classify_exception(error: Exception, *, has_response: bool) -> UpstreamError:
     if isinstance(error, aiohttp.ClientConnectorError | aiohttp.ConnectionTimeoutError):
-        return _error(UpstreamErrorKind.NOT_SENT, "No connection could be made.")
+        return _build_error(UpstreamErrorKind.NOT_SENT, "No connection could be made.")
     if isinstance(error, TimeoutError):
-        kind = UpstreamErrorKind.STALLED if replied else UpstreamErrorKind.UNRESPONSIVE
-        return _error(kind, "No byte came in the time allowed.")
+        kind = UpstreamErrorKind.STALLED if has_response else UpstreamErrorKind.UNRESPONSIVE
+        return _build_error(kind, "No byte came in the time allowed.")
     if isinstance(error, ValueError) and not isinstance(error, aiohttp.ClientError):
-        return _error(UpstreamErrorKind.MALFORMED, "An event could not be read.")
-    return _error(UpstreamErrorKind.BROKEN, f"The connection broke: {type(error).__name__}.")
+        return _build_error(UpstreamErrorKind.MALFORMED, "An event could not be read.")
+    return _build_error(UpstreamErrorKind.BROKEN, f"The connection broke: {type(error).__name__}.")
 
 
-def _error(kind: UpstreamErrorKind, detail: str) -> UpstreamError:
+def _build_error(kind: UpstreamErrorKind, detail: str) -> UpstreamError:
     return UpstreamError(kind=kind, detail=detail)
 
 
@@ -265,10 +276,10 @@
             try:
                 return Success(msgspec.json.decode(content, type=body_type))
             except msgspec.MsgspecError as error:
-                return Failure(_error(UpstreamErrorKind.MALFORMED, str(error)))
+                return Failure(_build_error(UpstreamErrorKind.MALFORMED, str(error)))
         case Failure(error):
             return Failure(error)
     raise AssertionError("A Result is a Success or a Failure.")
 
 
-_STALLED = _error(UpstreamErrorKind.STALLED, "No byte came in the time allowed.")
+_STALLED = _build_error(UpstreamErrorKind.STALLED, "No byte came in the time allowed.")
--- a/src/tanagerscale/upstreams/_http_service.py
+++ b/src/tanagerscale/upstreams/_http_service.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP."""
+"""HTTP client for plain services."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
         "expect",
     }
 )
-"""Header fields that concern one connection (RFC 9110, 7.6.1), or that the client library sets."""
+"""Header fields that apply to one connection (RFC 9110, 7.6.1) or are set by the client library."""
 
 
 class ServiceCall(Struct, frozen=True, kw_only=True):
     """A call to a plain service.
 
     :param method: HTTP method.
-    :param path: Path and query, with its leading slash.
-    :param headers: Header fields to pass on.
-    :param body: Body.
+    :param path: Path and query, including the leading slash.
+    :param headers: Header fields to forward.
+    :param body: Request body.
     """
 
     method: str
@@ -55,13 +55,13 @@
     body: bytes
 
 
-class ServiceReply(Struct, frozen=True, kw_only=True):
-    """What a plain service answered.
+class ServiceResponse(Struct, frozen=True, kw_only=True):
+    """Response of a plain service.
 
     :param status: HTTP status.
     :param content_type: Media type of the body.
-    :param headers: Header fields to pass on.
-    :param body: Body.
+    :param headers: Header fields to forward.
+    :param body: Response body.
     """
 
     status: int
@@ -72,10 +72,10 @@
 
 @final
 class HttpServiceClient:
-    """Calls plain services; never retries, not even on a connection that was reused.
+    """Calls plain services; never retries, not even on a reused connection.
 
-    :param session: Must keep no connections open, since a reused one that breaks leaves unknown
-        whether the call ran.
+    :param session: HTTP session that must not keep connections open: if a reused connection breaks,
+        it is unknown whether the call ran.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
@@ -83,12 +83,12 @@
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Send a call once.
 
-        :param address: IP number and port.
+        :param address: IP address and port.
         :param call: The call.
-        :param timeout_ms: Longest wait for the whole answer, in milliseconds.
+        :param timeout_ms: Maximum time to wait for the complete response, in milliseconds.
         """
         timeout = aiohttp.ClientTimeout(total=timeout_ms / 1000, sock_connect=CONNECT_TIMEOUT_S)
         headers = [item for item in call.headers if item[0].lower() not in HOP_BY_HOP]
@@ -104,20 +104,24 @@
                 body = await response.content.read(MAX_REPLY_BYTES + 1)
                 while not response.content.at_eof() and len(body) <= MAX_REPLY_BYTES:
                     body += await response.content.read(MAX_REPLY_BYTES + 1 - len(body))
-                return _reply(response, body)
+                return _build_result(response, body)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            return _failure(UpstreamErrorKind.NOT_SENT, "No connection could be made.")
+            return _build_failure(UpstreamErrorKind.NOT_SENT, "No connection could be made.")
         except TimeoutError:
-            return _failure(UpstreamErrorKind.STALLED, "No answer came in the time allowed.")
+            return _build_failure(UpstreamErrorKind.STALLED, "No answer came in the time allowed.")
         except (aiohttp.ClientError, OSError) as error:
-            return _failure(UpstreamErrorKind.BROKEN, f"It broke: {type(error).__name__}.")
+            return _build_failure(UpstreamErrorKind.BROKEN, f"It broke: {type(error).__name__}.")
 
 
-def _reply(response: aiohttp.ClientResponse, body: bytes) -> Result[ServiceReply, UpstreamError]:
+def _build_result(
+    response: aiohttp.ClientResponse, body: bytes
+) -> Result[ServiceResponse, UpstreamError]:
     if len(body) > MAX_REPLY_BYTES:
-        return _failure(UpstreamErrorKind.MALFORMED, "The answer is larger than is passed on.")
+        return _build_failure(
+            UpstreamErrorKind.MALFORMED, "The answer is larger than is passed on."
+        )
     if response.status == REFUSED_STATUS:
-        refusal = _refusal(body)
+        refusal = _parse_refusal(body)
         if refusal is not None:
             return Failure(
                 UpstreamError(
@@ -128,7 +132,7 @@
             )
     headers = [item for item in response.headers.items() if item[0].lower() not in HOP_BY_HOP]
     return Success(
-        ServiceReply(
+        ServiceResponse(
             status=response.status,
             content_type=response.headers.get("Content-Type", ""),
             headers=headers,
@@ -137,12 +141,12 @@
     )
 
 
-def _refusal(body: bytes) -> Refusal | None:
+def _parse_refusal(body: bytes) -> Refusal | None:
     try:
         return msgspec.json.decode(body, type=Refusal)
     except msgspec.MsgspecError:
         return None
 
 
-def _failure(kind: UpstreamErrorKind, detail: str) -> Result[ServiceReply, UpstreamError]:
+def _build_failure(kind: UpstreamErrorKind, detail: str) -> Result[ServiceResponse, UpstreamError]:
     return Failure(UpstreamError(kind=kind, detail=detail))
--- a/src/tanagerscale/upstreams/_pool.py
+++ b/src/tanagerscale/upstreams/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to upstreams, kept for the next request."""
+"""Pool of idle connections to upstreams."""
 
 from __future__ import annotations
 
@@ -9,51 +9,58 @@
 
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Clock
-from tanagerscale.upstreams._connection import SILENCE_S
+from tanagerscale.upstreams._connection import DEAD_PEER_TIMEOUT_S
 from tanagerscale.upstreams._connection import HttpConnection
-from tanagerscale.upstreams._connection import Reply
+from tanagerscale.upstreams._connection import ResponseHead
 from tanagerscale.upstreams._connection import open_connection
 
-IDLE_SHARE: Final = 0.5
-"""Part of the time an upstream promises to keep an idle connection that is counted on; the rest
-covers the way there and late timers."""
+IDLE_TIMEOUT_RATIO: Final = 0.5
+"""Fraction of the idle timeout announced by an upstream for which a connection is reused; the rest
+allows for network latency and late timers."""
 
-MOST_IDLE: Final = 8
-"""Idle connections kept to one upstream. Its limit is shared by all hosts: 9 hosts with 8 each
-are 72 of 96, the smallest limit met."""
+MAX_IDLE_CONNECTIONS: Final = 8
+"""Maximum number of idle connections to one upstream. All hosts share the connection limit of an
+upstream: 9 hosts with 8 connections each use 72 of 96, the smallest known limit."""
 
 _TIMEOUT_FIELD = re.compile(r"timeout=(\d+)")
 
 
 @final
 class ConnectionPool:
-    """Connections to many upstreams, by address.
-
-    :param clock: Time.
-    :param connect_timeout_ms: Longest wait for a new connection.
-    :param idle_ms: How long a connection is counted on when the upstream does not tell.
-    :param silence_s: Seconds without an acknowledgement after which an upstream counts as gone.
+    """Pool of connections to many upstreams, by address.
+
+    :param clock: Source of the current time.
+    :param connect_timeout_ms: Maximum time to wait for a new connection, in milliseconds.
+    :param idle_ms: How long an idle connection is reused if the upstream announces no timeout, in
+        milliseconds.
+    :param dead_peer_timeout_s: Seconds without an acknowledgement after which an upstream counts as
+        dead.
     """
 
     def __init__(
-        self, *, clock: Clock, connect_timeout_ms: int, idle_ms: int, silence_s: int = SILENCE_S
+        self,
+        *,
+        clock: Clock,
+        connect_timeout_ms: int,
+        idle_ms: int,
+        dead_peer_timeout_s: int = DEAD_PEER_TIMEOUT_S,
     ) -> None:
         self._clock = clock
-        self._silence_s = silence_s
+        self._dead_peer_timeout_s = dead_peer_timeout_s
         self._connect_timeout_ms = connect_timeout_ms
         self._idle_ms = idle_ms
         self._idle: dict[str, list[tuple[HttpConnection, int]]] = defaultdict(list)
         self.opened = 0
         self.reused = 0
 
-    async def acquire(self, *, address: str, fresh: bool = False) -> HttpConnection:
+    async def acquire(self, *, address: str, force_new: bool = False) -> HttpConnection:
         """Return a connection for one request.
 
-        :param address: IP number and port of the upstream.
-        :param fresh: Whether an idle one is not good enough.
-        :raises ExchangeError: No connection could be made.
+        :param address: IP address and port of the upstream.
+        :param force_new: Whether to open a new connection instead of reusing an idle one.
+        :raises ExchangeError: If no connection can be established.
         """
-        if not fresh:
+        if not force_new:
             idle = self._take_idle(address)
             if idle is not None:
                 self.reused += 1
@@ -63,25 +70,27 @@
             address=address,
             timeout_ms=self._connect_timeout_ms,
             now=self._clock.now(),
-            silence_s=self._silence_s,
+            dead_peer_timeout_s=self._dead_peer_timeout_s,
         )
 
-    def release(self, *, address: str, connection: HttpConnection, reply: Reply) -> None:
-        """Keep a connection whose reply was read whole, if it may be used again.
+    def release(self, *, address: str, connection: HttpConnection, response: ResponseHead) -> None:
+        """Return a connection whose response was read completely; closes it unless it is reusable.
 
-        :param address: Where it leads.
+        :param address: IP address and port of the upstream.
         :param connection: The connection.
-        :param reply: The last reply on it, which may tell how long it stays open.
+        :param response: Last response on it, which may announce an idle timeout.
         """
-        kept = self._idle[address]
-        if not connection.is_reusable or len(kept) >= MOST_IDLE:
+        idle_connections = self._idle[address]
+        if not connection.is_reusable or len(idle_connections) >= MAX_IDLE_CONNECTIONS:
             connection.close()
             return
         connection.last_used = self._clock.now()
-        kept.append((connection, connection.last_used + self._idle_time(reply)))
+        idle_connections.append(
+            (connection, connection.last_used + self._get_idle_time_ms(response))
+        )
 
     def drop(self, *, address: str) -> None:
-        """Close all idle connections to an upstream that is gone."""
+        """Close all idle connections to an upstream, for example when it is gone."""
         for connection, _ in self._idle.pop(address, ()):
             connection.close()
 
@@ -91,31 +100,31 @@
             self.drop(address=address)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long, so that no upstream keeps places for it."""
+        """Close connections that were idle for too long, which frees slots on the upstreams."""
         now = self._clock.now()
-        for address, kept in list(self._idle.items()):
-            for connection, until in kept:
+        for address, idle_connections in list(self._idle.items()):
+            for connection, until in idle_connections:
                 if until <= now or not connection.is_reusable:
                     connection.close()
-            fresh = [item for item in kept if item[1] > now and item[0].is_open]
-            if fresh:
-                self._idle[address] = fresh
+            unexpired = [item for item in idle_connections if item[1] > now and item[0].is_open]
+            if unexpired:
+                self._idle[address] = unexpired
             else:
                 del self._idle[address]
 
     def _take_idle(self, address: str) -> HttpConnection | None:
-        kept = self._idle.get(address)
+        idle_connections = self._idle.get(address)
         now = self._clock.now()
-        while kept:
-            # The one used last is the least likely to have been closed at the other end.
-            connection, until = kept.pop()
+        while idle_connections:
+            # The most recently used connection is the least likely to have been closed remotely.
+            connection, until = idle_connections.pop()
             if until > now and connection.is_reusable:
                 return connection
             connection.close()
         return None
 
-    def _idle_time(self, reply: Reply) -> int:
-        told = _TIMEOUT_FIELD.search(reply.headers.get("Keep-Alive", ""))
-        if told is None:
+    def _get_idle_time_ms(self, response: ResponseHead) -> int:
+        keep_alive_timeout = _TIMEOUT_FIELD.search(response.headers.get("Keep-Alive", ""))
+        if keep_alive_timeout is None:
             return self._idle_ms
-        return int(int(told.group(1)) * MS_PER_SECOND * IDLE_SHARE)
+        return int(int(keep_alive_timeout.group(1)) * MS_PER_SECOND * IDLE_TIMEOUT_RATIO)
--- a/src/tanagerscale/upstreams/_protocol.py
+++ b/src/tanagerscale/upstreams/_protocol.py
@@ -1,4 +1,4 @@
-"""What the system asks of a model engine."""
+"""Interface to a model engine."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 
 @unique
 class UpstreamErrorKind(Enum):
-    """How a call to an upstream failed, which decides what may be said of its execution."""
+    """How a call to an upstream failed, which determines whether it may have been executed."""
 
     NOT_SENT = "not-sent"
-    """No connection was made, so the upstream knows nothing of the call."""
+    """No connection was established, so the upstream did not receive the call."""
     REFUSED = "refused"
-    """The upstream said that it executed nothing; ``refusal`` tells why."""
+    """The upstream reported that it executed nothing; ``refusal`` holds the reason."""
     BROKEN = "broken"
-    """The connection ended before the answer did; the call may have run."""
+    """The connection ended before the response did; the call may have run."""
     UNRESPONSIVE = "unresponsive"
-    """A connection was made and no reply began in the time allowed; the call may have run."""
+    """A connection was established, but no response began in time; the call may have run."""
     STALLED = "stalled"
-    """The reply began and then made no progress in the time allowed; the call may still run."""
+    """The response began and then made no progress in time; the call may still be running."""
     MALFORMED = "malformed"
-    """The answer breaks the protocol; the call may have run."""
+    """The response violates the protocol; the call may have run."""
 
 
 class UpstreamError(Struct, frozen=True, kw_only=True):
     """A failed call to an upstream.
 
-    :param kind: How it failed.
+    :param kind: How the call failed.
     :param detail: One sentence for the log.
-    :param refusal: The upstream's refusal, when it sent one.
+    :param refusal: Refusal that the upstream sent; ``None`` if it sent none.
     """
 
     kind: UpstreamErrorKind
@@ -54,29 +54,29 @@
 
 
 TokenBatches: TypeAlias = AsyncGenerator[Result[Sequence[TokenEvent], UpstreamError], None]
-"""Events as they arrive, those of one read together; a batch may be empty once the reply began."""
+"""Batches of events, one per read; a batch may be empty once the response has begun."""
 
 
 class EngineClient(Protocol):
-    """One model engine, reached by its published protocol; no method retries."""
+    """One model engine that is called through its published protocol; no method retries."""
 
     def generate(self, *, request: EngineRequest) -> TokenBatches:
-        """Start an attempt and follow it; the iterator ends after its first failure."""
+        """Start an attempt and stream its events; the iterator ends after the first failure."""
 
     def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
-        """Follow a running or finished attempt from the token at ``offset``."""
+        """Stream the events of a running or finished attempt from the token at ``offset``."""
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
-        """Stop an attempt; idempotent."""
+        """Cancel an attempt; idempotent."""
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
-        """Read the late load report."""
+        """Read the load report, which lags behind the actual load."""
 
     async def cache_events(self, *, after: int) -> Result[CacheEvents, UpstreamError]:
-        """Read the cache events with a sequence above ``after``."""
+        """Read the cache events with a sequence number above ``after``."""
 
     async def state(self) -> Result[EngineState, UpstreamError]:
-        """Read what the engine holds."""
+        """Read the state of the engine, such as the models that it holds."""
 
     async def order(self, *, order: EngineOrder) -> Result[EngineState, UpstreamError]:
-        """Give an order."""
+        """Send an order to the engine."""
--- a/src/tanagerscale/upstreams/_reports.py
+++ b/src/tanagerscale/upstreams/_reports.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself."""
+"""State reports of engines."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class RunState(Struct, frozen=True, kw_only=True):
-    """One run as its engine reports it.
+    """State of one run as reported by its engine.
 
-    :param request: The caller's id of it.
-    :param tokens: Tokens it holds in memory.
-    :param events: Events made so far.
+    :param request: Request id that the caller assigned to the run.
+    :param tokens: Number of tokens that it holds in memory.
+    :param events: Number of events produced so far.
     """
 
     request: RequestId
@@ -22,16 +22,16 @@
 
 
 class EngineReport(Struct, frozen=True, kw_only=True):
-    """What an engine said of itself, some hundred milliseconds late.
+    """State that an engine reported; the data is some hundred milliseconds old.
 
     :param upstream: The engine.
-    :param waiting: Requests in its queue.
-    :param running: Requests in its batch.
-    :param used_tokens: Memory that can't be freed.
-    :param total_tokens: All its memory.
-    :param leaves_in_ms: When it goes, if it knows.
-    :param is_leaving: Whether it takes no new work.
-    :param runs: What it runs.
+    :param waiting: Number of requests in its queue.
+    :param running: Number of requests in its batch.
+    :param used_tokens: Memory that cannot be freed, in tokens.
+    :param total_tokens: Total memory, in tokens.
+    :param leaves_in_ms: Time until it leaves, in milliseconds; ``None`` if unknown.
+    :param is_leaving: Whether it accepts no new requests because it is leaving.
+    :param runs: Runs in progress.
     """
 
     upstream: UpstreamId
--- a/testing/_crowded.py
+++ b/testing/_crowded.py
@@ -256,7 +256,7 @@
         clock = world.clock
         self.network = network = _Network(host=HostId(name), switch=world.switch)
         world.switch.networks[network.host] = network
-        gate = UpstreamGate(clock=clock, rng=random.Random(name), spread=lambda _message: None)
+        gate = UpstreamGate(clock=clock, rng=random.Random(name), broadcast=lambda _message: None)
         self.router = PoolRouter(
             network=network,
             gate=gate,
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -139,7 +139,7 @@
         service=service,
         address=f"{name}:1",
         failure_domain=FailureDomainId(domain),
-        places=24,
+        max_concurrency=24,
         state=UpstreamState.READY,
         cold_ms=0,
     )
--- a/testing/_listed_upstreams.py
+++ b/testing/_listed_upstreams.py
@@ -1,4 +1,4 @@
-"""Entries of upstreams in a store, in a few letters: state, start and how long it is cold."""
+"""Compact store entries of upstreams for tests: state, start time and warm-up time."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 SERVICE = ServiceId("s")
 
 
-def listed(name: str, value: str, *, revision: int) -> StoreEntry:
-    """Return an entry of the store.
+def make_store_entry(name: str, value: str, *, revision: int) -> StoreEntry:
+    """Build a store entry.
 
-    :param name: The upstream's name, which is also its key.
-    :param value: Its state, its start if it tells one, and how long it is cold, as in
+    :param name: Name of the upstream, which is also the key of the entry.
+    :param value: State, optional start time and optional warm-up time of the upstream, as in
         ``ready@1000 800``.
-    :param revision: When it was written.
+    :param revision: Store revision at which the entry was written.
     """
     at = StoreRevision(revision)
     return StoreEntry(key=name, value=value.encode(), create_revision=at, mod_revision=at)
 
 
-def decode_listed(key: str, value: bytes) -> Result[UpstreamEntry, str]:
-    """Read an entry; the value ``bad`` can't be read."""
+def decode_store_entry(key: str, value: bytes) -> Result[UpstreamEntry, str]:
+    """Decode a store entry; the value ``bad`` is unreadable."""
     if value == b"bad":
         return Failure("It can't be read; it is left out.")
-    told, _, cold_ms = value.decode().partition(" ")
-    state, _, started = told.partition("@")
+    status, _, cold_ms = value.decode().partition(" ")
+    state, _, started = status.partition("@")
     return Success(
         UpstreamEntry(
             upstream=UpstreamId(f"{key}{started}"),
@@ -44,7 +44,7 @@
             service=SERVICE,
             address=f"{key}:1",
             failure_domain=FailureDomainId("x"),
-            places=1,
+            max_concurrency=1,
             state=UpstreamState(state),
             cold_ms=int(cold_ms or 0),
         )
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -32,7 +32,7 @@
 from tanagerscale.generated.messages import MoveOrder
 from tanagerscale.generated.messages import PlaceAnswer
 from tanagerscale.generated.messages import PlaceAsk
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.routes import Configuration
 from tanagerscale.routes import Service
 from tanagerscale.store import LeaseId
@@ -106,7 +106,7 @@
         """Whom it asks."""
         return self.control.directory.decider
 
-    def count(self, received: Received) -> None:
+    def count(self, received: ReceivedMessage) -> None:
         """Count a message."""
         self.received += not isinstance(received.message, Heartbeat)
 
@@ -175,7 +175,7 @@
             service=SERVICE,
             address=f"{name}:1",
             failure_domain=FailureDomainId(domain),
-            places=24,
+            max_concurrency=24,
             state=UpstreamState(state),
             cold_ms=int(cold_ms),
         )
--- a/testing/_memory_links.py
+++ b/testing/_memory_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts inside one process, for virtual time."""
+"""In-memory links between hosts in one process, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from tanagerscale.membership import CloseReason
 from tanagerscale.membership import Link
 from tanagerscale.membership import LinkClosedError
-from tanagerscale.membership._link import Accept
+from tanagerscale.membership._link import LinkHandler
 
 LATENCY_S = 0.002
 
 
 @final
 class MemoryLink:
-    """One end of a link."""
+    """One end of an in-memory link."""
 
     def __init__(self, *, network: MemoryNetwork, owner: str, peer: str) -> None:
         self.other: MemoryLink = self
@@ -30,10 +30,10 @@
         self._closed: CloseReason | None = None
 
     async def send(self, frame: bytes) -> None:
-        """Deliver a frame a little later; on a frozen link it waits for the thaw."""
+        """Deliver a frame after the latency of the link; a frozen link holds it until the thaw."""
         if self._closed is not None:
             raise LinkClosedError(self._closed)
-        self._carry(frame)
+        self._deliver_later(frame)
 
     async def receive(self) -> bytes:
         """Wait for the next frame."""
@@ -46,12 +46,12 @@
         return item
 
     async def close(self, *, reason: CloseReason) -> None:
-        """End the link for both sides, unless it is frozen."""
+        """Close the link; the other end of a frozen link is notified after the thaw."""
         if self._closed is None:
             self._closed = reason
-            self._carry(reason)
+            self._deliver_later(reason)
 
-    def _carry(self, item: bytes | CloseReason) -> None:
+    def _deliver_later(self, item: bytes | CloseReason) -> None:
         if self._network.is_frozen(self.owner, self.peer):
             self._network.held.append((self, item))
             return
@@ -59,29 +59,29 @@
         loop.call_later(self._latency_s, self.other.put, item)
 
     def put(self, item: bytes | CloseReason) -> None:
-        """Take in what the other end sent."""
+        """Receive a frame or close reason from the other end."""
         self._incoming.put_nowait(item)
 
 
 @dataclass
 class MemoryNetwork:
-    """All addresses, and which pairs of them are frozen."""
+    """The listening addresses and the frozen pairs of them."""
 
     rng: Random = field(default_factory=lambda: Random(1))
-    """Chooses each link's latency, in either direction."""
-    accepting: dict[str, Accept] = field(default_factory=dict)
+    """Random number generator used to choose the latency of each link in each direction."""
+    accepting: dict[str, LinkHandler] = field(default_factory=dict)
     frozen: set[frozenset[str]] = field(default_factory=set)
     held: list[tuple[MemoryLink, bytes | CloseReason]] = field(default_factory=list)
     links: int = 0
-    """Links made so far."""
+    """Number of links created so far."""
     tasks: set[asyncio.Future[None]] = field(default_factory=set)
 
     def is_frozen(self, one: str, other: str) -> bool:
-        """Return whether frames between two addresses are held."""
+        """Return whether frames between two addresses are held back."""
         return frozenset((one, other)) in self.frozen
 
     def thaw(self) -> None:
-        """Let all frames that were held arrive at once."""
+        """Deliver all held frames at once and end the freeze."""
         self.frozen.clear()
         held, self.held = self.held, []
         for link, item in held:
@@ -90,33 +90,33 @@
 
 @final
 class MemoryTransport:
-    """One host's access to a network in memory."""
+    """Transport of one host on an in-memory network."""
 
-    def __init__(self, *, network: MemoryNetwork, address: str, told: str = "") -> None:
+    def __init__(self, *, network: MemoryNetwork, address: str, advertised: str = "") -> None:
         self._network = network
         self._address = address
-        self._told = told or address
+        self._advertised = advertised or address
 
-    async def listen(self, *, address: str, accept: Accept) -> str:
+    async def listen(self, *, address: str, accept: LinkHandler) -> str:
         """Accept links at this host's address."""
         self._network.accepting[self._address] = accept
-        return self._told
+        return self._advertised
 
     async def connect(self, *, address: str) -> Link:
-        """Make a link; a frozen one never comes about."""
+        """Open a link; fails if the pair of addresses is frozen."""
         await asyncio.sleep(LATENCY_S)
         accept = self._network.accepting.get(address)
         if accept is None or self._network.is_frozen(self._address, address):
             raise LinkClosedError(CloseReason.BROKEN)
-        near = MemoryLink(network=self._network, owner=self._address, peer=address)
-        far = MemoryLink(network=self._network, owner=address, peer=self._address)
-        near.other, far.other = far, near
+        local_end = MemoryLink(network=self._network, owner=self._address, peer=address)
+        remote_end = MemoryLink(network=self._network, owner=address, peer=self._address)
+        local_end.other, remote_end.other = remote_end, local_end
         self._network.links += 1
-        task = asyncio.ensure_future(accept(far))
+        task = asyncio.ensure_future(accept(remote_end))
         self._network.tasks.add(task)
         task.add_done_callback(self._network.tasks.discard)
-        return near
+        return local_end
 
     async def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting links."""
         self._network.accepting.pop(self._address, None)
--- a/testing/_routing_fakes.py
+++ b/testing/_routing_fakes.py
@@ -25,7 +25,7 @@
 from tanagerscale.generated.declarations import Objective
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.policy import AccountSpec
 from tanagerscale.policy import Decision
@@ -162,7 +162,7 @@
 
     def __init__(self, *, host: HostId, switch: Switch) -> None:
         self.host = host
-        self.messages: Subject[Received] = Subject()
+        self.messages: Subject[ReceivedMessage] = Subject()
         self.live: BehaviorSubject[tuple[PeerInfo, ...]] = BehaviorSubject(())
         self._switch = switch
 
@@ -247,7 +247,7 @@
         if source in self.frozen or target in self.frozen:
             self.waiting.append((source, target, message))
         elif target in self.networks:
-            self.networks[target].messages.on_next(Received(host=source, message=message))
+            self.networks[target].messages.on_next(ReceivedMessage(host=source, message=message))
 
 
 @dataclass
@@ -267,7 +267,7 @@
         schedulers.append(SlotScheduler())
         return schedulers[-1]
 
-    gate = UpstreamGate(clock=Clock(), rng=Random(7), spread=lambda _message: None)
+    gate = UpstreamGate(clock=Clock(), rng=Random(7), broadcast=lambda _message: None)
     router = PoolRouter(
         network=switch.join(name),
         gate=gate,
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -190,7 +190,7 @@
         assert len({host.decider for host in fleet.hosts}) == 1
         fleet.set_engine("new")
         await asyncio.sleep(0.2)
-        assert {host.control.roster.known for host in fleet.hosts} == {3}
+        assert {host.control.roster.known_count for host in fleet.hosts} == {3}
 
     _play(scene)
 
@@ -218,7 +218,7 @@
         fleet.set_engine("new")
         await asyncio.sleep(1.5)
         assert member.control.gate.is_leaving(UpstreamId("e0"))
-        assert member.control.roster.known == 3
+        assert member.control.roster.known_count == 3
 
     _play(scene)
 
@@ -231,7 +231,7 @@
         fleet.set_engine("new")
         fleet.write("op/config", "5")
         await asyncio.sleep(1)
-        assert cut.control.roster.known == 3
+        assert cut.control.roster.known_count == 3
         assert cut.control.roster.is_current
         assert {host.control.keeper.head_revision for host in fleet.hosts} == {5}
 
@@ -245,7 +245,7 @@
         await asyncio.sleep(1.5 + ALONE_MS / 1000)
         fleet.set_engine("new")
         await asyncio.sleep(0.5)
-        assert all(host.control.roster.known == 3 for host in fleet.members)
+        assert all(host.control.roster.known_count == 3 for host in fleet.members)
         assert all(host.control.roster.is_current for host in fleet.members)
 
     _play(scene)
@@ -275,7 +275,7 @@
         await asyncio.sleep(3.5 + ALONE_MS / 1000)
         fleet.set_engine("new")
         await asyncio.sleep(0.2)
-        assert host.control.roster.known == 3
+        assert host.control.roster.known_count == 3
 
     _play(scene)
 
@@ -303,7 +303,7 @@
         fleet.hosts.append(host)
         await asyncio.sleep(4)
         assert host.control.keeper.head_revision == 1
-        assert host.control.roster.known == 2
+        assert host.control.roster.known_count == 2
         assert host.decider == fleet.coordinators[0].name
 
     _play(scene)
--- a/testing/test_engine_client.py
+++ b/testing/test_engine_client.py
@@ -1,4 +1,4 @@
-"""The engines' client tells the kinds of failures apart, for they decide what callers are told."""
+"""The engine client distinguishes the kinds of failure, which determine the caller's error."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 Handler = Callable[[web.Request, web.StreamResponse], Awaitable[None]]
 
 
-async def _follow(
+async def _collect_events(
     client_of: ClientOf, session: aiohttp.ClientSession, handler: Handler, *, stall_s: float = 30
 ) -> tuple[list[TokenEvent], UpstreamErrorKind]:
-    async def serve(request: web.Request) -> web.StreamResponse:
+    async def handle(request: web.Request) -> web.StreamResponse:
         response = web.StreamResponse(headers={"X-Attempt-Id": request.match_info["attempt"]})
         await handler(request, response)
         return response
 
     app = web.Application()
-    app.router.add_get("/v1/completions/{attempt}/events", serve)
+    app.router.add_get("/v1/completions/{attempt}/events", handle)
     server = (await client_of(app)).server
     client = HttpEngineClient(
-        session=session, address=f"{server.host}:{server.port}", stall_s=stall_s
+        session=session, address=f"{server.host}:{server.port}", stall_timeout_s=stall_s
     )
     events: list[TokenEvent] = []
     async for batch in client.resume(attempt=ATTEMPT, offset=0):
@@ -44,22 +44,22 @@
                 events.extend(more)
             case Failure(error):
                 return events, error.kind
-    raise AssertionError("The stream ended without a word.")
+    raise AssertionError("The stream ended without a failure.")
 
 
-async def test_comments_and_markers_are_passed_over_when_they_stand_between_tokens(
+async def test_comments_and_markers_between_tokens_are_skipped(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
         await response.prepare(request)
         await response.write(TOKEN % 0 + b": keep open\n\n" + TOKEN % 1 + b"data: [DONE]\n\n")
 
-    events, kind = await _follow(client_of, session, handler)
+    events, kind = await _collect_events(client_of, session, handler)
     assert [event.offset for event in events] == [0, 1]
     assert kind is UpstreamErrorKind.BROKEN
 
 
-async def test_tokens_are_whole_when_their_bytes_come_in_any_pieces(
+async def test_tokens_are_decoded_when_their_bytes_arrive_one_by_one(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
@@ -67,11 +67,11 @@
         for byte in TOKEN % 0 + TOKEN % 1:
             await response.write(bytes([byte]))
 
-    events, _ = await _follow(client_of, session, handler)
+    events, _ = await _collect_events(client_of, session, handler)
     assert [event.offset for event in events] == [0, 1]
 
 
-async def test_reply_is_stalled_when_it_began_and_then_says_nothing(
+async def test_response_is_stalled_when_no_data_follows_its_start(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
@@ -79,54 +79,57 @@
         await response.write(TOKEN % 0)
         await asyncio.Event().wait()
 
-    events, kind = await _follow(client_of, session, handler, stall_s=0.2)
+    events, kind = await _collect_events(client_of, session, handler, stall_s=0.2)
     assert len(events) == 1
     assert kind is UpstreamErrorKind.STALLED
 
 
-async def test_engine_is_unresponsive_when_no_reply_begins(
+async def test_engine_is_unresponsive_when_no_response_begins(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(_request: web.Request, _response: web.StreamResponse) -> None:
         await asyncio.Event().wait()
 
-    assert await _follow(client_of, session, handler) == ([], UpstreamErrorKind.UNRESPONSIVE)
+    assert await _collect_events(client_of, session, handler) == (
+        [],
+        UpstreamErrorKind.UNRESPONSIVE,
+    )
 
 
 @pytest.mark.parametrize(
     "event", [b'data: {"attempt_id":1}\n\n', b'data: {"attempt_id"\n\n', b"data: {\xff}\n\n"]
 )
-async def test_reply_is_malformed_when_an_event_breaks_the_protocol(
+async def test_response_is_malformed_when_an_event_violates_the_protocol(
     client_of: ClientOf, session: aiohttp.ClientSession, event: bytes
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
         await response.prepare(request)
         await response.write(event)
 
-    assert await _follow(client_of, session, handler) == ([], UpstreamErrorKind.MALFORMED)
+    assert await _collect_events(client_of, session, handler) == ([], UpstreamErrorKind.MALFORMED)
 
 
-async def test_reply_is_malformed_when_it_belongs_to_another_attempt(
+async def test_response_is_malformed_when_it_belongs_to_another_attempt(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
         response.headers["X-Attempt-Id"] = "att-2"
         await response.prepare(request)
 
-    assert await _follow(client_of, session, handler) == ([], UpstreamErrorKind.MALFORMED)
+    assert await _collect_events(client_of, session, handler) == ([], UpstreamErrorKind.MALFORMED)
 
 
-async def test_refusal_without_a_reason_may_have_run(
+async def test_call_may_have_run_when_refusal_has_no_reason(
     client_of: ClientOf, session: aiohttp.ClientSession
 ) -> None:
     async def handler(request: web.Request, response: web.StreamResponse) -> None:
         response.set_status(503)
         await response.prepare(request)
 
-    assert await _follow(client_of, session, handler) == ([], UpstreamErrorKind.BROKEN)
+    assert await _collect_events(client_of, session, handler) == ([], UpstreamErrorKind.BROKEN)
 
 
-async def test_call_is_not_sent_when_nobody_listens(session: aiohttp.ClientSession) -> None:
+async def test_call_is_not_sent_when_connection_is_refused(session: aiohttp.ClientSession) -> None:
     client = HttpEngineClient(session=session, address="127.0.0.1:1")
     batches = [batch async for batch in client.resume(attempt=ATTEMPT, offset=0)]
     assert [batch.failure().kind for batch in batches] == [UpstreamErrorKind.NOT_SENT]
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -108,7 +108,7 @@
     declarations = _declarations()
     engine = FakeEngine(clock=clock)
     canceller = Canceller(client_of=lambda _engine: engine, clock=clock)
-    gate = UpstreamGate(clock=clock, rng=rng, spread=lambda _message: None)
+    gate = UpstreamGate(clock=clock, rng=rng, broadcast=lambda _message: None)
     keys = KeyChecker()
     keys.set_accounts(accounts=declarations.accounts)
     limits = HostLimits(clock=clock)
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -89,8 +89,8 @@
         evacuations.on_snapshot(_snapshot("op/evacuate/a", "op/evacuate/b"))
         evacuations.on_snapshot(_snapshot("op/evacuate/b"))
         assert evacuations.domains == {"b"}
-        assert evacuations.ended_ms(FailureDomainId("a")) is not None
-        assert evacuations.ended_ms(FailureDomainId("b")) is None
+        assert evacuations.ms_since_end(FailureDomainId("a")) is not None
+        assert evacuations.ms_since_end(FailureDomainId("b")) is None
 
     run_virtually(play())
 
--- a/testing/test_generation_waiting.py
+++ b/testing/test_generation_waiting.py
@@ -146,7 +146,7 @@
     router = OneFullEngineRouter()
     crash_watch = FakeCrashWatch()
     engines = {name: FakeEngine(clock=clock, faults=Faults()) for name in (FULL, FREE)}
-    gate = UpstreamGate(clock=clock, rng=random.Random(1), spread=lambda _message: None)
+    gate = UpstreamGate(clock=clock, rng=random.Random(1), broadcast=lambda _message: None)
     parts = DispatchParts(
         router=router,
         client_of=engines.__getitem__,
--- a/testing/test_many_hosts.py
+++ b/testing/test_many_hosts.py
@@ -62,7 +62,7 @@
         for number in range(5):
             fleet.set_engine(f"new-{number}")
             await asyncio.sleep(0.05)
-            assert {host.control.roster.known for host in fleet.hosts} == {3 + number}
+            assert {host.control.roster.known_count for host in fleet.hosts} == {3 + number}
         for host in fleet.hosts:
             assert host.control.duties.follows_store == host.is_coordinator
 
