--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -1,4 +1,4 @@
-"""Peers, host list and upstreams' openness, in virtual time."""
+"""Peer connections, host list and upstream availability, in virtual time."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from tanagerscale.generated.upstream import ListedKind
 from tanagerscale.generated.upstream import ListedState
 from tanagerscale.membership import NOT_PACKED
-from tanagerscale.membership import HeadSpread
+from tanagerscale.membership import HeadReplicator
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import PeerAddress
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import UpstreamGate
-from tanagerscale.membership import spread_leaving
+from tanagerscale.membership import subscribe_gate
 from testing._memory_links import MemoryNetwork
 from testing._memory_links import MemoryTransport
 
@@ -42,59 +42,59 @@
 
 
 @dataclass
-class Revisions:
-    """A follower of declarations, reduced to a number."""
+class FakeFollower:
+    """Declarations follower that holds only a revision number."""
 
     head_revision: Revision
     ready: bool = False
-    delta_only: bool = False
-    """Whether what it sends helps only hosts that are one revision behind."""
-    mute: bool = False
-    """Whether it answers no peer."""
-    refused: int = 0
-    unreadable: bool = False
-    """Whether nothing that peers offer can be taken in."""
+    sends_deltas_only: bool = False
+    """Whether its content is sufficient only for hosts that are one revision behind."""
+    ignores_requests: bool = False
+    """Whether it does not respond to requests from peers."""
+    rejected_offers: int = 0
+    rejects_offers: bool = False
+    """Whether it rejects all content from peers."""
 
     async def offer_from_peer(
         self, *, head: bytes, chunks: Mapping[str, str], packed_after: int = NOT_PACKED
     ) -> Result[Revision, str]:
-        """Take a higher revision; without chunks only the next one."""
+        """Apply a higher revision; without chunks only the next one."""
         offered = Revision(int(head))
-        if self.unreadable:
-            self.refused += 1
+        if self.rejects_offers:
+            self.rejected_offers += 1
             return Failure("a section of a newer schema")
         if not chunks and offered != self.head_revision + 1:
-            self.refused += 1
+            self.rejected_offers += 1
             return Failure("chunks are missing")
         self.head_revision = max(self.head_revision, offered)
         return Success(self.head_revision)
 
     def content_for_peer(self, *, have: Revision) -> HeadContent | None:
-        """Return this revision."""
-        if have >= self.head_revision or self.mute:
+        """Return the revision held here, unless the peer has it already."""
+        if have >= self.head_revision or self.ignores_requests:
             return None
-        chunks = {} if self.delta_only and have > 0 else {"digest": "all"}
+        chunks = {} if self.sends_deltas_only and have > 0 else {"digest": "all"}
         return HeadContent(head=str(self.head_revision), chunks=chunks)
 
     def peers_agree(self, *, revisions: Iterable[Revision]) -> None:
-        """Become ready on the peers' word."""
+        """Become ready when this host holds the highest revision that the peers report."""
         self.ready = self.ready or 0 < max(revisions, default=0) <= self.head_revision
 
 
 @dataclass
 class MeshHost:
-    """One host of the mesh with what it feeds."""
+    """One host of the mesh and the components that use it."""
 
     mesh: Mesh
     gate: UpstreamGate
-    revisions: Revisions
-    spread: HeadSpread
+    follower: FakeFollower
+    replicator: HeadReplicator
     entries: BehaviorSubject[tuple[ListedEntry, ...]]
 
 
 @dataclass
-class Hosts:
-    """Hosts on one network in memory."""
+class MemoryCluster:
+    """Hosts on one in-memory network."""
 
     network: MemoryNetwork = field(default_factory=MemoryNetwork)
     addresses: dict[str, str] = field(default_factory=dict)
@@ -105,11 +105,11 @@
         *,
         incarnation: int = 1,
         address: str = "",
-        told: str = "",
+        advertised: str = "",
         revision: int = 0,
     ) -> MeshHost:
-        """Start a host that knows no address yet."""
-        revisions = Revisions(head_revision=Revision(revision))
+        """Start a host that knows no peer address yet."""
+        follower = FakeFollower(head_revision=Revision(revision))
         mesh = Mesh(
             host=HostId(name),
             failure_domain=FailureDomainId("z1"),
@@ -118,22 +118,26 @@
             clock=Clock(),
             rng=Random(name),
             heartbeat_source=lambda: Heartbeat(
-                revision=revisions.head_revision, usage={"crew": AccountUse(d=1.5, r=2)}
+                revision=follower.head_revision, usage={"crew": AccountUse(d=1.5, r=2)}
+            ),
+            transport=MemoryTransport(
+                network=self.network, address=address or name, advertised=advertised
             ),
-            transport=MemoryTransport(network=self.network, address=address or name, told=told),
         )
         gate = UpstreamGate(
-            clock=Clock(), rng=Random(1), spread=lambda message: mesh.broadcast(message=message)
+            clock=Clock(), rng=Random(1), broadcast=lambda message: mesh.broadcast(message=message)
         )
         entries: BehaviorSubject[tuple[ListedEntry, ...]] = BehaviorSubject(())
-        spread_leaving(gate=gate, mesh=mesh, entries=entries)
-        spread = HeadSpread(network=mesh, follower=revisions, clock=Clock())
+        subscribe_gate(gate=gate, mesh=mesh, entries=entries)
+        replicator = HeadReplicator(network=mesh, follower=follower, clock=Clock())
         self.addresses[name] = await mesh.start()
-        spread.start()
-        return MeshHost(mesh=mesh, gate=gate, revisions=revisions, spread=spread, entries=entries)
+        replicator.start()
+        return MeshHost(
+            mesh=mesh, gate=gate, follower=follower, replicator=replicator, entries=entries
+        )
 
     def connect(self, *hosts: MeshHost) -> None:
-        """Tell hosts all addresses."""
+        """Set the addresses of all hosts as peers of the given hosts."""
         peers = [
             PeerAddress(address=address, host=HostId(name))
             for name, address in self.addresses.items()
@@ -142,16 +146,16 @@
             host.mesh.set_peers(peers)
 
     def freeze(self, name: str) -> None:
-        """Hold all frames from and to a host, without ending its connections."""
+        """Hold back all frames from and to a host without closing its connections."""
         mine = self.addresses[name]
         self.network.frozen |= {frozenset((mine, other)) for other in self.addresses.values()}
 
 
-def _peers(host: MeshHost) -> list[str]:
+def _get_peers(host: MeshHost) -> list[str]:
     return [peer.host for peer in host.mesh.live.value]
 
 
-def _entry(state: ListedState, *, incarnation: int = 1) -> ListedEntry:
+def _build_entry(state: ListedState, *, incarnation: int = 1) -> ListedEntry:
     return ListedEntry(
         id=ENGINE,
         kind=ListedKind.UPSTREAM,
@@ -161,134 +165,138 @@
     )
 
 
-async def _three(revision: int = 0) -> tuple[Hosts, MeshHost, MeshHost, MeshHost]:
-    hosts = Hosts()
-    a, b, c = [await hosts.start(name, revision=revision) for name in "abc"]
-    hosts.connect(a, b, c)
+async def _start_three_hosts(
+    revision: int = 0,
+) -> tuple[MemoryCluster, MeshHost, MeshHost, MeshHost]:
+    cluster = MemoryCluster()
+    a, b, c = [await cluster.start(name, revision=revision) for name in "abc"]
+    cluster.connect(a, b, c)
     await asyncio.sleep(4)
-    assert (_peers(a), _peers(b), _peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
-    return hosts, a, b, c
+    assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
+    return cluster, a, b, c
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_two_hosts_keep_one_connection_when_both_connect_at_once(seed: int) -> None:
-    hosts = Hosts(network=MemoryNetwork(rng=Random(seed)))
-    a, b = await hosts.start("a"), await hosts.start("b")
+async def test_one_connection_is_kept_when_two_hosts_connect_simultaneously(seed: int) -> None:
+    cluster = MemoryCluster(network=MemoryNetwork(rng=Random(seed)))
+    a, b = await cluster.start("a"), await cluster.start("b")
     a.mesh.set_peers([PeerAddress(address="b")])
     b.mesh.set_peers([PeerAddress(address="a")])
     await asyncio.sleep(0.1)
-    assert (_peers(a), _peers(b)) == (["b"], ["a"])
+    assert (_get_peers(a), _get_peers(b)) == (["b"], ["a"])
     await asyncio.sleep(10)
-    assert (_peers(a), _peers(b)) == (["b"], ["a"])
-    assert hosts.network.links <= 2
+    assert (_get_peers(a), _get_peers(b)) == (["b"], ["a"])
+    assert cluster.network.links <= 2
 
 
-async def test_peer_is_not_called_again_when_it_tells_another_address_than_its_seed() -> None:
-    hosts = Hosts()
-    a, b = await hosts.start("a", told="0.0.0.0:1"), await hosts.start("b")
+async def test_peer_is_not_redialed_when_it_reports_another_address_than_its_seed() -> None:
+    cluster = MemoryCluster()
+    a, b = await cluster.start("a", advertised="0.0.0.0:1"), await cluster.start("b")
     a.mesh.set_peers([PeerAddress(address="b")])
     b.mesh.set_peers([PeerAddress(address="a")])
     await asyncio.sleep(30)
-    assert (_peers(a), _peers(b)) == (["b"], ["a"])
-    assert hosts.network.links <= 2
+    assert (_get_peers(a), _get_peers(b)) == (["b"], ["a"])
+    assert cluster.network.links <= 2
 
 
-async def test_frozen_peer_is_taken_as_failed_and_comes_back_when_thawed() -> None:
-    hosts, a, b, c = await _three()
-    hosts.freeze("c")
+async def test_frozen_peer_counts_as_failed_and_reconnects_after_thaw() -> None:
+    cluster, a, b, c = await _start_three_hosts()
+    cluster.freeze("c")
     await asyncio.sleep(4)
-    assert (_peers(a), _peers(b), _peers(c)) == (["b"], ["a"], [])
-    hosts.network.thaw()
+    assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b"], ["a"], [])
+    cluster.network.thaw()
     await asyncio.sleep(10)
-    assert (_peers(a), _peers(b), _peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
+    assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
 
 
-async def test_new_incarnation_replaces_the_old_which_stays_refused() -> None:
-    hosts, a, old, _ = await _three()
-    new = await hosts.start("b", incarnation=2, address="b2")
-    hosts.connect(a, new)
+async def test_new_incarnation_replaces_old_one_which_is_rejected() -> None:
+    cluster, a, old, _ = await _start_three_hosts()
+    new = await cluster.start("b", incarnation=2, address="b2")
+    cluster.connect(a, new)
     await asyncio.sleep(10)
     peer = next(peer for peer in a.mesh.live.value if peer.host == "b")
     assert (peer.incarnation, peer.address) == (2, "b2")
-    assert "a" not in _peers(old)
+    assert "a" not in _get_peers(old)
 
 
-async def test_connection_stays_when_the_list_forgets_a_host_or_names_another_there() -> None:
-    hosts, a, b, c = await _three()
-    links = hosts.network.links
+async def test_connection_is_kept_when_host_list_omits_or_renames_the_host() -> None:
+    cluster, a, b, c = await _start_three_hosts()
+    links = cluster.network.links
     a.mesh.set_peers([PeerAddress(address="b", host=HostId("former"))])
     c.mesh.set_peers([])
     await asyncio.sleep(10)
-    assert (_peers(a), _peers(b), _peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
-    assert hosts.network.links == links
+    assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
+    assert cluster.network.links == links
 
 
-async def test_usage_of_accounts_is_heard_when_a_peer_beats() -> None:
-    _, a, _, _ = await _three()
-    heard: list[Received] = []
-    a.mesh.messages.subscribe(heard.append)
+async def test_account_usage_is_received_with_heartbeats() -> None:
+    _, a, _, _ = await _start_three_hosts()
+    received: list[ReceivedMessage] = []
+    a.mesh.messages.subscribe(received.append)
     await asyncio.sleep(2.5)
-    told = {
+    reported = {
         (each.host, use.d, use.r)
-        for each in heard
+        for each in received
         if isinstance(each.message, Heartbeat)
         for use in each.message.usage.values()
     }
-    assert told == {("b", 1.5, 2), ("c", 1.5, 2)}
+    assert reported == {("b", 1.5, 2), ("c", 1.5, 2)}
 
 
-async def test_refusal_at_one_host_closes_an_upstream_everywhere_though_the_list_lags() -> None:
-    _, a, b, c = await _three()
+async def test_refusal_at_one_host_closes_upstream_on_all_hosts_when_host_list_lags() -> None:
+    _, a, b, c = await _start_three_hosts()
     for host in (a, b, c):
-        host.entries.on_next((_entry(ListedState.LIVE),))
+        host.entries.on_next((_build_entry(ListedState.LIVE),))
     a.gate.note_leaving(upstream=ENGINE)
     await asyncio.sleep(0.1)
     assert not any(host.gate.is_open(ENGINE) for host in (a, b, c))
     for host in (a, b, c):
-        host.entries.on_next((_entry(ListedState.LIVE),))
+        host.entries.on_next((_build_entry(ListedState.LIVE),))
     assert not any(host.gate.is_open(ENGINE) for host in (a, b, c))
-    a.entries.on_next((_entry(ListedState.LIVE, incarnation=2),))
+    a.entries.on_next((_build_entry(ListedState.LIVE, incarnation=2),))
     assert a.gate.is_open(ENGINE)
 
 
-async def test_upstream_without_incarnations_opens_long_after_the_last_word_of_leaving() -> None:
-    gate = UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None)
+async def test_upstream_without_incarnation_reopens_after_leaving_notice_expires() -> None:
+    gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     live, leaving = (
-        _entry(state, incarnation=0) for state in (ListedState.LIVE, ListedState.LEAVING)
+        _build_entry(state, incarnation=0) for state in (ListedState.LIVE, ListedState.LEAVING)
     )
-    gate.on_list([leaving])
+    gate.on_host_list([leaving])
     await asyncio.sleep(3600)
     assert not gate.is_open(ENGINE)
     gate.note_leaving(upstream=ENGINE)
-    gate.on_list([live])
+    gate.on_host_list([live])
     await asyncio.sleep(300)
     assert not gate.is_open(ENGINE)
     await asyncio.sleep(301)
     assert gate.is_open(ENGINE)
 
 
-async def test_host_cut_from_its_peers_learns_of_a_leaving_upstream_from_the_list() -> None:
-    hosts, a, b, c = await _three()
-    hosts.freeze("c")
+async def test_host_list_closes_leaving_upstream_on_host_that_is_disconnected_from_peers() -> None:
+    cluster, a, b, c = await _start_three_hosts()
+    cluster.freeze("c")
     a.gate.note_leaving(upstream=ENGINE)
     await asyncio.sleep(1)
     assert not b.gate.is_open(ENGINE)
     assert c.gate.is_open(ENGINE)
-    c.entries.on_next((_entry(ListedState.LEAVING),))
+    c.entries.on_next((_build_entry(ListedState.LEAVING),))
     assert not c.gate.is_open(ENGINE)
 
 
-async def test_host_that_connects_later_is_told_of_leaving_upstreams() -> None:
-    hosts, a, _, _ = await _three()
+async def test_newly_connected_host_receives_leaving_notices() -> None:
+    cluster, a, _, _ = await _start_three_hosts()
     a.gate.note_leaving(upstream=ENGINE)
-    late = await hosts.start("d")
-    hosts.connect(late)
+    late = await cluster.start("d")
+    cluster.connect(late)
     await asyncio.sleep(3)
     assert not late.gate.is_open(ENGINE)
 
 
-async def test_unreachable_upstream_rests_longer_after_each_failure_and_opens_when_up() -> None:
-    gate = UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None)
+async def test_backoff_of_unreachable_upstream_grows_with_failures_and_ends_with_a_response() -> (
+    None
+):
+    gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     changes: list[UpstreamId] = []
     gate.changes.subscribe(changes.append)
     gate.note_down(upstream=ENGINE)
@@ -303,65 +311,65 @@
     assert gate.is_open(ENGINE)
 
 
-async def test_revision_spreads_from_peer_to_peer_without_the_store() -> None:
-    _, a, b, c = await _three(revision=4)
-    a.revisions.head_revision = Revision(5)
-    a.spread.announce(revision=Revision(5), digest="x")
+async def test_revision_is_replicated_between_peers_without_the_store() -> None:
+    _, a, b, c = await _start_three_hosts(revision=4)
+    a.follower.head_revision = Revision(5)
+    a.replicator.announce(revision=Revision(5), digest="x")
     await asyncio.sleep(0.1)
-    assert [each.revisions.head_revision for each in (b, c)] == [5, 5]
+    assert [each.follower.head_revision for each in (b, c)] == [5, 5]
 
 
-async def test_host_asks_for_all_seldom_when_it_can_not_read_what_it_gets() -> None:
-    _, a, b, _ = await _three(revision=4)
-    b.revisions.unreadable = True
-    a.revisions.head_revision = Revision(5)
-    a.spread.announce(revision=Revision(5), digest="x")
+async def test_full_requests_are_rate_limited_when_received_content_is_unreadable() -> None:
+    _, a, b, _ = await _start_three_hosts(revision=4)
+    b.follower.rejects_offers = True
+    a.follower.head_revision = Revision(5)
+    a.replicator.announce(revision=Revision(5), digest="x")
     await asyncio.sleep(10)
-    # One request each half second at most, and few of them for the whole set.
-    assert 2 <= b.revisions.refused <= 25
+    # At most one request per half second, and only a few of them for the full content.
+    assert 2 <= b.follower.rejected_offers <= 25
 
 
-async def test_host_asks_for_all_when_the_difference_does_not_suffice() -> None:
-    _, a, b, _ = await _three(revision=4)
-    a.revisions.delta_only = True
-    a.revisions.head_revision = Revision(9)
-    a.spread.announce(revision=Revision(9), digest="x")
+async def test_full_content_is_requested_when_the_delta_is_insufficient() -> None:
+    _, a, b, _ = await _start_three_hosts(revision=4)
+    a.follower.sends_deltas_only = True
+    a.follower.head_revision = Revision(9)
+    a.replicator.announce(revision=Revision(9), digest="x")
     await asyncio.sleep(0.2)
-    assert b.revisions.refused == 1
-    assert b.revisions.head_revision == 9
+    assert b.follower.rejected_offers == 1
+    assert b.follower.head_revision == 9
 
 
-async def test_host_asks_another_peer_when_the_first_does_not_answer() -> None:
-    _, a, b, c = await _three(revision=4)
-    a.revisions.mute = True
-    a.revisions.head_revision = Revision(5)
-    a.spread.announce(revision=Revision(5), digest="x")
+async def test_request_goes_to_another_peer_when_the_first_does_not_respond() -> None:
+    _, a, b, c = await _start_three_hosts(revision=4)
+    a.follower.ignores_requests = True
+    a.follower.head_revision = Revision(5)
+    a.replicator.announce(revision=Revision(5), digest="x")
     await asyncio.sleep(0.1)
-    b.revisions.head_revision = Revision(5)
+    b.follower.head_revision = Revision(5)
     await asyncio.sleep(2)
-    assert c.revisions.head_revision == 5
+    assert c.follower.head_revision == 5
 
 
-async def test_starting_host_is_ready_only_with_the_word_of_every_reachable_peer() -> None:
-    hosts, a, b, _ = await _three(revision=4)
-    a.revisions.head_revision = Revision(5)
-    b.revisions.head_revision = Revision(5)
-    late = await hosts.start("d")
+async def test_starting_host_is_ready_only_after_every_reachable_peer_reported() -> None:
+    cluster, a, b, _ = await _start_three_hosts(revision=4)
+    a.follower.head_revision = Revision(5)
+    b.follower.head_revision = Revision(5)
+    late = await cluster.start("d")
     late.mesh.set_peers([PeerAddress(address="c")])
     await asyncio.sleep(0.1)
-    before = late.revisions.ready
+    before = late.follower.ready
     await asyncio.sleep(5)
-    with_one_peer = late.revisions.ready
-    hosts.connect(late)
-    late.spread.hosts_are_known()
+    with_one_peer = late.follower.ready
+    cluster.connect(late)
+    late.replicator.note_hosts_known()
     await asyncio.sleep(5)
-    assert (before, with_one_peer, late.revisions.ready) == (False, False, True)
-    assert late.revisions.head_revision == 5
+    assert (before, with_one_peer, late.follower.ready) == (False, False, True)
+    assert late.follower.head_revision == 5
 
 
-async def test_host_without_any_peer_is_not_ready_on_its_own_word() -> None:
-    hosts = Hosts()
-    alone = await hosts.start("a", revision=3)
-    alone.spread.hosts_are_known()
+async def test_host_without_peers_is_not_ready() -> None:
+    cluster = MemoryCluster()
+    alone = await cluster.start("a", revision=3)
+    alone.replicator.note_hosts_known()
     await asyncio.sleep(5)
-    assert not alone.revisions.ready
+    assert not alone.follower.ready
--- a/testing/test_mesh.py
+++ b/testing/test_mesh.py
@@ -1,4 +1,4 @@
-"""Connections between hosts over real loopback WebSockets: who is let in, and what with."""
+"""Connections between hosts over loopback WebSockets: handshake, frames and certificates."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerAddress
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import decode_frame
 from tanagerscale.membership import encode_frame
 from tanagerscale.membership import peer_ssl_contexts
-from tanagerscale.membership._websocket import SILENCE_S
+from tanagerscale.membership._websocket import DEAD_PEER_TIMEOUT_S
 from tanagerscale.membership._websocket import WebSocketLink
 from tanagerscale.membership._wire import MAX_FRAME_BYTES
 from testing._random_cases import cases
 
-HANG_GUARD_S = 30
+TEST_TIMEOUT_S = 30
 
 Contexts: TypeAlias = tuple[ssl.SSLContext, ssl.SSLContext] | None
 MakeMesh: TypeAlias = Callable[[str, Contexts], Awaitable[tuple[Mesh, str]]]
@@ -59,7 +59,7 @@
 
 @pytest_asyncio.fixture
 async def make_mesh() -> AsyncIterator[MakeMesh]:
-    """Start meshes that are stopped with the test."""
+    """Factory of started meshes that are stopped after the test."""
     started = []
 
     async def make(name: str, contexts: Contexts = None) -> tuple[Mesh, str]:
@@ -82,13 +82,13 @@
         await mesh.stop()
 
 
-async def _until(condition: Callable[[], object]) -> None:
-    async with asyncio.timeout(HANG_GUARD_S):
+async def _wait_until(condition: Callable[[], object]) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-async def _introduce(address: str, *, hello: Hello | None = None) -> ClientConnection:
+async def _connect_and_greet(address: str, *, hello: Hello | None = None) -> ClientConnection:
     connection = await connect(f"ws://{address}", proxy=None)
     await connection.send(encode_frame(hello or Hello(version=1, host="raw", incarnation=1)))
     answer = decode_frame(bytes(await connection.recv(decode=False))).unwrap()
@@ -101,8 +101,8 @@
         await connection.recv()
 
 
-async def _close_code(connection: ClientConnection) -> int:
-    async with asyncio.timeout(HANG_GUARD_S):
+async def _get_close_code(connection: ClientConnection) -> int:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         with pytest.raises(ConnectionClosed) as raised:
             await _receive_forever(connection)
     frame = raised.value.rcvd
@@ -111,13 +111,13 @@
     return frame.code
 
 
-async def test_peer_receives_messages_in_order_when_connected(make_mesh: MakeMesh) -> None:
+async def test_connected_peer_receives_messages_in_order(make_mesh: MakeMesh) -> None:
     a, a_address = await make_mesh("a", None)
     b, b_address = await make_mesh("b", None)
-    received: list[Received] = []
+    received: list[ReceivedMessage] = []
     b.messages.subscribe(received.append)
     a.set_peers([PeerAddress(address=b_address), PeerAddress(address=a_address)])
-    await _until(lambda: a.live.value and b.live.value)
+    await _wait_until(lambda: a.live.value and b.live.value)
     for revision in range(50):
         message = HeadAnnouncement(revision=revision, digest="x")
         assert a.send(host=HostId("b"), message=message)
@@ -129,16 +129,16 @@
         ]
         return len(announced) == 50
 
-    await _until(collect)
+    await _wait_until(collect)
     assert announced == list(range(50))
     assert not a.send(host=HostId("nobody"), message=HeadAnnouncement(revision=1, digest="x"))
 
 
-async def test_kernel_is_told_to_find_dark_peers_at_either_end(make_mesh: MakeMesh) -> None:
+async def test_dead_peer_detection_is_configured_on_both_ends(make_mesh: MakeMesh) -> None:
     a, _ = await make_mesh("a", None)
     b, b_address = await make_mesh("b", None)
     a.set_peers([PeerAddress(address=b_address)])
-    await _until(lambda: a.live.value and b.live.value)
+    await _wait_until(lambda: a.live.value and b.live.value)
     for mesh in (a, b):
         (session,) = mesh._sessions.values()
         link = session._link
@@ -148,30 +148,32 @@
         idle_s = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
         interval_s = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
         probes = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
-        assert idle_s + interval_s * probes <= SILENCE_S
-        # Bytes under way keep the probes back, so these have a limit of their own.
-        unread_ms = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-        assert 0 < unread_ms <= SILENCE_S * 1000
+        assert idle_s + interval_s * probes <= DEAD_PEER_TIMEOUT_S
+        # Unacknowledged data suppresses keep-alive probes, so it has its own timeout.
+        user_timeout_ms = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+        assert 0 < user_timeout_ms <= DEAD_PEER_TIMEOUT_S * 1000
 
 
-async def test_peer_of_another_version_is_answered_and_others_stay(make_mesh: MakeMesh) -> None:
+async def test_peer_with_unsupported_version_is_rejected_and_others_stay_connected(
+    make_mesh: MakeMesh,
+) -> None:
     a, address = await make_mesh("a", None)
-    friend = await _introduce(address)
+    good_peer = await _connect_and_greet(address)
     hello = Hello(version=99, oldest_version=98, host="future", incarnation=1)
-    stranger = await _introduce(address, hello=hello)
-    assert await _close_code(stranger) == CloseReason.VERSION
+    rejected_peer = await _connect_and_greet(address, hello=hello)
+    assert await _get_close_code(rejected_peer) == CloseReason.VERSION
     assert a.counters.refused_versions == 1
     assert [peer.host for peer in a.live.value] == ["raw"]
-    await friend.close()
+    await good_peer.close()
 
 
-async def test_newer_peer_that_still_speaks_our_version_is_let_in(make_mesh: MakeMesh) -> None:
+async def test_newer_peer_is_accepted_when_it_supports_our_version(make_mesh: MakeMesh) -> None:
     a, address = await make_mesh("a", None)
-    newer = await _introduce(
+    newer = await _connect_and_greet(
         address, hello=Hello(version=99, oldest_version=1, host="newer", incarnation=1)
     )
     await newer.send(cbor2.dumps(["MessageOfTheFuture", {"field": 1}]))
-    await _until(lambda: a.counters.unknown_tags == 1)
+    await _wait_until(lambda: a.counters.unknown_tags == 1)
     assert [peer.host for peer in a.live.value] == ["newer"]
     await newer.close()
 
@@ -186,26 +188,26 @@
         (b"x" * (MAX_FRAME_BYTES + 1), CloseReason.TOO_LARGE),
     ],
 )
-async def test_connection_ends_with_a_reason_when_a_frame_is_bad(
+async def test_connection_closes_with_reason_when_frame_is_invalid(
     make_mesh: MakeMesh, frame: bytes, reason: CloseReason
 ) -> None:
     a, address = await make_mesh("a", None)
-    friend = await _introduce(address)
+    good_peer = await _connect_and_greet(address)
     hello = Hello(version=1, host="hostile", incarnation=1)
-    hostile = await _introduce(address, hello=hello)
-    await hostile.send(frame)
-    # A frame above the limit is cut off by the WebSocket library, in words of its own.
+    bad_peer = await _connect_and_greet(address, hello=hello)
+    await bad_peer.send(frame)
+    # The WebSocket library rejects a frame above the limit with its own close reason.
     if reason is not CloseReason.TOO_LARGE:
-        assert await _close_code(hostile) == reason
-    await _until(lambda: [peer.host for peer in a.live.value] == ["raw"])
-    await friend.close()
+        assert await _get_close_code(bad_peer) == reason
+    await _wait_until(lambda: [peer.host for peer in a.live.value] == ["raw"])
+    await good_peer.close()
 
 
-async def test_first_frame_must_be_an_introduction(make_mesh: MakeMesh) -> None:
+async def test_connection_closes_when_first_frame_is_not_a_hello(make_mesh: MakeMesh) -> None:
     a, address = await make_mesh("a", None)
     connection = await connect(f"ws://{address}", proxy=None)
     await connection.send(encode_frame(HeadAnnouncement(revision=9, digest="x")))
-    assert await _close_code(connection) == CloseReason.MALFORMED
+    assert await _get_close_code(connection) == CloseReason.MALFORMED
     assert a.live.value == ()
 
 
@@ -214,7 +216,7 @@
 
 @given(st.binary(max_size=200))
 @cases(examples=300)
-def test_any_bytes_give_a_message_or_a_typed_error(data: bytes) -> None:
+def test_decoding_arbitrary_bytes_returns_message_or_frame_error(data: bytes) -> None:
     result = decode_frame(data)
     if isinstance(result, Failure):
         assert result.failure().detail.endswith(".")
@@ -222,51 +224,53 @@
 
 @given(st.data())
 @cases(examples=300)
-def test_damaged_frames_give_a_message_or_a_typed_error(data: st.DataObject) -> None:
+def test_decoding_corrupted_frames_returns_message_or_frame_error(data: st.DataObject) -> None:
     messages: list[Message] = [ASK, Progress(cell="c", serials=[1, 2], tokens=[3, 4])]
     message = data.draw(st.sampled_from(messages))
     frame = bytearray(encode_frame(message))
     for _ in range(data.draw(st.integers(1, 3))):
-        place = data.draw(st.integers(0, len(frame) - 1))
-        frame[place] = data.draw(st.integers(0, 255))
+        position = data.draw(st.integers(0, len(frame) - 1))
+        frame[position] = data.draw(st.integers(0, 255))
     result = decode_frame(bytes(frame))
     if not isinstance(result, Failure):
         assert msgspec.to_builtins(result.unwrap()) is not None
 
 
-async def test_nobody_is_let_in_without_a_certificate_of_the_installation(
+async def test_connection_is_rejected_without_certificate_of_the_installation(
     make_mesh: MakeMesh, tmp_path: Path
 ) -> None:
-    ours = Authority(directory=tmp_path, name="ours")
-    foreign = Authority(directory=tmp_path, name="foreign")
-    a, address = await make_mesh("a", peer_ssl_contexts(tls=ours.issue("a")))
-    b, _ = await make_mesh("b", peer_ssl_contexts(tls=ours.issue("b")))
-    mallory, _ = await make_mesh("mallory", peer_ssl_contexts(tls=foreign.issue("mallory")))
-    without = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    without.check_hostname = False
-    without.verify_mode = ssl.CERT_NONE
-    for client in (without, None):
+    own_authority = CertificateAuthority(directory=tmp_path, name="ours")
+    foreign_authority = CertificateAuthority(directory=tmp_path, name="foreign")
+    a, address = await make_mesh("a", peer_ssl_contexts(tls=own_authority.issue("a")))
+    b, _ = await make_mesh("b", peer_ssl_contexts(tls=own_authority.issue("b")))
+    intruder, _ = await make_mesh(
+        "mallory", peer_ssl_contexts(tls=foreign_authority.issue("mallory"))
+    )
+    unverified_context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+    unverified_context.check_hostname = False
+    unverified_context.verify_mode = ssl.CERT_NONE
+    for client in (unverified_context, None):
         with pytest.raises((WebSocketException, OSError, EOFError)):
-            await _call(address, client)
-    mallory.set_peers([PeerAddress(address=address)])
+            await _connect_and_exchange(address, client)
+    intruder.set_peers([PeerAddress(address=address)])
     b.set_peers([PeerAddress(address=address)])
-    await _until(lambda: a.live.value and mallory.all_tried)
+    await _wait_until(lambda: a.live.value and intruder.has_tried_all)
     assert [peer.host for peer in a.live.value] == ["b"]
-    assert mallory.live.value == ()
+    assert intruder.live.value == ()
 
 
-async def _call(address: str, client: ssl.SSLContext | None) -> None:
+async def _connect_and_exchange(address: str, client: ssl.SSLContext | None) -> None:
     scheme = "ws" if client is None else "wss"
     async with connect(f"{scheme}://{address}", ssl=client, proxy=None) as connection:
         await connection.send(encode_frame(Hello(version=1, host="x", incarnation=1)))
         await connection.recv()
 
 
-class Authority:
+class CertificateAuthority:
     """Issues certificates for tests.
 
-    :param directory: Where files go.
-    :param name: Its name.
+    :param directory: Directory for the certificate and key files.
+    :param name: Common name of the authority.
     """
 
     def __init__(self, *, directory: Path, name: str) -> None:
@@ -278,7 +282,7 @@
         self._path.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
 
     def issue(self, host: str) -> TlsSection:
-        """Return the settings of a host that has a certificate."""
+        """Issue a certificate for a host and return the TLS settings that use it."""
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = self._certificate(subject=host, key=key, is_authority=False)
         certificate_path = self._directory / f"{host}.pem"
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -124,7 +124,7 @@
 def test_entry_is_decoded_into_an_upstream() -> None:
     found = _decoded(_entry(later="field")).unwrap()
     assert (found.upstream, found.name, found.started_ms) == ("i-1", "i-1", 0)
-    assert (found.service, found.places, found.state) == ("s", 24, UpstreamState.READY)
+    assert (found.service, found.max_concurrency, found.state) == ("s", 24, UpstreamState.READY)
 
 
 def test_each_start_of_an_upstream_has_an_id_of_its_own() -> None:
@@ -188,7 +188,7 @@
     if isinstance(result, Failure):
         return
     found = result.unwrap()
-    assert found.places >= 1
+    assert found.max_concurrency >= 1
     assert found.cold_ms >= 0
     assert found.started_ms >= 1
     assert address_problem(address=found.address) == ""
--- a/testing/test_routing_poller.py
+++ b/testing/test_routing_poller.py
@@ -92,7 +92,7 @@
 def _start() -> Polled:
     """Read one engine; replace the last of ``engines`` to give it another address."""
     engines, decided = [ReadEngine()], Decided()
-    gate = UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None)
+    gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     pollers = EnginePollers(
         clients=lambda _engine: cast(EngineClient, engines[-1]),
         clock=Clock(),
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -29,7 +29,7 @@
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.services import ServiceParts
 from tanagerscale.upstreams import ServiceCall
-from tanagerscale.upstreams import ServiceReply
+from tanagerscale.upstreams import ServiceResponse
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 from testing._fake_store import FakeBackend
@@ -66,7 +66,7 @@
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Carry out one call."""
         self.sent_to.append(address)
         point = self.points.pop(0) if self.points else Point.NONE
@@ -84,7 +84,9 @@
             return _failed(UpstreamErrorKind.BROKEN)
         if point is Point.LATE:
             return _failed(UpstreamErrorKind.STALLED)
-        return Success(ServiceReply(status=201, content_type="text/plain", headers=(), body=b"ok"))
+        return Success(
+            ServiceResponse(status=201, content_type="text/plain", headers=(), body=b"ok")
+        )
 
 
 @dataclass(kw_only=True)
@@ -136,8 +138,8 @@
 
 def _run(
     points: Sequence[Point], *, path: str = "/bookings", key: str = "", times: int = 1
-) -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
-    async def run() -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
+) -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
+    async def run() -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
         service = FakeService(points=list(points))
         dispatch = service_dispatch(service, FaultyStore(backend=FakeBackend()))
         results = [
--- a/testing/test_warmup.py
+++ b/testing/test_warmup.py
@@ -36,11 +36,11 @@
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_table
 from testing._gateway_fakes import route_request
-from testing._listed_upstreams import listed
+from testing._listed_upstreams import make_store_entry
 from testing._many_hosts import CONFIGURATION_KEY
 from testing._many_hosts import Fleet
 from testing._virtual_time import run_virtually
-from testing.test_roster import World
+from testing.test_roster import RosterHarness
 
 COLD_MS = 1000
 PER_S = 10.0
@@ -144,12 +144,12 @@
 
 def test_entry_that_tells_of_another_cold_time_counts_from_when_it_was_written() -> None:
     async def play() -> list[int]:
-        world = World()
+        world = RosterHarness()
         world.write("a")
         await asyncio.sleep(100)
         seen = [world.roster.cold_ms(UpstreamId("a"))]
         world.revision += 1
-        entry = listed("a", "ready 800", revision=world.revision)
+        entry = make_store_entry("a", "ready 800", revision=world.revision)
         found = StoreRange(entries=(entry,), revision=StoreRevision(world.revision))
         world.roster.on_snapshot(found)
         seen.append(world.roster.cold_ms(UpstreamId("a")))
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -208,7 +208,7 @@
     clock = Clock()
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
     client = HttpEngineClient(session=session, address=f"{LOOPBACK}:{engine_port}")
-    gate = UpstreamGate(clock=clock, rng=random.Random(1), spread=lambda _message: None)
+    gate = UpstreamGate(clock=clock, rng=random.Random(1), broadcast=lambda _message: None)
     dispatch = DispatchParts(
         router=OneEngineRouter(),
         client_of=lambda _engine: client,
--- a/tools/slopes_routing.py
+++ b/tools/slopes_routing.py
@@ -26,7 +26,7 @@
 from tanagerscale.generated.messages import Progress
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerInfo
-from tanagerscale.membership import Received
+from tanagerscale.membership import ReceivedMessage
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.membership import decode_frame
 from tanagerscale.membership import encode_frame
@@ -66,7 +66,7 @@
 
     def __init__(self, *, host: HostId, peer: HostId) -> None:
         self.host = host
-        self.messages: Subject[Received] = Subject()
+        self.messages: Subject[ReceivedMessage] = Subject()
         info = PeerInfo(
             host=peer,
             incarnation=1,
@@ -91,7 +91,7 @@
     def take(self, sender: HostId, frame: bytes) -> None:
         """Take in a frame."""
         message = decode_frame(frame).unwrap()
-        self.messages.on_next(Received(host=sender, message=message))
+        self.messages.on_next(ReceivedMessage(host=sender, message=message))
 
 
 class _Pair:
@@ -111,7 +111,7 @@
     def _router(wire: _Wire) -> PoolRouter:
         return PoolRouter(
             network=wire,
-            gate=UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None),
+            gate=UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None),
             make_scheduler=lambda: make_scheduler(
                 objective=Objective(), accounts={}, rng=Random(2)
             ),
--- a/tools/slopes_spread.py
+++ b/tools/slopes_spread.py
@@ -19,7 +19,7 @@
 from tanagerscale.generated.messages import HeadContent
 from tanagerscale.generated.messages import Heartbeat
 from tanagerscale.membership import NOT_PACKED
-from tanagerscale.membership import HeadSpread
+from tanagerscale.membership import HeadReplicator
 from tanagerscale.membership import Mesh
 from tanagerscale.membership import PeerAddress
 
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self.head_revision = Revision(1)
-        self.spread: HeadSpread | None = None
+        self.spread: HeadReplicator | None = None
 
     async def offer_from_peer(
         self, *, head: bytes, chunks: Mapping[str, str], packed_after: int = NOT_PACKED
@@ -90,7 +90,7 @@
     meshes = [_mesh(index, follower) for index, follower in enumerate(followers)]
     addresses = [PeerAddress(address=await mesh.start(), host=mesh.host) for mesh in meshes]
     for mesh, follower in zip(meshes, followers, strict=True):
-        follower.spread = HeadSpread(network=mesh, follower=follower, clock=Clock())
+        follower.spread = HeadReplicator(network=mesh, follower=follower, clock=Clock())
         follower.spread.start()
         mesh.set_peers(addresses)
     while any(len(mesh.live.value) < hosts - 1 for mesh in meshes):
