--- a/src/tanagerscale/coordination/_context.py
+++ b/src/tanagerscale/coordination/_context.py
@@ -171,6 +171,6 @@
         running=total.running,
         waiting_tokens=total.waiting_tokens,
         waiting=total.waiting,
-        max_batch=entry.places if engine is None else engine.batch,
+        max_batch=entry.max_concurrency if engine is None else engine.batch,
         warmup_ms=upstreams.cold_ms(entry.upstream),
     )
--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -40,7 +40,7 @@
 from tanagerscale.generated.records import ClaimState
 from tanagerscale.generated.upstream import RefusalKind
 from tanagerscale.upstreams import ServiceCall
-from tanagerscale.upstreams import ServiceReply
+from tanagerscale.upstreams import ServiceResponse
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 
@@ -61,7 +61,7 @@
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Send a call once.
 
         :param address: IP address and port of the upstream.
@@ -102,11 +102,11 @@
     def __init__(self, *, dependencies: ServiceDependencies) -> None:
         self._dependencies = dependencies
         self._running: Counter[str] = Counter()
-        self._tasks: set[asyncio.Task[Result[ServiceReply, Problem]]] = set()
+        self._tasks: set[asyncio.Task[Result[ServiceResponse, Problem]]] = set()
 
     async def call(
         self, *, service: Service, account: ClientAccountId, key: str, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         """Dispatch a call and return the answer of the service, or a problem.
 
         :param service: Declaration of the service.
@@ -125,7 +125,7 @@
 
     async def _call_idempotent(
         self, service: Service, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         tried_addresses: set[str] = set()
         may_have_run = False
         while len(tried_addresses) < MAX_ATTEMPTS:
@@ -149,7 +149,7 @@
 
     async def _call_claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         claim_key = ClaimKey(account=account, service=ServiceId(service.name), idempotency_key=key)
         claimed = await self._dependencies.claims.claim(
             key=claim_key, request_digest=_compute_digest(call), ttl_s=service.claim_ttl_s
@@ -166,8 +166,8 @@
         raise AssertionError("Result is neither Success nor Failure.")
 
     async def _run_uncancelled(
-        self, call: Coroutine[None, None, Result[ServiceReply, Problem]]
-    ) -> Result[ServiceReply, Problem]:
+        self, call: Coroutine[None, None, Result[ServiceResponse, Problem]]
+    ) -> Result[ServiceResponse, Problem]:
         # A caller that disconnects may repeat the call, so it continues and its answer is recorded.
         task = asyncio.ensure_future(call)
         self._tasks.add(task)
@@ -181,7 +181,7 @@
 
     async def _run_granted(
         self, service: Service, call: ServiceCall, granted: Granted
-    ) -> Result[ServiceReply, Problem]:
+    ) -> Result[ServiceResponse, Problem]:
         result = await self._send_once(
             service, call, may_send=lambda: granted.may_dispatch(now=self._dependencies.clock.now())
         )
@@ -193,7 +193,7 @@
 
     async def _send_once(
         self, service: Service, call: ServiceCall, *, may_send: Callable[[], bool]
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Send a call so that at most one upstream executes it.
 
         Another upstream is tried only if the previous one has certainly not executed the call.
@@ -217,7 +217,7 @@
 
     async def _send(
         self, service: Service, address: str, call: ServiceCall
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         upstream = UpstreamId(address)
         self._running[address] += 1
         try:
@@ -288,7 +288,7 @@
     return blake2b(content, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _to_outcome(result: Result[ServiceReply, UpstreamError]) -> ClaimOutcome:
+def _to_outcome(result: Result[ServiceResponse, UpstreamError]) -> ClaimOutcome:
     match result:
         case Success(reply):
             return ClaimOutcome(
@@ -302,9 +302,9 @@
     return ClaimOutcome(state=ClaimState.UNKNOWN)
 
 
-def _to_reply(recorded: Recorded) -> ServiceReply:
+def _to_reply(recorded: Recorded) -> ServiceResponse:
     outcome = recorded.outcome
-    return ServiceReply(
+    return ServiceResponse(
         status=outcome.status,
         content_type=outcome.content_type,
         headers=[("Content-Type", outcome.content_type)],
--- a/testing/_simulation.py
+++ b/testing/_simulation.py
@@ -257,7 +257,7 @@
         clock = simulation.clock
         self.network = network = _Network(host=HostId(name), switch=simulation.switch)
         simulation.switch.networks[network.host] = network
-        gate = UpstreamGate(clock=clock, rng=random.Random(name), spread=lambda _message: None)
+        gate = UpstreamGate(clock=clock, rng=random.Random(name), broadcast=lambda _message: None)
         self.router = PoolRouter(
             network=network,
             gate=gate,
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -192,7 +192,7 @@
         assert len({host.decider for host in fleet.hosts}) == 1
         fleet.set_engine("new")
         await asyncio.sleep(0.2)
-        assert {host.control.roster.known for host in fleet.hosts} == {3}
+        assert {host.control.roster.known_count for host in fleet.hosts} == {3}
 
     _run(scenario)
 
@@ -220,7 +220,7 @@
         fleet.set_engine("new")
         await asyncio.sleep(1.5)
         assert member.control.gate.is_leaving(UpstreamId("e0"))
-        assert member.control.roster.known == 3
+        assert member.control.roster.known_count == 3
 
     _run(scenario)
 
@@ -233,7 +233,7 @@
         fleet.set_engine("new")
         fleet.write("op/config", "5")
         await asyncio.sleep(1)
-        assert cut.control.roster.known == 3
+        assert cut.control.roster.known_count == 3
         assert cut.control.roster.is_current
         assert {host.control.keeper.head_revision for host in fleet.hosts} == {5}
 
@@ -247,7 +247,7 @@
         await asyncio.sleep(1.5 + ISOLATION_TIMEOUT_MS / 1000)
         fleet.set_engine("new")
         await asyncio.sleep(0.5)
-        assert all(host.control.roster.known == 3 for host in fleet.members)
+        assert all(host.control.roster.known_count == 3 for host in fleet.members)
         assert all(host.control.roster.is_current for host in fleet.members)
 
     _run(scenario)
@@ -277,7 +277,7 @@
         await asyncio.sleep(3.5 + ISOLATION_TIMEOUT_MS / 1000)
         fleet.set_engine("new")
         await asyncio.sleep(0.2)
-        assert host.control.roster.known == 3
+        assert host.control.roster.known_count == 3
 
     _run(scenario)
 
@@ -305,7 +305,7 @@
         fleet.hosts.append(host)
         await asyncio.sleep(4)
         assert host.control.keeper.head_revision == 1
-        assert host.control.roster.known == 2
+        assert host.control.roster.known_count == 2
         assert host.decider == fleet.coordinators[0].name
 
     _run(scenario)
--- a/testing/test_routing_poller.py
+++ b/testing/test_routing_poller.py
@@ -92,7 +92,7 @@
 def _start() -> Harness:
     """Start to poll one engine; appending to ``engines`` simulates a change of its address."""
     engines, owner = [FakePolledEngine()], FakeCellOwner()
-    gate = UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None)
+    gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     pollers = EnginePollers(
         get_client=lambda _engine: cast(EngineClient, engines[-1]),
         clock=Clock(),
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -29,7 +29,7 @@
 from tanagerscale.services import ServiceDependencies
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.upstreams import ServiceCall
-from tanagerscale.upstreams import ServiceReply
+from tanagerscale.upstreams import ServiceResponse
 from tanagerscale.upstreams import UpstreamError
 from tanagerscale.upstreams import UpstreamErrorKind
 from testing._fake_store import FakeBackend
@@ -66,7 +66,7 @@
 
     async def call(
         self, *, address: str, call: ServiceCall, timeout_ms: int
-    ) -> Result[ServiceReply, UpstreamError]:
+    ) -> Result[ServiceResponse, UpstreamError]:
         """Execute one call, or fail at the next point of the list."""
         self.sent_to.append(address)
         failure_point = self.failure_points.pop(0) if self.failure_points else FailurePoint.NONE
@@ -84,7 +84,9 @@
             return _build_failure(UpstreamErrorKind.BROKEN)
         if failure_point is FailurePoint.LATE:
             return _build_failure(UpstreamErrorKind.STALLED)
-        return Success(ServiceReply(status=201, content_type="text/plain", headers=(), body=b"ok"))
+        return Success(
+            ServiceResponse(status=201, content_type="text/plain", headers=(), body=b"ok")
+        )
 
 
 @dataclass(kw_only=True)
@@ -140,8 +142,8 @@
     path: str = "/bookings",
     key: str = "",
     times: int = 1,
-) -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
-    async def run() -> tuple[FakeService, list[Result[ServiceReply, Problem]]]:
+) -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
+    async def run() -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
         service = FakeService(failure_points=list(failure_points))
         dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         results = [
