--- a/src/tanagerscale/__init__.py
+++ b/src/tanagerscale/__init__.py
@@ -1,4 +1,7 @@
-"""A serving system for generations of unknown length on crowded engines."""
+"""Request routing and scheduling for language model engines that share limited memory.
+
+The length of a generation is not known in advance.
+"""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/cli/__init__.py
+++ b/src/tanagerscale/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of operators and callers."""
+"""Command-line interface for operators and callers."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/cli/__main__.py
+++ b/src/tanagerscale/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m tanagerscale.cli`` run the command line."""
+"""Entry point of ``python -m tanagerscale.cli``."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/cli/_events.py
+++ b/src/tanagerscale/cli/_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events, read from a reply."""
+"""Parser of server-sent events."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @final
 class Event(Struct, frozen=True, kw_only=True):
-    """One event.
+    """One server-sent event.
 
-    :param kind: Its ``event`` field, or the empty string.
-    :param id: Its ``id`` field, or the empty string.
-    :param data: Its ``data`` fields, joined by line breaks.
+    :param kind: The ``event`` field, or the empty string.
+    :param id: The ``id`` field, or the empty string.
+    :param data: The ``data`` fields, joined by line breaks.
     """
 
     kind: str = ""
@@ -26,12 +26,13 @@
 
 
 async def read_events(content: aiohttp.StreamReader) -> AsyncIterator[Event]:
-    """Read events until the reply ends; an event cut off in the middle is dropped.
+    """Yield events until the response ends; an incomplete last event is dropped.
 
-    :param content: Body of the reply.
+    :param content: Body of the response.
+    :raises aiohttp.ClientPayloadError: When a line exceeds ``MAX_LINE_BYTES``.
     """
     fields: dict[str, list[str]] = {}
-    async for line in _lines(content):
+    async for line in _read_lines(content):
         if not line:
             if fields:
                 yield Event(
@@ -46,7 +47,7 @@
             fields.setdefault(name, []).append(value.removeprefix(" "))
 
 
-async def _lines(content: aiohttp.StreamReader) -> AsyncIterator[str]:
+async def _read_lines(content: aiohttp.StreamReader) -> AsyncIterator[str]:
     buffer = b""
     async for data in content.iter_any():
         buffer += data
@@ -54,4 +55,6 @@
         for line in lines:
             yield line.removesuffix(b"\r").decode("utf-8", "replace")
         if len(buffer) > MAX_LINE_BYTES:
-            raise aiohttp.ClientPayloadError("A line of the reply is too long.")
+            raise aiohttp.ClientPayloadError(
+                "A line of the event stream exceeds the limit of 4 MiB."
+            )
--- a/src/tanagerscale/cli/_exit.py
+++ b/src/tanagerscale/cli/_exit.py
@@ -1,4 +1,4 @@
-"""How a command ends."""
+"""Exit codes and the error that ends a command."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 @unique
 class ExitCode(IntEnum):
-    """Exit codes of the command line; docs/OPERATIONS.md says what to do on each."""
+    """Exit codes of the command line; docs/OPERATIONS.md describes the remedy for each."""
 
     OK = 0
     REFUSED = 1
-    """Another operator was first, or a host refused the request; nothing was changed."""
+    """A concurrent change conflicted, or a host refused the request; nothing was changed."""
     BAD_INPUT = 2
-    """The command or a file is wrong; nothing was changed."""
+    """The command line or a file is invalid; nothing was changed."""
     STORE_UNREACHABLE = 3
-    """The store did not answer; nothing was changed."""
+    """The store did not respond; nothing was changed."""
     NOT_IN_FORCE = 4
-    """It isn't certain that the set was accepted, or that it is in force on all hosts."""
+    """It is unknown whether the set was accepted, or whether it is in force on all hosts."""
     HOST_UNREACHABLE = 5
-    """No host answered, or the answer broke off and could not be resumed."""
+    """No host responded, or the answer was interrupted and could not be resumed."""
     DAMAGED = 6
-    """What stands in the store can't be read."""
+    """The data in the store is corrupt."""
     INTERRUPTED = 130
     """The operator interrupted the command."""
 
 
 class CommandError(Exception):
-    """Ends a command with a message for the operator.
+    """Error that ends a command with a message for the operator.
 
-    :param code: Exit code.
-    :param message: One or several sentences that name the remedy.
-    :param details: Further lines.
+    :param code: Exit code of the process.
+    :param message: One or more sentences that name the remedy.
+    :param details: Lines that are printed before the message.
     """
 
     def __init__(self, *, code: ExitCode, message: str, details: tuple[str, ...] = ()) -> None:
@@ -44,7 +44,11 @@
 
 
 def fail(*, code: ExitCode, message: str, details: tuple[str, ...] = ()) -> NoReturn:
-    """End the command.
+    """End the command with an error.
+
+    :param code: Exit code of the process.
+    :param message: One or more sentences that name the remedy.
+    :param details: Lines that are printed before the message.
 
     :raises CommandError: Always.
     """
--- a/src/tanagerscale/cli/_explain.py
+++ b/src/tanagerscale/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, put together from the logs of all hosts."""
+"""The ``explain`` command: the timeline of one request from the logs of all hosts."""
 
 from __future__ import annotations
 
@@ -18,105 +18,106 @@
 
 STANDARD_INPUT: Final = "-"
 
-BEFORE_MS: Final = 3000
-"""How long before a request what a host came to believe is told with it; a notice of an engine's
-leaving is two seconds old when the engine is gone."""
+CONTEXT_BEFORE_MS: Final = 3000
+"""How long before a request's first line the host's other lines are included. An engine that leaves
+announces it two seconds before it is gone."""
 
-AFTER_MS: Final = 1000
-"""How long after the last line of a request news that came too late are told with it."""
+CONTEXT_AFTER_MS: Final = 1000
+"""How long after a request's last line the host's other lines are included, for late notices."""
 
-ENGINE_FIELDS: Final = ("upstream", "source", "target", "holder")
-OWN_FIELDS: Final = frozenset({"t", "wall", "host", "level", "part", "message", "request"})
+UPSTREAM_FIELDS: Final = ("upstream", "source", "target", "holder")
+STANDARD_FIELDS: Final = frozenset({"t", "wall", "host", "level", "part", "message", "request"})
 
 
 class LogLine(Struct, frozen=True, kw_only=True):
     """One line of a host's log.
 
-    :param wall_ms: The host's wall clock.
-    :param order_ms: The host's monotonic clock, which puts lines of one process in order.
-    :param host: The host.
-    :param part: The part that wrote it.
-    :param message: What happened.
-    :param request: The request it is about, or the empty string.
-    :param inputs: What decided, and the outcome.
+    :param wall_ms: Wall-clock time of the host, in milliseconds since 1970.
+    :param monotonic_ms: Monotonic time of the host in milliseconds, which orders the lines of one
+        process.
+    :param host: Id of the host.
+    :param part: Component that wrote the line.
+    :param message: Description of the event.
+    :param request: Id of the request that the line is about, or the empty string.
+    :param fields: Other fields: the inputs of a decision and its outcome.
     """
 
     wall_ms: int
-    order_ms: int
+    monotonic_ms: int
     host: str
     part: str
     message: str
     request: str
-    inputs: dict[str, Any]
+    fields: dict[str, Any]
 
     @property
-    def engines(self) -> set[str]:
-        """Upstreams the line names."""
-        return {str(self.inputs[name]) for name in ENGINE_FIELDS if self.inputs.get(name)}
+    def upstreams(self) -> set[str]:
+        """Upstreams that the line names."""
+        return {str(self.fields[name]) for name in UPSTREAM_FIELDS if self.fields.get(name)}
 
 
 def run_explain(*, request: str, files: Sequence[str], output: Output) -> None:
-    """Print what became of a request and why.
+    """Print what happened to a request and why.
 
-    :param request: Its id.
+    :param request: Id of the request.
     :param files: Log files of the hosts; a hyphen reads standard input.
-    :param output: Where to.
+    :param output: Output to print to.
     :raises CommandError: A file can't be read, or no line is about the request.
     """
-    lines = [line for file in files for line in _read(file)]
-    story = explain(request=request, lines=lines)
-    if not story:
+    lines = [line for file in files for line in _read_lines(file)]
+    timeline = explain(request=request, lines=lines)
+    if not timeline:
         raise CommandError(
             code=ExitCode.REFUSED,
-            message=f"No line is about {request}; give the logs of all hosts of that time.",
+            message=f"No log line mentions {request}; pass the logs of all hosts for its time.",
         )
-    begin = next(line.wall_ms for line in story if line.request == request)
-    output.document([_to_document(line, begin, request) for line in story])
+    begin = next(line.wall_ms for line in timeline if line.request == request)
+    output.document([_to_document(line, begin, request) for line in timeline])
     rows = [
         (
             f"{line.wall_ms - begin:+d} ms",
             line.host,
             "request" if line.request == request else "host",
             f"{line.part}: {line.message}",
-            _describe(line.inputs),
+            _format_fields(line.fields),
         )
-        for line in story
+        for line in timeline
     ]
     output.table(columns=("time", "host", "about", "what", "inputs"), rows=rows)
 
 
 def explain(*, request: str, lines: Iterable[LogLine]) -> list[LogLine]:
-    """Return the lines that tell a request's story, in order.
+    """Return the log lines that explain a request, in order of time.
 
-    Besides the request's own lines these are what its host came to believe shortly before and
-    during it: of the configuration, of the store, and of the upstreams it was sent to.
+    These are the request's own lines and the lines that its hosts logged from shortly before to
+    shortly after it: about the configuration, the store and the upstreams it was sent to.
 
-    :param request: Its id.
-    :param lines: Lines of all hosts.
+    :param request: Id of the request.
+    :param lines: Log lines of all hosts.
     """
-    known = list(lines)
-    own = [line for line in known if line.request == request]
+    all_lines = list(lines)
+    own = [line for line in all_lines if line.request == request]
     if not own:
         return []
     hosts = {line.host for line in own}
-    engines = {engine for line in own for engine in line.engines}
-    begin = min(line.wall_ms for line in own) - BEFORE_MS
-    end = max(line.wall_ms for line in own) + AFTER_MS
-    around = [
+    upstreams = {upstream for line in own for upstream in line.upstreams}
+    begin = min(line.wall_ms for line in own) - CONTEXT_BEFORE_MS
+    end = max(line.wall_ms for line in own) + CONTEXT_AFTER_MS
+    context = [
         line
-        for line in known
+        for line in all_lines
         if not line.request
         and line.host in hosts
         and begin <= line.wall_ms <= end
-        and (not line.engines or line.engines & engines)
+        and (not line.upstreams or line.upstreams & upstreams)
     ]
-    return sorted([*own, *around], key=lambda line: (line.wall_ms, line.host, line.order_ms))
+    return sorted([*own, *context], key=lambda line: (line.wall_ms, line.host, line.monotonic_ms))
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line of a log, or ``None`` for one that is no JSON of a host.
+    """Parse a line of a log, or return ``None`` if it is not a JSON log line of a host.
 
-    :param text: The line; what a collector puts before the JSON is skipped.
+    :param text: The line; any prefix that a log collector adds before the JSON is skipped.
     """
     start = text.find("{")
     if start < 0:
@@ -129,22 +130,22 @@
         return None
     return LogLine(
         wall_ms=int(fields["wall"]),
-        order_ms=int(fields.get("t", 0)),
+        monotonic_ms=int(fields.get("t", 0)),
         host=str(fields.get("host", "")),
         part=str(fields.get("part", "")),
         message=str(fields["message"]),
         request=str(fields.get("request", "")),
-        inputs={name: value for name, value in fields.items() if name not in OWN_FIELDS},
+        fields={name: value for name, value in fields.items() if name not in STANDARD_FIELDS},
     )
 
 
-def _read(file: str) -> list[LogLine]:
+def _read_lines(file: str) -> list[LogLine]:
     try:
         text = sys.stdin.read() if file == STANDARD_INPUT else Path(file).read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise CommandError(
             code=ExitCode.BAD_INPUT,
-            message=f"{file} can't be read ({error}); give files of log lines.",
+            message=f"{file} can't be read ({error}); pass text files of log lines.",
         ) from error
     parsed = (parse_line(line) for line in text.splitlines())
     return [line for line in parsed if line is not None]
@@ -157,9 +158,9 @@
         "own": line.request == request,
         "part": line.part,
         "message": line.message,
-        **line.inputs,
+        **line.fields,
     }
 
 
-def _describe(inputs: dict[str, Any]) -> str:
-    return " ".join(f"{name}={value}" for name, value in inputs.items() if value is not None)
+def _format_fields(fields: dict[str, Any]) -> str:
+    return " ".join(f"{name}={value}" for name, value in fields.items() if value is not None)
--- a/src/tanagerscale/cli/_hosts.py
+++ b/src/tanagerscale/cli/_hosts.py
@@ -1,4 +1,4 @@
-"""Questions to hosts."""
+"""HTTP requests to hosts."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 from tanagerscale.generated.callers import HostStatus
 
-ASK_TIMEOUT_S = 3.0
+REQUEST_TIMEOUT_S = 3.0
 
 
 @final
-class HostAnswer(Struct, frozen=True, kw_only=True):
-    """What one host said.
+class HostReply(Struct, frozen=True, kw_only=True):
+    """Result of a status request to one host.
 
-    :param address: Its callers' address.
-    :param status: Its status, or ``None`` when it gave none.
-    :param problem: Why it gave none.
+    :param address: Address at which the host serves callers.
+    :param status: Status of the host, or ``None`` if the request failed.
+    :param problem: Reason of the failure, or the empty string.
     """
 
     address: str
@@ -33,49 +33,59 @@
 
 @asynccontextmanager
 async def open_session() -> AsyncIterator[aiohttp.ClientSession]:
-    """Open an HTTP session for the time of one command."""
-    timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+    """Open an HTTP session for the duration of one command."""
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         yield session
 
 
-def url_of(*, address: str, path: str) -> str:
-    """Return the URL of a path on a host; plain HTTP unless the address says otherwise."""
+def build_url(*, address: str, path: str) -> str:
+    """Return the URL of a path on a host.
+
+    :param address: ``IP:PORT``, optionally with a scheme; the default scheme is ``http``.
+    :param path: Path of the URL, with a leading slash.
+    """
     base = address if "://" in address else f"http://{address}"
     return f"{base}{path}"
 
 
-async def ask_status(
+async def fetch_statuses(
     *, session: aiohttp.ClientSession, hosts: Sequence[str]
-) -> tuple[HostAnswer, ...]:
-    """Ask all hosts for their status at once."""
-    return tuple(await asyncio.gather(*(_ask_one(session, address) for address in hosts)))
+) -> tuple[HostReply, ...]:
+    """Request the status of all hosts concurrently.
+
+    :returns: One reply per host, in the order of ``hosts``.
+    """
+    return tuple(await asyncio.gather(*(_fetch_status(session, address) for address in hosts)))
 
 
-async def _ask_one(session: aiohttp.ClientSession, address: str) -> HostAnswer:
-    body, problem = await read_body(session=session, address=address, path="/v1/status")
+async def _fetch_status(session: aiohttp.ClientSession, address: str) -> HostReply:
+    body, problem = await fetch_body(session=session, address=address, path="/v1/status")
     if problem:
-        return HostAnswer(address=address, problem=problem)
+        return HostReply(address=address, problem=problem)
     try:
-        return HostAnswer(address=address, status=msgspec.json.decode(body, type=HostStatus))
+        return HostReply(address=address, status=msgspec.json.decode(body, type=HostStatus))
     except msgspec.MsgspecError:
-        return HostAnswer(address=address, problem="its status can't be read; is it a host?")
+        return HostReply(
+            address=address,
+            problem="its status is invalid; check that the address belongs to a host",
+        )
 
 
-async def read_body(
+async def fetch_body(
     *, session: aiohttp.ClientSession, address: str, path: str
 ) -> tuple[bytes, str]:
-    """Read one document of a host.
+    """Fetch one document from a host.
 
-    :returns: Its body, and why there is none.
+    :returns: The body, and the reason of a failure or the empty string.
     """
     try:
-        async with session.get(url_of(address=address, path=path)) as reply:
+        async with session.get(build_url(address=address, path=path)) as reply:
             body = await reply.read()
             if reply.status != 200:
-                return b"", f"it answered with HTTP status {reply.status}"
+                return b"", f"it responded with HTTP status {reply.status}"
             return body, ""
     except TimeoutError:
-        return b"", f"no answer within {ASK_TIMEOUT_S:g} s"
+        return b"", f"no response within {REQUEST_TIMEOUT_S:g} s"
     except aiohttp.ClientError as error:
         return b"", f"no connection ({type(error).__name__})"
--- a/src/tanagerscale/cli/_local.py
+++ b/src/tanagerscale/cli/_local.py
@@ -1,4 +1,4 @@
-"""The commands that ask neither the store nor a host."""
+"""The ``validate`` and ``key`` commands, which need neither the store nor a host."""
 
 from __future__ import annotations
 
@@ -12,23 +12,29 @@
 
 
 async def run_validate(*, files: tuple[str, ...], output: Output) -> None:
-    """Check files and print how many sections of each kind they declare."""
+    """Validate files and print the number of sections of each kind.
+
+    :raises CommandError: When a file is invalid; it lists all errors.
+    """
     declarations = load_declarations(files=files)
     counts: dict[str, int] = {}
     for title in to_sections(declarations=declarations):
-        word = title.partition(" ")[0]
-        counts[word] = counts.get(word, 0) + 1
+        kind = title.partition(" ")[0]
+        counts[kind] = counts.get(kind, 0) + 1
     output.table(columns=("section", "count"), rows=list(counts.items()))
     output.line("The declarations are valid.")
     output.document({"valid": True, "sections": counts})
 
 
 async def run_key(*, account: str, output: Output) -> None:
-    """Make a key and print it with its hash."""
+    """Generate a key for a client account and print it with its hash.
+
+    :raises CommandError: When the account's name is invalid.
+    """
     problem = name_problem(name=account)
     if problem:
         fail(code=ExitCode.BAD_INPUT, message=f"ACCOUNT takes {problem}; found {account!r}.")
-    made = make_key(account=account)
-    output.line(f"Key for the caller, kept nowhere else:\n{made.key}\n")
-    output.line(f"For the declarations:\n[account {account}]\nkey_hash = {made.key_hash}")
-    output.document({"account": account, "key": made.key, "key_hash": made.key_hash})
+    generated = make_key(account=account)
+    output.line(f"Key for the caller, kept nowhere else:\n{generated.key}\n")
+    output.line(f"For the declarations:\n[account {account}]\nkey_hash = {generated.key_hash}")
+    output.document({"account": account, "key": generated.key, "key_hash": generated.key_hash})
--- a/src/tanagerscale/cli/_replay.py
+++ b/src/tanagerscale/cli/_replay.py
@@ -1,4 +1,4 @@
-"""The command that replays traces."""
+"""The ``replay`` command."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import sys
 from typing import Any
 
-from tanagerscale.cli._arguments import check_flag
-from tanagerscale.cli._arguments import check_number
+from tanagerscale.cli._arguments import parse_flag
+from tanagerscale.cli._arguments import parse_number
 from tanagerscale.cli._exit import ExitCode
 from tanagerscale.cli._exit import fail
 
@@ -16,13 +16,14 @@
 
 
 def run_replay(*, trace: str, options: dict[str, Any]) -> None:
-    """Hand the options to the replay once they are known to be its own.
+    """Validate the options and run the replay with them.
 
-    :param trace: What to replay.
-    :param options: Options by name, as fire read them.
-    :raises SystemExit: With the replay's own exit code unless all is well.
+    :param trace: File of the trace, or the name of a user whose traces are generated.
+    :param options: Options by name, as fire parsed them.
+    :raises CommandError: When an option is unknown or invalid.
+    :raises SystemExit: With the replay's exit code, unless the replay succeeds.
     """
-    # The replay is large and no other command needs it.
+    # Imported here because the replay is large and no other command needs it.
     module: Any = importlib.import_module("tanagerscale.replay")
     defaults = {
         name: parameter.default
@@ -33,19 +34,22 @@
     for given, value in options.items():
         name = ALIASES.get(given, given)
         if name not in defaults:
-            known = ", ".join(f"--{option}" for option in defaults)
-            fail(code=ExitCode.BAD_INPUT, message=f"--{given} isn't an option; allowed: {known}.")
-        arguments[name] = _convert(name=name, value=value, default=defaults[name])
+            allowed = ", ".join(f"--{option}" for option in defaults)
+            fail(
+                code=ExitCode.BAD_INPUT,
+                message=f"--{given} is not an option of replay; allowed: {allowed}.",
+            )
+        arguments[name] = _convert_option(name=name, value=value, default=defaults[name])
     code = module.main(trace=str(trace), **arguments)
     if code:
         sys.exit(code)
 
 
-def _convert(*, name: str, value: Any, default: Any) -> Any:
+def _convert_option(*, name: str, value: Any, default: Any) -> Any:
     if isinstance(default, bool):
-        return check_flag(name=name, value=value)
+        return parse_flag(name=name, value=value)
     if isinstance(default, int | float):
-        return type(default)(check_number(name=name, value=value, least=0))
+        return type(default)(parse_number(name=name, value=value, minimum=0))
     if isinstance(value, tuple | list):
         return ",".join(str(part) for part in value)
     return str(value)
--- a/src/tanagerscale/cli/_status.py
+++ b/src/tanagerscale/cli/_status.py
@@ -1,4 +1,4 @@
-"""The commands that ask hosts how they are and what accounts used."""
+"""The ``status`` and ``usage`` commands, which query hosts."""
 
 from __future__ import annotations
 
@@ -9,38 +9,41 @@
 
 from tanagerscale.cli._exit import ExitCode
 from tanagerscale.cli._exit import fail
-from tanagerscale.cli._hosts import HostAnswer
-from tanagerscale.cli._hosts import ask_status
+from tanagerscale.cli._hosts import HostReply
+from tanagerscale.cli._hosts import fetch_body
+from tanagerscale.cli._hosts import fetch_statuses
 from tanagerscale.cli._hosts import open_session
-from tanagerscale.cli._hosts import read_body
 from tanagerscale.cli._output import Output
 
 COLUMNS = ("address", "host", "revision", "state", "running", "sees hosts", "closed upstreams")
 
 
 async def run_status(*, hosts: tuple[str, ...], output: Output) -> None:
-    """Print the hosts' status; fail when no host answers."""
+    """Print the status of the hosts.
+
+    :raises CommandError: When no host responds.
+    """
     async with open_session() as session:
-        answers = await ask_status(session=session, hosts=hosts)
-    output.table(columns=COLUMNS, rows=[_row(answer) for answer in answers])
+        replies = await fetch_statuses(session=session, hosts=hosts)
+    output.table(columns=COLUMNS, rows=[_to_row(reply) for reply in replies])
     output.document(
         [
-            {"address": answer.address, "status": answer.status, "problem": answer.problem}
-            for answer in answers
+            {"address": reply.address, "status": reply.status, "problem": reply.problem}
+            for reply in replies
         ]
     )
-    if all(answer.status is None for answer in answers):
-        message = "No host answered; check the addresses, or whether the hosts run."
+    if all(reply.status is None for reply in replies):
+        message = "No host answered; check the addresses and that the hosts are running."
         fail(code=ExitCode.HOST_UNREACHABLE, message=message)
 
 
-def _row(answer: HostAnswer) -> tuple[object, ...]:
-    status = answer.status
+def _to_row(reply: HostReply) -> tuple[object, ...]:
+    status = reply.status
     if status is None:
-        return (answer.address, "-", "-", answer.problem, "-", "-", "-")
+        return (reply.address, "-", "-", reply.problem, "-", "-", "-")
     state = "leaving" if status.leaving else "ready" if status.ready else "starting"
     return (
-        answer.address,
+        reply.address,
         status.host,
         status.revision,
         state,
@@ -51,17 +54,22 @@
 
 
 async def run_usage(*, hosts: tuple[str, ...], output: Output) -> None:
-    """Print what accounts used, added up over the hosts asked."""
+    """Print the usage of each client account, summed over the given hosts.
+
+    :raises CommandError: When no host responds.
+    """
     async with open_session() as session:
         bodies = await asyncio.gather(
-            *(read_body(session=session, address=host, path="/v1/usage") for host in hosts)
+            *(fetch_body(session=session, address=host, path="/v1/usage") for host in hosts)
         )
     totals: dict[str, dict[str, float]] = {}
     problems = {}
     for host, (body, problem) in zip(hosts, bodies, strict=True):
         usage = _decode_usage(body) if not problem else None
         if usage is None:
-            problems[host] = problem or "its usage can't be read; is it a host?"
+            problems[host] = (
+                problem or "its usage report is invalid; check that the address belongs to a host"
+            )
             continue
         for account, figures in usage.items():
             total = totals.setdefault(account, {})
@@ -69,12 +77,15 @@
                 total[name] = total.get(name, 0) + figure
     _print_usage(totals=totals, problems=problems, output=output)
     if len(problems) == len(hosts):
-        message = "No host answered; check the addresses, or whether the hosts run."
+        message = "No host answered; check the addresses and that the hosts are running."
         fail(code=ExitCode.HOST_UNREACHABLE, message=message)
 
 
 def _decode_usage(body: bytes) -> dict[str, dict[str, float]] | None:
-    """Return figures by account and name; other fields of the document are left out."""
+    """Return usage figures by account and name, or ``None`` for an invalid document.
+
+    Values that are not numbers are ignored.
+    """
     try:
         document = msgspec.json.decode(body, type=dict[str, Any])
     except msgspec.MsgspecError:
@@ -104,5 +115,5 @@
     columns = ("account", *(name.replace("_", " ") for name in names))
     output.table(columns=columns, rows=rows)
     for host, problem in problems.items():
-        output.progress(f"{host}: {problem}; its share is missing from the figures")
+        output.progress(f"{host}: {problem}; its usage is missing from the totals")
     output.document({"accounts": totals, "problems": problems})
--- a/src/tanagerscale/cli/_store.py
+++ b/src/tanagerscale/cli/_store.py
@@ -1,4 +1,4 @@
-"""The store as commands use it."""
+"""Access of commands to the store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 STORE_TIMEOUT_MS = 5000
 
-CODE_OF_KIND = {
+EXIT_CODES = {
     ApplyErrorKind.CONFLICT: ExitCode.REFUSED,
     ApplyErrorKind.REFUSED: ExitCode.REFUSED,
     ApplyErrorKind.STORE_UNREACHABLE: ExitCode.STORE_UNREACHABLE,
@@ -27,10 +27,10 @@
 
 @asynccontextmanager
 async def open_store(*, endpoints: tuple[str, ...], clock: Clock) -> AsyncIterator[Store]:
-    """Open the store for the time of one command.
+    """Open the store for the duration of one command.
 
-    :param endpoints: Base URLs of its JSON gateway.
-    :param clock: Measures the calls.
+    :param endpoints: Base URLs of the store's JSON gateway.
+    :param clock: Clock for the timeouts of calls.
     """
     store = EtcdStore(endpoints=endpoints, timeout_ms=STORE_TIMEOUT_MS, clock=clock)
     try:
@@ -39,6 +39,6 @@
         await store.close()
 
 
-def command_error(*, error: ApplyError) -> CommandError:
-    """Return how a command ends after an error of the store or of another operator."""
-    return CommandError(code=CODE_OF_KIND[error.kind], message=error.detail, details=error.changes)
+def to_command_error(*, error: ApplyError) -> CommandError:
+    """Convert an error of reading or publishing declarations into the error that ends a command."""
+    return CommandError(code=EXIT_CODES[error.kind], message=error.detail, details=error.changes)
--- a/src/tanagerscale/core/__init__.py
+++ b/src/tanagerscale/core/__init__.py
@@ -1,4 +1,4 @@
-"""What every part uses: identifiers, the clock, kinds of errors, logs."""
+"""Common building blocks: identifiers, clock, error types, logging and task diagnostics."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from tanagerscale.core._ids import UpstreamId
 from tanagerscale.core._ids import UpstreamName
 from tanagerscale.core._ids import new_id
-from tanagerscale.core._line_log import LineLog
-from tanagerscale.core._line_log import set_up_line_log
+from tanagerscale.core._line_log import JsonLinesHandler
+from tanagerscale.core._line_log import set_up_json_lines_log
 from tanagerscale.core._log import get_logger
 from tanagerscale.core._log import set_up_logging
-from tanagerscale.core._sockets import watch_peer
+from tanagerscale.core._sockets import enable_tcp_keepalive
 from tanagerscale.core._tasks import TaskStackGroup
 from tanagerscale.core._tasks import group_tasks_by_stack
 from tanagerscale.core._tasks import log_tasks
@@ -40,7 +40,7 @@
     "FailureDomainId",
     "GenerationId",
     "HostId",
-    "LineLog",
+    "JsonLinesHandler",
     "Millis",
     "ModelId",
     "Problem",
@@ -53,11 +53,11 @@
     "UpstreamId",
     "UpstreamName",
     "WallMillis",
+    "enable_tcp_keepalive",
     "get_logger",
     "group_tasks_by_stack",
     "log_tasks",
     "new_id",
-    "set_up_line_log",
+    "set_up_json_lines_log",
     "set_up_logging",
-    "watch_peer",
 ]
--- a/src/tanagerscale/core/_errors.py
+++ b/src/tanagerscale/core/_errors.py
@@ -1,4 +1,4 @@
-"""Typed kinds of errors; each message names the remedy."""
+"""Errors reported to callers; each message names the remedy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @unique
 class Execution(Enum):
-    """What is known about whether a request ran on an upstream."""
+    """Whether a request ran on an upstream, as far as is known."""
 
     NOT_EXECUTED = "not-executed"
     EXECUTED = "executed"
@@ -19,9 +19,9 @@
 
 @unique
 class ProblemKind(Enum):
-    """Kinds of final answers that are not the answer asked for.
+    """Kinds of final error responses.
 
-    The value is the last part of the problem's ``type`` URI (RFC 9457).
+    The value is the last component of the problem's ``type`` URI (RFC 9457).
     """
 
     BAD_REQUEST = "bad-request"
@@ -46,12 +46,12 @@
 
 
 class Problem(Struct, frozen=True, kw_only=True):
-    """A final answer that reports a failure.
+    """Final response that reports a failure.
 
-    :param kind: What went wrong.
+    :param kind: Kind of failure.
     :param detail: One sentence for the caller that names the remedy.
-    :param execution: Whether the request ran.
-    :param retry_after_ms: When coming back helps, how long to wait; otherwise ``None``.
+    :param execution: Whether the request ran on an upstream.
+    :param retry_after_ms: Delay before a retry, or ``None`` if a retry does not help.
     """
 
     kind: ProblemKind
--- a/src/tanagerscale/core/_ids.py
+++ b/src/tanagerscale/core/_ids.py
@@ -1,4 +1,4 @@
-"""Identifier types; each is a plain string or number at run time."""
+"""Identifier types; each is a plain string or integer at run time."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 def new_id(*, prefix: str) -> str:
-    """Return an identifier that no other host will make.
+    """Return a random identifier that is unique across hosts.
 
-    :param prefix: Short word that tells the kind, such as ``"req"``.
+    :param prefix: Short name of the kind of object, such as ``"req"``.
     :returns: The prefix, a hyphen and 96 random bits as hexadecimal digits.
     """
     return f"{prefix}-{secrets.token_hex(ID_BYTES)}"
--- a/src/tanagerscale/core/_line_log.py
+++ b/src/tanagerscale/core/_line_log.py
@@ -1,4 +1,4 @@
-"""JSON log lines on a descriptor that never holds the process up."""
+"""Logging of JSON lines to a file descriptor without blocking the process."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 from tanagerscale.core._clock import MS_PER_SECOND
 from tanagerscale.core._clock import Clock
 
-MOST_LINE_BYTES = 4096
-"""A pipe takes as many bytes whole or not at all (PIPE_BUF), so no line is cut in two."""
+MAX_LINE_BYTES = 4096
+"""PIPE_BUF: writes to a pipe of up to this size are atomic, so no line is split."""
 
-MOST_VALUE_CHARS = 200
-"""What is kept of each text in a line that would be too long; a line has about fifteen fields."""
+MAX_VALUE_CHARS = 200
+"""Length to which each text of an oversized line is truncated; a line has about fifteen fields."""
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 @final
-class LineLog(logbook.Handler):  # type: ignore[misc]
-    """Writes one JSON object a line, at most so many a second, and never waits.
-
-    Lines beyond the limit, and lines that a full pipe would not take, are counted and left out;
-    the next line that goes through tells how many.
-
-    :param descriptor: Where lines go; it is set to fail at once where it would block.
-    :param host: Id of this host, which stands in each line.
-    :param lines_per_s: Most lines a second; warnings and worse are not counted.
-    :param clock: Time.
-    :param level: The least severe line that is written.
+class JsonLinesHandler(logbook.Handler):  # type: ignore[misc]
+    """Log handler that writes one JSON object per line, limits their rate and never blocks.
+
+    Lines that exceed the rate limit or do not fit into a full pipe are dropped. The next line that
+    is written reports how many were dropped, in its field ``lines_left_out``.
+
+    :param descriptor: File descriptor to write to; it is set to non-blocking mode.
+    :param host: Id of this host, included in each line.
+    :param lines_per_s: Maximum number of lines per second; warnings and more severe lines are
+        exempt.
+    :param clock: Clock for the timestamps and the rate limit.
+    :param level: Minimum level of the lines that are written.
     """
 
     def __init__(
@@ -50,19 +51,22 @@
         self._host = host
         self._lines_per_s = lines_per_s
         self._clock = clock
-        self._second = 0
-        self._lines = 0
-        self._left_out = 0
+        self._current_second = 0
+        self._lines_in_second = 0
+        self._dropped_lines = 0
 
     def set_limit(self, *, lines_per_s: int) -> None:
-        """Replace the most lines a second."""
+        """Change the rate limit.
+
+        :param lines_per_s: Maximum number of lines per second.
+        """
         self._lines_per_s = lines_per_s
 
     def emit(self, record: Any) -> None:
-        """Write one record, unless it is one too many."""
+        """Write one record, or drop it if it exceeds the rate limit."""
         now = self._clock.now()
-        if not self._has_room(now) and record.level < logbook.WARNING:
-            self._left_out += 1
+        if not self._is_within_limit(now) and record.level < logbook.WARNING:
+            self._dropped_lines += 1
             return
         line: dict[str, Any] = {
             "t": now,
@@ -75,43 +79,48 @@
         }
         if record.exc_info:
             line["exception"] = record.formatted_exception
-        if self._left_out:
-            line["lines_left_out"] = self._left_out
+        if self._dropped_lines:
+            line["lines_left_out"] = self._dropped_lines
         encoded = _encoder.encode(line) + b"\n"
-        if len(encoded) > MOST_LINE_BYTES:
-            encoded = _encoder.encode(_shortened(line)) + b"\n"
+        if len(encoded) > MAX_LINE_BYTES:
+            encoded = _encoder.encode(_truncate(line)) + b"\n"
         try:
             os.write(self._descriptor, encoded)
-            self._left_out = 0
+            self._dropped_lines = 0
         except OSError:
-            # A reader that is slow or gone costs lines and never requests.
-            self._left_out += 1
+            # A slow or closed reader loses log lines but does not delay requests.
+            self._dropped_lines += 1
 
-    def _has_room(self, now: int) -> bool:
+    def _is_within_limit(self, now: int) -> bool:
         second = now // MS_PER_SECOND
-        if second != self._second:
-            self._second = second
-            self._lines = 0
-        self._lines += 1
-        return self._lines <= self._lines_per_s
+        if second != self._current_second:
+            self._current_second = second
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        return self._lines_in_second <= self._lines_per_s
 
 
-def _shortened(line: dict[str, Any]) -> dict[str, Any]:
-    """Return a line whose long texts and lists are cut, so that it is read as JSON still."""
+def _truncate(line: dict[str, Any]) -> dict[str, Any]:
+    """Return a line with its long texts and lists truncated, so that it stays valid JSON."""
     return {
-        name: str(value)[:MOST_VALUE_CHARS] if isinstance(value, str | list | dict) else value
+        name: str(value)[:MAX_VALUE_CHARS] if isinstance(value, str | list | dict) else value
         for name, value in line.items()
     }
 
 
-def set_up_line_log(*, descriptor: int, host: str, lines_per_s: int, clock: Clock) -> LineLog:
-    """Send all log lines to a descriptor.
+def set_up_json_lines_log(
+    *, descriptor: int, host: str, lines_per_s: int, clock: Clock
+) -> JsonLinesHandler:
+    """Install a handler that writes all log records to a file descriptor as JSON lines.
 
-    :param descriptor: Usually standard output.
+    :param descriptor: File descriptor to write to, usually standard output.
     :param host: Id of this host.
-    :param lines_per_s: Most lines a second.
-    :param clock: Time.
+    :param lines_per_s: Maximum number of lines per second.
+    :param clock: Clock for the timestamps and the rate limit.
+    :returns: The installed handler.
     """
-    handler = LineLog(descriptor=descriptor, host=host, lines_per_s=lines_per_s, clock=clock)
+    handler = JsonLinesHandler(
+        descriptor=descriptor, host=host, lines_per_s=lines_per_s, clock=clock
+    )
     handler.push_application()
     return handler
--- a/src/tanagerscale/core/_log.py
+++ b/src/tanagerscale/core/_log.py
@@ -1,4 +1,4 @@
-"""Structured logs: short sentences with a fixed prefix for each part."""
+"""Structured logging: short messages with fields, under the name of a component."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def get_logger(*, part: str) -> logbook.Logger:
-    """Return the logger of one part.
+    """Return the logger of one component.
 
-    :param part: The fixed prefix of its lines, such as ``"dispatch"``.
+    :param part: Name of the component, included in each line, such as ``"dispatch"``.
     """
     return logbook.Logger(part)
 
 
 def set_up_logging(*, settings: LogSection) -> None:
-    """Send log lines to standard error in the form the settings ask for.
+    """Install a handler that writes log records to standard error.
 
-    :param settings: The ``[log]`` section.
+    :param settings: The ``[log]`` section, which sets the level and the format.
     """
     level = logbook.lookup_level(settings.level.value.upper())
     handler = logbook.StreamHandler(sys.stderr, level=level)
--- a/src/tanagerscale/core/_sockets.py
+++ b/src/tanagerscale/core/_sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel is to watch on a connection."""
+"""TCP options that detect unresponsive peers."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 from tanagerscale.core._clock import MS_PER_SECOND
 
 KEEPALIVE_INTERVAL_S: Final = 1
-"""Pause between the kernel's probes of an idle peer, the shortest the kernel offers."""
+"""Interval between keepalive probes, in seconds; the minimum that the kernel supports."""
 
 
-def watch_peer(transport: BaseTransport, *, silence_s: int, sent_too: bool = False) -> None:
-    """Let the kernel end a connection whose peer went silent without a reset.
+def enable_tcp_keepalive(
+    transport: BaseTransport, *, timeout_s: int, set_user_timeout: bool = False
+) -> None:
+    """Have the kernel close a connection whose peer stops responding without a reset.
 
-    :param transport: The connection.
-    :param silence_s: Seconds without an acknowledgement after which the peer counts as gone.
-    :param sent_too: Whether bytes that stay unacknowledged for so long end it as well. A peer that
-        does not read for a while is cut off then, too.
+    :param transport: Transport of the connection.
+    :param timeout_s: Seconds without an acknowledgement after which the connection is closed.
+    :param set_user_timeout: Whether the connection is also closed when sent data stays
+        unacknowledged for ``timeout_s``. This also disconnects a peer that does not read for that
+        long.
     """
-    connected = transport.get_extra_info("socket")
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    probes = max(silence_s // KEEPALIVE_INTERVAL_S - 1, 1)
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
-    if sent_too:
-        timeout_ms = silence_s * MS_PER_SECOND
-        connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
+    sock = transport.get_extra_info("socket")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    probes = max(timeout_s // KEEPALIVE_INTERVAL_S - 1, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
+    if set_user_timeout:
+        timeout_ms = timeout_s * MS_PER_SECOND
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
--- a/src/tanagerscale/core/_tasks.py
+++ b/src/tanagerscale/core/_tasks.py
@@ -1,4 +1,4 @@
-"""Logs the call stacks of asyncio tasks, to diagnose a process that is stuck."""
+"""Logs the call stacks of asyncio tasks, to diagnose a process that does not make progress."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tanagerscale.core._log import get_logger
 
 MAX_LOGGED_GROUPS = 100
-"""Bounds the output of one dump; a host has a few dozen kinds of tasks."""
+"""Limits the output of one dump; a host has a few dozen distinct call stacks."""
 
 _log = get_logger(part="tasks")
 
@@ -62,5 +62,5 @@
 
 
 def _next_awaitable(awaited: Any) -> Any:
-    """Return what a suspended coroutine or generator waits for, or ``None`` for other objects."""
+    """Return the object that a suspended coroutine or generator awaits, or ``None``."""
     return getattr(awaited, "cr_await", None) or getattr(awaited, "gi_yieldfrom", None)
--- a/src/tanagerscale/measures/_table.py
+++ b/src/tanagerscale/measures/_table.py
@@ -1,4 +1,4 @@
-"""Sums over many requests."""
+"""Measures aggregated over many requests."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from msgspec import Struct
 
 from tanagerscale.core import MS_PER_SECOND
-from tanagerscale.measures._histogram import GapHistogram
+from tanagerscale.measures._histogram import DurationHistogram
 from tanagerscale.measures._timeline import RequestTimeline
 
 
 class Summary(Struct, frozen=True, kw_only=True):
-    """The measures of one run; see docs/MEASURES.md for each definition.
+    """Measures of one run; see docs/MEASURES.md for their definitions.
 
-    :param requests: Requests that ended, in whichever way.
-    :param completed: Requests whose whole answer came.
-    :param stall_s: Stall time of all requests, in seconds.
-    :param short_stall_s: Stall time of requests of short classes, in seconds.
-    :param preemptions: Preemptions by engines.
-    :param gap_p50_ms: Median time between tokens.
-    :param gap_p99_ms: 99th percentile of the time between tokens.
-    :param gap_p999_ms: 99.9th percentile of the time between tokens.
-    :param first_p50_ms: Median wait for the first token.
-    :param first_p99_ms: 99th percentile of the wait for the first token.
-    :param good_answers: Whole answers in good time.
-    :param good_tokens: Tokens of those answers.
-    :param cost_ms: Engine-milliseconds for each completed request.
+    :param requests: Requests that ended, with any outcome.
+    :param completed: Requests whose answer was complete.
+    :param stall_s: Total stall time of all requests, in seconds.
+    :param short_stall_s: Total stall time of requests of short classes, in seconds.
+    :param preemptions: Number of preemptions by engines.
+    :param gap_p50_ms: Median time between tokens, in milliseconds.
+    :param gap_p99_ms: 99th percentile of the time between tokens, in milliseconds.
+    :param gap_p999_ms: 99.9th percentile of the time between tokens, in milliseconds.
+    :param first_p50_ms: Median time to the first token, in milliseconds.
+    :param first_p99_ms: 99th percentile of the time to the first token, in milliseconds.
+    :param good_answers: Complete answers whose stall time is within the limit.
+    :param good_tokens: Tokens of the good answers.
+    :param cost_ms: Engine time per completed request, in milliseconds.
     :param useful_tokens: Tokens of completed answers.
-    :param recomputed_tokens: Tokens whose memory was lost and computed again.
-    :param wasted_tokens: Tokens made and thrown away.
-    :param shed: Refusals with a Retry-After.
-    :param moves: Generations moved before an engine preempted.
+    :param recomputed_tokens: Tokens computed again because their KV cache was lost.
+    :param wasted_tokens: Tokens that were generated and discarded.
+    :param shed: Number of refusals with a Retry-After.
+    :param moves: Generations moved before an engine preempted them.
     """
 
     requests: int
@@ -56,20 +56,20 @@
 
 @final
 class MeasureTable:
-    """Accumulates the measures of many requests."""
+    """Aggregates the measures of many requests."""
 
     def __init__(self) -> None:
-        self.gaps = GapHistogram()
+        self.gaps = DurationHistogram()
         """Time between tokens."""
-        self.first_tokens = GapHistogram()
-        """Wait for the first token."""
+        self.first_tokens = DurationHistogram()
+        """Time to the first token."""
         self.preemptions = 0
         self.recomputed_tokens = 0
         self.wasted_tokens = 0
         self.shed = 0
         self.moves = 0
         self.engine_ms = 0.0
-        """Time in which engines had something to run."""
+        """Time in which engines were busy."""
         self._requests = 0
         self._completed = 0
         self._stall_ms = 0.0
@@ -79,18 +79,18 @@
         self._useful_tokens = 0
 
     def add(self, timeline: RequestTimeline, *, short: bool, complete: bool) -> None:
-        """Count a request that ended.
+        """Add a request that ended.
 
-        :param timeline: Its progress.
-        :param short: Whether its class is one of short answers.
-        :param complete: Whether its whole answer came.
+        :param timeline: Progress of the request.
+        :param short: Whether its request class has short answers.
+        :param complete: Whether its answer was complete.
         """
         self._requests += 1
         self._stall_ms += timeline.stall_ms
         if short:
             self._short_stall_ms += timeline.stall_ms
-        if timeline.first_token_wait is not None:
-            self.first_tokens.record(timeline.first_token_wait)
+        if timeline.time_to_first_token_ms is not None:
+            self.first_tokens.record(timeline.time_to_first_token_ms)
         if not complete:
             self.wasted_tokens += timeline.tokens
             return
@@ -101,7 +101,7 @@
             self._good_tokens += timeline.tokens
 
     def summary(self) -> Summary:
-        """Return the measures so far."""
+        """Return the measures of the requests added so far."""
         return Summary(
             requests=self._requests,
             completed=self._completed,
--- a/src/tanagerscale/measures/_timeline.py
+++ b/src/tanagerscale/measures/_timeline.py
@@ -1,31 +1,31 @@
-"""The progress of one request as its caller sees it."""
+"""Progress of one request as its caller sees it."""
 
 from __future__ import annotations
 
 from typing import final
 
-GOOD_STALL_PART = 0.25
-"""A good answer's stall is at most this part of the time its objectives grant it."""
+MAX_GOOD_STALL_FRACTION = 0.25
+"""Maximum stall time of a good answer, as a fraction of the time that its objectives allow."""
 
 
 @final
 class RequestTimeline:
-    """Stall time of one request.
+    """Measures the stall time of one request.
 
-    Progress is the highest number of tokens made for the request so far, whichever generation
-    made them: tokens made again after a move or a loss are no progress. Stall is the wait for
-    the first token beyond its objective, and each wait for progress beyond the objective for
-    the time between tokens. All times are milliseconds of one clock.
+    Progress is the highest number of tokens generated for the request so far by any generation;
+    tokens generated again after a move or a loss do not count. Stall time is the time to the first
+    token in excess of its objective, plus the excess of each wait for progress over the objective
+    for the time between tokens. All times are in milliseconds of one clock.
 
-    :param arrived: When the request came, before any refusal that it was told to come back on.
-    :param first_token_ms: Objective for the first token.
+    :param arrived: Time of arrival, before any refusal with a Retry-After.
+    :param first_token_ms: Objective for the time to the first token.
     :param token_gap_ms: Objective for the time between tokens.
     """
 
     __slots__ = (
-        "_arrived",
+        "_arrived_at",
         "_first_token_ms",
-        "_last",
+        "_last_progress_at",
         "_token_gap_ms",
         "first_token_at",
         "stall_ms",
@@ -33,28 +33,28 @@
     )
 
     def __init__(self, *, arrived: float, first_token_ms: float, token_gap_ms: float) -> None:
-        self._arrived = arrived
+        self._arrived_at = arrived
         self._first_token_ms = first_token_ms
         self._token_gap_ms = token_gap_ms
-        self._last = arrived
+        self._last_progress_at = arrived
         self.first_token_at: float | None = None
         self.stall_ms = 0.0
         self.tokens = 0
 
     @property
-    def first_token_wait(self) -> float | None:
-        """Return the wait for the first token, or ``None`` before it came."""
-        return None if self.first_token_at is None else self.first_token_at - self._arrived
+    def time_to_first_token_ms(self) -> float | None:
+        """Time to the first token, or ``None`` before it has arrived."""
+        return None if self.first_token_at is None else self.first_token_at - self._arrived_at
 
     def on_tokens(self, *, total: int, now: float) -> float | None:
-        """Record that the request's generation has made ``total`` tokens.
+        """Record that the request's generation has produced ``total`` tokens.
 
-        :returns: The time since the progress before, when this is progress but not the first.
+        :returns: Time since the previous progress, or ``None`` if this is no progress or the first.
         """
         if total <= self.tokens:
             return None
-        waited = now - self._last
-        self._last = now
+        waited = now - self._last_progress_at
+        self._last_progress_at = now
         self.tokens = total
         if self.first_token_at is None:
             self.first_token_at = now
@@ -63,24 +63,27 @@
         self.stall_ms += max(waited - self._token_gap_ms, 0.0)
         return waited
 
-    def add_steps(self, *, total: int, now: float, stall_ms: float) -> None:
-        """Record several tokens at once whose gaps were measured elsewhere.
+    def add_token_batch(self, *, total: int, now: float, stall_ms: float) -> None:
+        """Record several tokens at once whose gaps were measured by the caller.
 
-        :param total: Tokens made in all.
-        :param now: When the last of them came.
-        :param stall_ms: Sum of the gaps' excess over the objective.
+        :param total: Total number of tokens generated.
+        :param now: Time of the last token.
+        :param stall_ms: Sum of the excess of the gaps over the objective.
         """
         if total > self.tokens:
             self.tokens = total
-            self._last = now
+            self._last_progress_at = now
             self.stall_ms += stall_ms
 
     def give_up(self, *, now: float) -> None:
-        """Record that the request ends without its answer; the wait until now was stall."""
-        grace = self._first_token_ms if self.first_token_at is None else self._token_gap_ms
-        self.stall_ms += max(now - self._last - grace, 0.0)
+        """Record that the request ends without a complete answer.
+
+        The wait until now in excess of the objective counts as stall time.
+        """
+        allowed_ms = self._first_token_ms if self.first_token_at is None else self._token_gap_ms
+        self.stall_ms += max(now - self._last_progress_at - allowed_ms, 0.0)
 
     def is_good(self) -> bool:
-        """Return whether a whole answer came in good time."""
-        granted = self._first_token_ms + self._token_gap_ms * self.tokens
-        return self.stall_ms <= max(self._first_token_ms, GOOD_STALL_PART * granted)
+        """Return whether the stall time of a complete answer is within the limit."""
+        allowed_ms = self._first_token_ms + self._token_gap_ms * self.tokens
+        return self.stall_ms <= max(self._first_token_ms, MAX_GOOD_STALL_FRACTION * allowed_ms)
--- a/src/tanagerscale/membership/_websocket.py
+++ b/src/tanagerscale/membership/_websocket.py
@@ -13,7 +13,7 @@
 from websockets.exceptions import ConnectionClosed
 from websockets.exceptions import WebSocketException
 
-from tanagerscale.core import watch_peer
+from tanagerscale.core import enable_tcp_keepalive
 from tanagerscale.generated.settings import TlsSection
 from tanagerscale.membership._link import REMEDIES
 from tanagerscale.membership._link import Accept
@@ -37,7 +37,7 @@
 
     def __init__(self, *, connection: Connection) -> None:
         self._connection = connection
-        watch_peer(connection.transport, silence_s=SILENCE_S, sent_too=True)
+        enable_tcp_keepalive(connection.transport, timeout_s=SILENCE_S, set_user_timeout=True)
 
     async def send(self, frame: bytes) -> None:
         """Send a frame, waiting while the network is slow."""
--- a/src/tanagerscale/platform/__main__.py
+++ b/src/tanagerscale/platform/__main__.py
@@ -12,10 +12,10 @@
 from returns.result import Failure
 
 from tanagerscale.core import Clock
-from tanagerscale.core import LineLog
+from tanagerscale.core import JsonLinesHandler
 from tanagerscale.core import get_logger
 from tanagerscale.core import log_tasks
-from tanagerscale.core import set_up_line_log
+from tanagerscale.core import set_up_json_lines_log
 from tanagerscale.gateway import GatewayHost
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.platform._edges import make_edges
@@ -32,7 +32,7 @@
 
 async def _run(path: Path, settings: GatewaySettings) -> None:
     clock = Clock()
-    lines = set_up_line_log(
+    lines = set_up_json_lines_log(
         descriptor=sys.stdout.fileno(),
         host=settings.host.id,
         lines_per_s=settings.logs.lines_per_s,
@@ -52,7 +52,7 @@
     await host.stop()
 
 
-def _reload(path: Path, host: GatewayHost, lines: LineLog) -> None:
+def _reload(path: Path, host: GatewayHost, lines: JsonLinesHandler) -> None:
     """Put a changed settings file in force, as far as a running host can."""
     result = read_gateway_settings(path=path)
     if isinstance(result, Failure):
--- a/src/tanagerscale/replay/_events.py
+++ b/src/tanagerscale/replay/_events.py
@@ -40,7 +40,7 @@
     def on_pause(self, sequence: Sequence, *, total: int, now: float, excess_ms: float) -> None:
         """Take in what a generation made since."""
         job: Job = sequence.owner
-        job.timeline.add_steps(total=total, now=now, stall_ms=excess_ms)
+        job.timeline.add_token_batch(total=total, now=now, stall_ms=excess_ms)
 
     def on_end(self, sequence: Sequence, *, now: float) -> None:
         """Take in that an answer is complete."""
--- a/src/tanagerscale/upstreams/_connection.py
+++ b/src/tanagerscale/upstreams/_connection.py
@@ -18,7 +18,7 @@
 
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Millis
-from tanagerscale.core import watch_peer
+from tanagerscale.core import enable_tcp_keepalive
 
 MAX_HEAD_BYTES: Final = 64 * 1024
 """Largest field and line of a reply's head that is read."""
@@ -212,7 +212,7 @@
     except (OSError, TimeoutError, ValueError) as error:
         detail = f"No connection to {address} ({type(error).__name__})"
         raise ExchangeError(ExchangeFailure.NOT_SENT, detail) from error
-    watch_peer(transport, silence_s=silence_s)
+    enable_tcp_keepalive(transport, timeout_s=silence_s)
     return HttpConnection(transport=transport, protocol=protocol, opened=now)
 
 
--- a/src/tanagerscale/usage/__init__.py
+++ b/src/tanagerscale/usage/__init__.py
@@ -1,4 +1,4 @@
-"""Cost of requests and the host's metrics."""
+"""Usage accounting of requests and the Prometheus metrics of a host."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/usage/_collector.py
+++ b/src/tanagerscale/usage/_collector.py
@@ -1,4 +1,4 @@
-"""The host's metrics, read from its counters when they are scraped."""
+"""Prometheus collector that reads the host's counters when it is scraped."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class HostGauges(Struct, frozen=True, kw_only=True):
-    """What a host is now.
+    """Current state of a host.
 
-    :param running: Requests inside.
+    :param running: Number of running requests.
     :param revision: Revision of the declarations in force.
-    :param live_hosts: Other hosts connected.
-    :param closed_upstreams: Engines that take no new work.
-    :param peer_sent_bytes: Bytes sent to other hosts since the start.
-    :param peer_received_bytes: Bytes received from them.
+    :param live_hosts: Number of other hosts that are connected.
+    :param closed_upstreams: Number of engines that accept no new work.
+    :param peer_sent_bytes: Bytes sent to other hosts since the host started.
+    :param peer_received_bytes: Bytes received from other hosts since the host started.
     """
 
     running: int
@@ -39,10 +39,10 @@
 
 @final
 class HostCollector(Collector):
-    """Turns the meter and the gauges into metrics; labels come from small fixed sets.
+    """Converts the usage meter and the gauges to metrics; label values come from small fixed sets.
 
-    :param meter: What requests cost.
-    :param gauges: Returns what the host is now.
+    :param meter: Usage meter of the host.
+    :param gauges: Returns the current state of the host.
     """
 
     def __init__(self, *, meter: UsageMeter, gauges: Callable[[], HostGauges]) -> None:
@@ -50,12 +50,12 @@
         self._gauges = gauges
 
     def collect(self) -> Iterable[Metric]:
-        """Return all metrics."""
-        yield from self._counters()
-        yield from self._waits()
-        yield from self._present()
+        """Yield all metrics."""
+        yield from self._collect_counters()
+        yield from self._collect_latencies()
+        yield from self._collect_gauges()
 
-    def _counters(self) -> Iterator[Metric]:
+    def _collect_counters(self) -> Iterator[Metric]:
         counters = self._meter.counters
         requests = CounterMetricFamily(
             f"{PREFIX}_requests", "Requests that ended, by outcome.", labels=["outcome"]
@@ -86,7 +86,7 @@
             value=self._meter.table.engine_ms / 1000,
         )
 
-    def _waits(self) -> Iterator[Metric]:
+    def _collect_latencies(self) -> Iterator[Metric]:
         table = self._meter.table
         for name, text, histogram in (
             ("token_gap", "Time between tokens.", table.gaps),
@@ -97,7 +97,7 @@
                 family.add_metric([str(quantile)], histogram.quantile(quantile))
             yield family
 
-    def _present(self) -> Iterator[Metric]:
+    def _collect_gauges(self) -> Iterator[Metric]:
         gauges = self._gauges()
         for name, text, value in (
             ("requests_running", "Requests inside.", gauges.running),
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -137,8 +137,8 @@
         if report.state is not AnswerState.WHOLE:
             timeline.give_up(now=self._clock.now())
         report.stall_ms = round(timeline.stall_ms)
-        if timeline.first_token_wait is not None:
-            report.first_token_ms = round(timeline.first_token_wait)
+        if timeline.time_to_first_token_ms is not None:
+            report.first_token_ms = round(timeline.time_to_first_token_ms)
         return report
 
     async def book(self, *, service: str, key: str, retry_refused: bool) -> BookingReport:
--- a/standins/demo_tables.py
+++ b/standins/demo_tables.py
@@ -14,7 +14,7 @@
 from standins.caller_reports import BookingReport
 from standins.caller_reports import BookingState
 from tanagerscale.core import MS_PER_SECOND
-from tanagerscale.measures import GapHistogram
+from tanagerscale.measures import DurationHistogram
 
 SHOWN_EXAMPLES = 5
 
@@ -111,7 +111,7 @@
 
 
 def _measures(answers: Sequence[AnswerReport]) -> tuple[str, ...]:
-    first, gaps, whole = GapHistogram(), GapHistogram(), GapHistogram()
+    first, gaps, whole = DurationHistogram(), DurationHistogram(), DurationHistogram()
     streamed = [report for report in answers if report.ask.stream]
     for report in streamed:
         if report.first_token_ms is not None:
--- a/testing/_random_cases.py
+++ b/testing/_random_cases.py
@@ -1,4 +1,4 @@
-"""Random cases: few and the same ones in CI, many new ones by ``make fuzz``."""
+"""Hypothesis settings: few and reproducible cases in CI, many new ones with ``make fuzz``."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from hypothesis import settings
 
 FUZZ_FACTOR = int(os.environ.get("FUZZ_FACTOR", "0"))
-"""How many times as many cases to try; 0 means those of CI."""
+"""Multiplier of the number of cases; 0 runs the reproducible cases of CI."""
 
 
-def cases(*, examples: int, steps: int = 50) -> settings:
-    """Return settings without any limit of time, so that a slow machine changes no verdict.
+def random_case_settings(*, examples: int, steps: int = 50) -> settings:
+    """Return settings without a time limit, so that a slow machine does not cause failures.
 
-    :param examples: Cases in CI.
-    :param steps: Most steps of a state machine.
+    :param examples: Number of cases in CI.
+    :param steps: Maximum number of steps of a state machine.
     """
     return settings(
         max_examples=examples * max(FUZZ_FACTOR, 1),
--- a/testing/_virtual_time.py
+++ b/testing/_virtual_time.py
@@ -1,4 +1,4 @@
-"""Running coroutines in virtual time where a test is not itself a coroutine."""
+"""Runs coroutines in virtual time from tests that are not coroutines themselves."""
 
 from __future__ import annotations
 
@@ -13,24 +13,28 @@
 
 
 def new_virtual_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop whose time passes only when all tasks wait."""
+    """Return an event loop whose time advances only when all tasks are waiting."""
     loop = looptime.new_event_loop(start=0)
     assert isinstance(loop, asyncio.AbstractEventLoop)
     return loop
 
 
-def run_virtually(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end and cancel what it leaves behind."""
+def run_virtually(coroutine: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine to completion and cancel the tasks that it leaves.
+
+    :param coroutine: The coroutine to run.
+    :returns: Its result.
+    """
     loop = new_virtual_loop()
     try:
-        return loop.run_until_complete(work)
+        return loop.run_until_complete(coroutine)
     finally:
         close_loop(loop)
 
 
 def close_loop(loop: asyncio.AbstractEventLoop) -> None:
-    """Cancel all tasks and close the loop."""
-    # A task that is cancelled may start others to clean up.
+    """Cancel all tasks of an event loop and close it."""
+    # A cancelled task may start further tasks to clean up.
     while tasks := asyncio.all_tasks(loop):
         for task in tasks:
             task.cancel()
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for tests with real processes and with stand-ins in the test's own process."""
+"""Fixtures for tests with real processes and with stand-ins in the test process."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
 StartCluster = Callable[[ClusterPlan], Awaitable[Cluster]]
 StartServing = Callable[[ClusterPlan], Awaitable[Cluster]]
 
-READY_PAUSE_S = 0.05
+READY_POLL_INTERVAL_S = 0.05
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-"""Tests of faults that are known and not mended yet."""
+"""List of the tests that fail because of known faults."""
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the tests of known faults run, and pass over them when they fail."""
+    """Mark the tests of known faults as expected failures; they still run."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     known = {line.removeprefix("test:").strip() for line in lines if line.startswith("test:")}
     for item in items:
         if item.nodeid in known:
-            item.add_marker(pytest.mark.xfail(reason="It stands in KNOWN-RED.txt.", strict=False))
+            item.add_marker(pytest.mark.xfail(reason="Listed in KNOWN-RED.txt.", strict=False))
 
 
 @pytest_asyncio.fixture
 async def launcher(tmp_path: Path) -> AsyncIterator[Launcher]:
-    """Start modules as processes, all ended with the test."""
-    async with Launcher(directory=tmp_path) as made:
-        yield made
+    """Starts modules as processes and stops them at the end of the test."""
+    async with Launcher(directory=tmp_path) as created:
+        yield created
 
 
 @pytest_asyncio.fixture
 async def start_cluster(tmp_path: Path) -> AsyncIterator[StartCluster]:
-    """Start clusters of real processes, all ended with the test."""
+    """Starts clusters of real processes and stops them at the end of the test."""
     async with AsyncExitStack() as stack:
 
         async def start(plan: ClusterPlan) -> Cluster:
@@ -60,7 +60,7 @@
 
 @pytest_asyncio.fixture
 async def client_of() -> AsyncIterator[ClientOf]:
-    """Serve applications in the test's own process."""
+    """Serves applications in the test process and returns their clients."""
     async with AsyncExitStack() as stack:
 
         async def serve(app: web.Application) -> Client:
@@ -71,16 +71,16 @@
 
 @pytest_asyncio.fixture
 async def session() -> AsyncIterator[aiohttp.ClientSession]:
-    """Carry the calls of a test."""
-    async with aiohttp.ClientSession() as made:
-        yield made
+    """HTTP client session of the test."""
+    async with aiohttp.ClientSession() as created:
+        yield created
 
 
 @pytest_asyncio.fixture
 async def start_serving(
     start_cluster: StartCluster, session: aiohttp.ClientSession
 ) -> StartServing:
-    """Start clusters whose hosts have their declarations in force."""
+    """Starts clusters, applies their declarations and waits until all hosts are ready."""
 
     async def start(plan: ClusterPlan) -> Cluster:
         cluster = await start_cluster(plan)
@@ -88,15 +88,15 @@
         applied = await cluster.apply()
         assert applied.returncode == 0, applied.output + applied.errors
         for host in cluster.hosts:
-            await _until_ready(session, cluster.caller_url(host))
+            await _wait_until_ready(session, cluster.caller_url(host))
         return cluster
 
     return start
 
 
-async def _until_ready(session: aiohttp.ClientSession, url: str) -> None:
+async def _wait_until_ready(session: aiohttp.ClientSession, url: str) -> None:
     while True:
         async with session.get(f"{url}/readyz") as response:
             if response.status == 200:
                 return
-        await asyncio.sleep(READY_PAUSE_S)
+        await asyncio.sleep(READY_POLL_INTERVAL_S)
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -31,7 +31,7 @@
 from testing._booking_hosts import settle_tasks
 from testing._fake_store import FakeBackend
 from testing._faulty_store import FaultyStore
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 from testing._virtual_time import run_virtually
 
 pytestmark = pytest.mark.looptime
@@ -350,7 +350,7 @@
         for one in (host, other):
             await one.claims.close()
 
-    @cases(examples=60)
+    @random_case_settings(examples=60)
     @given(st.binary(max_size=30) | mangled)
     def run(value: bytes) -> None:
         run_virtually(claim_over(value))
--- a/testing/test_claims_machine.py
+++ b/testing/test_claims_machine.py
@@ -14,7 +14,7 @@
 from testing._booking_hosts import Platform
 from testing._booking_hosts import Point
 from testing._booking_hosts import Told
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 from testing._virtual_time import close_loop
 from testing._virtual_time import new_virtual_loop
 
@@ -158,4 +158,4 @@
 
 
 TestClaimsMachine = ClaimsMachine.TestCase
-TestClaimsMachine.settings = cases(examples=150, steps=30)
+TestClaimsMachine.settings = random_case_settings(examples=150, steps=30)
--- a/testing/test_core.py
+++ b/testing/test_core.py
@@ -1,4 +1,4 @@
-"""Identifiers and the clock."""
+"""Identifiers, the clock and the grouping of tasks."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     assert new_id(prefix="req") != new_id(prefix="req")
 
 
-async def test_tasks_are_grouped_by_call_stack() -> None:
-    # Guards against stacks that lack the inner frames, which show what a task waits for.
+async def test_tasks_are_grouped_by_call_stack_when_suspended() -> None:
+    # Guards against stacks without the inner frames, which show what a task awaits.
     event = asyncio.Event()
 
     async def wait_inside() -> None:
--- a/testing/test_declarations_follow.py
+++ b/testing/test_declarations_follow.py
@@ -22,7 +22,7 @@
 from testing._declared import declare
 from testing._declared import follow
 from testing._fake_store import FakeStore
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 pytestmark = pytest.mark.looptime
 
@@ -311,7 +311,7 @@
 )
 
 
-@cases(examples=150)
+@random_case_settings(examples=150)
 @given(head=HEADS, chunks=CHUNKS)
 def test_offer_of_anything_gets_an_answer_and_changes_nothing(
     head: bytes, chunks: dict[str, str]
--- a/testing/test_declarations_machine.py
+++ b/testing/test_declarations_machine.py
@@ -36,7 +36,7 @@
 from testing._declared import follow
 from testing._fake_store import FakeBackend
 from testing._fake_store import FakeStore
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 HOSTS = 3
 OPERATORS = 2
@@ -280,4 +280,4 @@
 
 
 TestDeclarationsMachine = DeclarationsMachine.TestCase
-TestDeclarationsMachine.settings = cases(examples=60, steps=30)
+TestDeclarationsMachine.settings = random_case_settings(examples=60, steps=30)
--- a/testing/test_declarations_read.py
+++ b/testing/test_declarations_read.py
@@ -15,7 +15,7 @@
 from tanagerscale.generated.declarations import Delivery
 from tanagerscale.generated.declarations import Fencing
 from tanagerscale.ini import InputError
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 HASH = PasswordHasher(time_cost=1, memory_cost=8, parallelism=1).hash("crews.secret")
@@ -173,7 +173,7 @@
 )
 
 
-@cases(examples=150)
+@random_case_settings(examples=150)
 @given(lines=st.lists(st.one_of(LINES, st.text(max_size=30)), max_size=30))
 def test_reader_answers_when_the_file_is_anything(tmp_path: Path, lines: list[str]) -> None:
     file = tmp_path / "fuzz.ini"
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -58,7 +58,7 @@
 from testing._fake_engine import FakeRouter
 from testing._fake_store import FakeBackend
 from testing._fake_store import FakeStore
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 ENGINE = UpstreamId("engine-1")
 MODEL = "round-planner"
@@ -359,7 +359,7 @@
             if response.status >= 400 and method != "HEAD":
                 assert _problem(content).detail
 
-    @cases(examples=120)
+    @random_case_settings(examples=120)
     @example("/v1/completions", VALID_BODY, "POST", "key", "cursor")
     @given(PATHS, BODIES, st.sampled_from(["GET", "POST", "PUT", "HEAD"]), HEADER, HEADER)
     def run(path: str, body: bytes, method: str, key: str, cursor: str) -> None:
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -29,7 +29,7 @@
 from tanagerscale.store import StoreRange
 from tanagerscale.store import StoreRevision
 from tanagerscale.store import WatchBatch
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 PREFIX = "evacuate/"
 DOMAINS = ("a", "b", "c")
@@ -207,4 +207,4 @@
 
 
 TestEvacuations = EvacuationMachine.TestCase
-TestEvacuations.settings = cases(examples=150, steps=40)
+TestEvacuations.settings = random_case_settings(examples=150, steps=40)
--- a/testing/test_fleet_machine.py
+++ b/testing/test_fleet_machine.py
@@ -14,7 +14,7 @@
 from testing._ordered_engines import MAX_LOADS
 from testing._ordered_engines import Fleet
 from testing._ordered_engines import OrderingHost
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 from testing._virtual_time import close_loop
 from testing._virtual_time import new_virtual_loop
 
@@ -141,4 +141,4 @@
 
 
 TestFleetMachine = FleetMachine.TestCase
-TestFleetMachine.settings = cases(examples=8, steps=20)
+TestFleetMachine.settings = random_case_settings(examples=8, steps=20)
--- a/testing/test_forwarding_events.py
+++ b/testing/test_forwarding_events.py
@@ -10,14 +10,14 @@
 
 from tanagerscale.forwarding._events import EventError
 from tanagerscale.forwarding._events import EventReader
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 
 def _event(number: int, data: str) -> bytes:
     return f"id: {number}\ndata: {data}\n\n".encode()
 
 
-@cases(examples=200)
+@random_case_settings(examples=200)
 @given(
     data=st.lists(st.text(alphabet="abc \r:", max_size=8), min_size=1, max_size=6),
     cuts=st.lists(st.integers(min_value=0, max_value=200), max_size=8),
--- a/testing/test_generation.py
+++ b/testing/test_generation.py
@@ -37,7 +37,7 @@
 from testing._fake_engine import Faults
 from testing._fake_engine import ListSink
 from testing._fake_engine import tokens_of
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 LENGTH = 12
 FIRST = UpstreamId("engine-1")
@@ -413,7 +413,7 @@
 )
 
 
-@cases(examples=150)
+@random_case_settings(examples=150)
 @given(first=RANDOM_FAULTS, second=RANDOM_FAULTS, whole=st.booleans())
 def test_nothing_is_doubled_or_mixed_when_both_engines_fail_at_random(
     first: Faults, second: Faults, whole: bool
--- a/testing/test_late_streams.py
+++ b/testing/test_late_streams.py
@@ -13,12 +13,12 @@
 def _line(message: str, request: str, **inputs: object) -> LogLine:
     return LogLine(
         wall_ms=0,
-        order_ms=0,
+        monotonic_ms=0,
         host="h",
         part="p",
         message=message,
         request=request,
-        inputs=inputs,
+        fields=inputs,
     )
 
 
--- a/testing/test_line_log.py
+++ b/testing/test_line_log.py
@@ -1,4 +1,4 @@
-"""Log lines never hold the process up, and tell what they leave out."""
+"""The log handler never blocks the process and reports how many lines it drops."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 
 from tanagerscale.core import Clock
-from tanagerscale.core import LineLog
+from tanagerscale.core import JsonLinesHandler
 from tanagerscale.core import get_logger
 from testing._virtual_time import run_virtually
 
@@ -30,7 +30,7 @@
         os.close(writer)
 
 
-def _lines(reader: int) -> list[dict[str, Any]]:
+def _read_lines(reader: int) -> list[dict[str, Any]]:
     try:
         data = os.read(reader, 1 << 20)
     except BlockingIOError:
@@ -38,16 +38,16 @@
     return [msgspec.json.decode(line) for line in data.splitlines()]
 
 
-def _handler(writer: int, *, lines_per_s: int = 1000) -> LineLog:
-    return LineLog(descriptor=writer, host="h", lines_per_s=lines_per_s, clock=Clock())
+def _make_handler(writer: int, *, lines_per_s: int = 1000) -> JsonLinesHandler:
+    return JsonLinesHandler(descriptor=writer, host="h", lines_per_s=lines_per_s, clock=Clock())
 
 
-def test_line_has_its_host_part_message_and_inputs() -> None:
-    async def play() -> None:
+def test_line_has_host_part_message_and_fields_when_written() -> None:
+    async def scenario() -> None:
         with _pipe() as (reader, writer):
-            with _handler(writer):
+            with _make_handler(writer):
                 log.info("Something was decided.", request="r", age_ms=5)
-            (line,) = _lines(reader)
+            (line,) = _read_lines(reader)
         assert (line["host"], line["part"], line["level"]) == ("h", "part", "info")
         assert (line["message"], line["request"], line["age_ms"]) == (
             "Something was decided.",
@@ -55,75 +55,75 @@
             5,
         )
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_lines_beyond_the_limit_are_counted_and_left_out() -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer, lines_per_s=3):
+def test_lines_are_dropped_and_counted_when_they_exceed_the_limit() -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer, lines_per_s=3):
             for number in range(10):
                 log.info("Line.", number=number)
-            assert [line["number"] for line in _lines(reader)] == [0, 1, 2]
+            assert [line["number"] for line in _read_lines(reader)] == [0, 1, 2]
             await asyncio.sleep(1.0)
             log.info("Line.", number=10)
-            (line,) = _lines(reader)
+            (line,) = _read_lines(reader)
             assert (line["number"], line["lines_left_out"]) == (10, 7)
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_warnings_are_written_beyond_the_limit() -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer, lines_per_s=1):
+def test_warnings_are_written_when_the_limit_is_exceeded() -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer, lines_per_s=1):
             log.info("One.")
             log.info("Two.")
             log.warning("Three.")
-            assert [line["message"] for line in _lines(reader)] == ["One.", "Three."]
+            assert [line["message"] for line in _read_lines(reader)] == ["One.", "Three."]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_full_pipe_costs_lines_and_no_time() -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer, lines_per_s=1_000_000):
+def test_lines_are_dropped_without_blocking_when_the_pipe_is_full() -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer, lines_per_s=1_000_000):
             for number in range(5000):
                 log.info("Line.", number=number, filler="x" * 200)
-            first = _lines(reader)
+            first = _read_lines(reader)
             log.info("Last.")
-            (last,) = _lines(reader)
+            (last,) = _read_lines(reader)
             assert last["lines_left_out"] == 5000 - len(first)
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("size", [3000, 10_000, 1_000_000])
-def test_line_that_is_too_long_is_still_one_that_can_be_read(size: int) -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer):
+def test_line_is_valid_json_when_it_is_too_long(size: int) -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer):
             log.info("Long.", request="r", filler="x" * size)
-            (line,) = _lines(reader)
+            (line,) = _read_lines(reader)
             assert line["request"] == "r"
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_exception_is_in_its_line() -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer):
+def test_line_has_the_exception_when_one_is_logged() -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer):
             try:
                 raise ValueError("broken")
             except ValueError:
                 log.exception("It failed.")
-            (line,) = _lines(reader)
+            (line,) = _read_lines(reader)
             assert "broken" in line["exception"]
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_lines_below_the_level_are_not_written() -> None:
-    async def play() -> None:
-        with _pipe() as (reader, writer), _handler(writer):
+def test_lines_are_not_written_when_below_the_level() -> None:
+    async def scenario() -> None:
+        with _pipe() as (reader, writer), _make_handler(writer):
             log.debug("Detail.")
-            assert _lines(reader) == []
+            assert _read_lines(reader) == []
 
-    run_virtually(play())
+    run_virtually(scenario())
--- a/testing/test_lost_streams.py
+++ b/testing/test_lost_streams.py
@@ -16,12 +16,12 @@
 ) -> LogLine:
     return LogLine(
         wall_ms=at_ms,
-        order_ms=at_ms,
+        monotonic_ms=at_ms,
         host=host,
         part="p",
         message=message,
         request=request,
-        inputs=inputs,
+        fields=inputs,
     )
 
 
--- a/testing/test_mesh.py
+++ b/testing/test_mesh.py
@@ -49,7 +49,7 @@
 from tanagerscale.membership._websocket import SILENCE_S
 from tanagerscale.membership._websocket import WebSocketLink
 from tanagerscale.membership._wire import MAX_FRAME_BYTES
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 HANG_GUARD_S = 30
 
@@ -213,7 +213,7 @@
 
 
 @given(st.binary(max_size=200))
-@cases(examples=300)
+@random_case_settings(examples=300)
 def test_any_bytes_give_a_message_or_a_typed_error(data: bytes) -> None:
     result = decode_frame(data)
     if isinstance(result, Failure):
@@ -221,7 +221,7 @@
 
 
 @given(st.data())
-@cases(examples=300)
+@random_case_settings(examples=300)
 def test_damaged_frames_give_a_message_or_a_typed_error(data: st.DataObject) -> None:
     messages: list[Message] = [ASK, Progress(cell="c", serials=[1, 2], tokens=[3, 4])]
     message = data.draw(st.sampled_from(messages))
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -24,7 +24,7 @@
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE = ROOT / "src" / "tanagerscale"
@@ -172,7 +172,7 @@
     assert isinstance(_decoded(_entry(), key=f"servers/{name}"), Failure)
 
 
-@cases(examples=300)
+@random_case_settings(examples=300)
 @given(
     field=st.sampled_from(sorted(_entry(born=1))),
     value=st.recursive(
@@ -206,7 +206,7 @@
 )
 
 
-@cases(examples=300)
+@random_case_settings(examples=300)
 @given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
 def test_any_configuration_gives_a_value_or_an_error_with_a_remedy(value: bytes) -> None:
     result = decode_configuration(value)
@@ -214,7 +214,7 @@
         assert "older one stays in force" in result.failure()
 
 
-@cases(examples=300)
+@random_case_settings(examples=300)
 @given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
 def test_any_entry_gives_a_value_or_an_error_with_a_remedy(value: bytes) -> None:
     result = decode_entry("servers/i-1", value)
@@ -222,7 +222,7 @@
         assert "left out" in result.failure()
 
 
-@cases(examples=200)
+@random_case_settings(examples=200)
 @given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
 def test_any_answer_to_a_copy_is_read_without_an_error(value: bytes) -> None:
     assert isinstance(_moved(value).handle, str)
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -34,7 +34,7 @@
 from tanagerscale.store import StoreRevision
 from tanagerscale.store import WatchBatch
 from tanagerscale.upstreams import ConnectionPool
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 
 @dataclass(slots=True)
@@ -256,7 +256,7 @@
     await _until(listener, {"a/2": b"2", "a/3": b"3"})
 
 
-@cases(examples=300)
+@random_case_settings(examples=300)
 @given(status=st.sampled_from([200, 404, 500]), body=st.binary(max_size=60))
 def test_any_bytes_from_the_store_give_a_value_or_a_typed_error(status: int, body: bytes) -> None:
     for kind in (WireRange, WireChanges):
--- a/testing/test_policy.py
+++ b/testing/test_policy.py
@@ -28,7 +28,7 @@
 from tanagerscale.policy import Tuning
 from tanagerscale.policy import make_scheduler
 from tanagerscale.policy import tuning_for
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 ENGINES = tuple(UpstreamId(f"engine-{number}") for number in range(3))
 MEMORY = 8_000
@@ -200,7 +200,7 @@
 
 
 TestSchedulerMachine = SchedulerMachine.TestCase
-TestSchedulerMachine.settings = cases(examples=40, steps=40)
+TestSchedulerMachine.settings = random_case_settings(examples=40, steps=40)
 
 
 def test_estimator_keeps_its_curve_when_a_generation_has_not_ended() -> None:
--- a/testing/test_policy_limits.py
+++ b/testing/test_policy_limits.py
@@ -16,7 +16,7 @@
 from tanagerscale.policy import AccountSpec
 from tanagerscale.policy import Limit
 from tanagerscale.policy import RetryBudget
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 ACCOUNT = ClientAccountId("account")
 HOSTS = tuple(HostId(f"host-{number}") for number in range(9))
@@ -24,7 +24,7 @@
 STEP_MS = 10
 
 
-@cases(examples=100)
+@random_case_settings(examples=100)
 @given(st.lists(st.booleans(), max_size=400))
 def test_retries_stay_within_a_tenth_when_anything_fails(wants: list[bool]) -> None:
     budget = RetryBudget()
--- a/testing/test_replay.py
+++ b/testing/test_replay.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tanagerscale.generated.declarations import Objective
-from tanagerscale.measures import GapHistogram
+from tanagerscale.measures import DurationHistogram
 from tanagerscale.measures import MeasureTable
 from tanagerscale.measures import RequestTimeline
 from tanagerscale.replay import POLICIES
@@ -174,7 +174,7 @@
 
 
 def test_quantiles_are_close_when_durations_vary() -> None:
-    histogram = GapHistogram()
+    histogram = DurationHistogram()
     for duration in range(1, 1_001):
         histogram.record(float(duration))
     assert histogram.quantile(0.5) == pytest.approx(500, rel=0.05)
--- a/testing/test_routes.py
+++ b/testing/test_routes.py
@@ -19,7 +19,7 @@
 from testing._gateway_fakes import LIMITS
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_table
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 
 def test_route_is_the_one_with_the_longest_prefix() -> None:
@@ -52,7 +52,7 @@
     assert table.route(host="API.example:8080", path="/a/x") is not None
 
 
-@cases(examples=200)
+@random_case_settings(examples=200)
 @given(
     prefixes=st.sets(
         st.lists(st.sampled_from("ab"), max_size=3).map(
--- a/testing/test_routing_machine.py
+++ b/testing/test_routing_machine.py
@@ -18,7 +18,7 @@
 from tanagerscale.core import HostId
 from tanagerscale.core import ProblemKind
 from tanagerscale.core import UpstreamId
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 from testing._routing_fakes import Cluster
 from testing._routing_fakes import make_engines
 from testing._routing_fakes import make_request
@@ -236,5 +236,5 @@
         return self.loop.run_until_complete(work)
 
 
-LedgerMachine.TestCase.settings = cases(examples=25, steps=25)
+LedgerMachine.TestCase.settings = random_case_settings(examples=25, steps=25)
 TestLedger = LedgerMachine.TestCase
--- a/testing/test_store_etcd.py
+++ b/testing/test_store_etcd.py
@@ -22,7 +22,7 @@
 from tanagerscale.store import PutIf
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 KEY_A = "YQ=="
@@ -309,7 +309,7 @@
         await store.close()
         await runner.cleanup()
 
-    @cases(examples=10)
+    @random_case_settings(examples=10)
     @given(st.lists(replies, min_size=1, max_size=8))
     def run(content: list[bytes]) -> None:
         asyncio.run(call_all(content))
--- a/testing/test_warmup_machine.py
+++ b/testing/test_warmup_machine.py
@@ -24,7 +24,7 @@
 from testing._gateway_fakes import FakeUpstreams
 from testing._gateway_fakes import make_entry
 from testing._gateway_fakes import make_table
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 
 HOSTS = tuple(f"host-{number}" for number in range(8))
 COORDINATORS = HOSTS[:3]
@@ -118,4 +118,4 @@
 
 
 TestWarmup = WarmupMachine.TestCase
-TestWarmup.settings = cases(examples=150, steps=50)
+TestWarmup.settings = random_case_settings(examples=150, steps=50)
--- a/tools/late_streams.py
+++ b/tools/late_streams.py
@@ -84,9 +84,9 @@
 def refusals_of(lines: Iterable[LogLine]) -> Counter[str]:
     """Return why generations were refused, and how many for each reason."""
     return Counter(
-        str(line.inputs["reason"])
+        str(line.fields["reason"])
         for line in lines
-        if line.message == REFUSED and "engines" in line.inputs
+        if line.message == REFUSED and "engines" in line.fields
     )
 
 
@@ -95,13 +95,13 @@
     whole = next((line for line in own if line.message == WHOLE), None)
     if given is None or whole is None:
         return None
-    reasons = {str(line.inputs["reason"]) for line in own if line.message == WAITS}
+    reasons = {str(line.fields["reason"]) for line in own if line.message == WAITS}
     return StreamTime(
         request=request,
-        waited_ms=int(given.inputs["after_ms"]),
-        first_ms=int(whole.inputs["first_event_ms"]),
-        gap_ms=int(whole.inputs["longest_gap_ms"]),
-        engines=int(whole.inputs["engines"]),
+        waited_ms=int(given.fields["after_ms"]),
+        first_ms=int(whole.fields["first_event_ms"]),
+        gap_ms=int(whole.fields["longest_gap_ms"]),
+        engines=int(whole.fields["engines"]),
         reasons=tuple(sorted(reasons)),
     )
 
--- a/tools/lost_streams.py
+++ b/tools/lost_streams.py
@@ -88,7 +88,7 @@
 ) -> Stream:
     whole = next((line for line in own if line.message == WHOLE), None)
     answering = [line for line in own if line.message == "An engine begins to answer."]
-    events = 0 if whole is None else int(whole.inputs["events"])
+    events = 0 if whole is None else int(whole.fields["events"])
     took_ms = 0 if whole is None or not answering else whole.wall_ms - answering[0].wall_ms
     return Stream(
         request=request,
@@ -110,7 +110,7 @@
         return End.ENGINE_FAILED
     failed = next((line for line in own if line.message == FAILED), None)
     if failed is not None:
-        is_cut = failed.inputs.get("kind") in ("upstream-failed", "timed-out")
+        is_cut = failed.fields.get("kind") in ("upstream-failed", "timed-out")
         return End.CUT if is_cut else End.REFUSED
     last = own[-1]
     if any(start >= last.wall_ms for start in starts[last.host]):
