--- a/src/tanagerscale/membership/_websocket.py
+++ b/src/tanagerscale/membership/_websocket.py
@@ -13,7 +13,7 @@
 from websockets.exceptions import ConnectionClosed
 from websockets.exceptions import WebSocketException
 
-from tanagerscale.core import watch_peer
+from tanagerscale.core import enable_tcp_keepalive
 from tanagerscale.generated.settings import TlsSection
 from tanagerscale.membership._link import CLOSE_REASON_TEXTS
 from tanagerscale.membership._link import CloseReason
@@ -38,7 +38,9 @@
 
     def __init__(self, *, connection: Connection) -> None:
         self._connection = connection
-        watch_peer(connection.transport, silence_s=DEAD_PEER_TIMEOUT_S, sent_too=True)
+        enable_tcp_keepalive(
+            connection.transport, timeout_s=DEAD_PEER_TIMEOUT_S, set_user_timeout=True
+        )
 
     async def send(self, frame: bytes) -> None:
         """Send a frame, waiting while the send buffer is full."""
--- a/src/tanagerscale/upstreams/_connection.py
+++ b/src/tanagerscale/upstreams/_connection.py
@@ -18,7 +18,7 @@
 
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Millis
-from tanagerscale.core import watch_peer
+from tanagerscale.core import enable_tcp_keepalive
 
 MAX_HEAD_BYTES: Final = 64 * 1024
 """Maximum size of the status line and of each header field of a response."""
@@ -218,7 +218,7 @@
     except (OSError, TimeoutError, ValueError) as error:
         detail = f"No connection to {address} ({type(error).__name__})"
         raise ExchangeError(ExchangeFailure.NOT_SENT, detail) from error
-    watch_peer(transport, silence_s=dead_peer_timeout_s)
+    enable_tcp_keepalive(transport, timeout_s=dead_peer_timeout_s)
     return HttpConnection(transport=transport, protocol=protocol, opened=now)
 
 
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -31,7 +31,7 @@
 from testing._booking_hosts import cancel_tasks
 from testing._fake_store import FakeBackend
 from testing._faulty_store import FaultyStore
-from testing._random_cases import cases
+from testing._random_cases import random_case_settings
 from testing._virtual_time import run_virtually
 
 pytestmark = pytest.mark.looptime
@@ -363,7 +363,7 @@
         for host_to_close in (host, other):
             await host_to_close.claims.close()
 
-    @cases(examples=60)
+    @random_case_settings(examples=60)
     @given(st.binary(max_size=30) | malformed)
     def run(value: bytes) -> None:
         run_virtually(claim_over(value))
