--- a/src/tanagerscale/coordination/_parts.py
+++ b/src/tanagerscale/coordination/_parts.py
@@ -18,7 +18,7 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.core import UpstreamId
 from tanagerscale.policy import EngineView
-from tanagerscale.routes import ANYWHERE
+from tanagerscale.routes import ANY_FAILURE_DOMAIN
 from tanagerscale.routes import EngineCapabilities
 from tanagerscale.routes import RouteTable
 from tanagerscale.upstreams import UpstreamEntry
@@ -123,7 +123,7 @@
     known: UpstreamKnowledge,
     service: ServiceId,
     excluded: Set[UpstreamId] = frozenset(),
-    domains: Set[FailureDomainId] = ANYWHERE,
+    domains: Set[FailureDomainId] = ANY_FAILURE_DOMAIN,
 ) -> list[UpstreamEntry]:
     """Return the upstreams of a service that new work may go to, the sound ones if there are any.
 
--- a/src/tanagerscale/delivery/__init__.py
+++ b/src/tanagerscale/delivery/__init__.py
@@ -1,4 +1,4 @@
-"""Delivery of tokens to callers: once, in order, from one generation."""
+"""Delivery of a generation's tokens to callers, each exactly once and in order."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from tanagerscale.delivery._cursor import CursorBinding
 from tanagerscale.delivery._cursor import CursorSigner
 from tanagerscale.delivery._cursor import verify_cursor
+from tanagerscale.delivery._sinks import BufferedSink
 from tanagerscale.delivery._sinks import EventFormat
 from tanagerscale.delivery._sinks import EventWriter
 from tanagerscale.delivery._sinks import StreamSink
-from tanagerscale.delivery._sinks import WholeSink
 
 __all__ = [
+    "BufferedSink",
     "Cursor",
     "CursorBinding",
     "CursorSigner",
     "EventFormat",
     "EventWriter",
     "StreamSink",
-    "WholeSink",
     "verify_cursor",
 ]
--- a/src/tanagerscale/delivery/_sinks.py
+++ b/src/tanagerscale/delivery/_sinks.py
@@ -1,4 +1,4 @@
-"""The ways tokens reach a caller."""
+"""Sinks that deliver tokens to callers, streamed or buffered."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from tanagerscale.delivery._cursor import CursorBinding
 from tanagerscale.delivery._cursor import CursorSigner
 
-COMEBACK_MS = 5000
-"""How long an attempt goes on for a caller that has left and holds a cursor."""
+RECONNECT_GRACE_MS = 5000
+"""How long an attempt continues after a caller that holds a cursor has disconnected."""
 
 
 class EventWriter(Protocol):
-    """An open reply to a caller; ``write`` waits while the caller reads slowly."""
+    """An open response to a caller; ``write`` waits while the caller reads slowly."""
 
     def write(self, data: bytes) -> Awaitable[None]:
-        """Send bytes."""
+        """Send bytes to the caller."""
 
 
 SignerFactory = Callable[[AttemptId, UpstreamId], CursorSigner]
@@ -31,9 +31,9 @@
 
 @final
 class EventFormat:
-    """Frames tokens as server-sent events in the form of the callers' interface.
+    """Encodes tokens as server-sent events of the completions API.
 
-    :param binding: Names the request; events carry its request id and model.
+    :param binding: Binding of the request; events contain its request id and model.
     """
 
     def __init__(self, *, binding: CursorBinding) -> None:
@@ -54,16 +54,16 @@
     def tokens(self, *, cursor: bytes, text: str) -> bytes:
         """Return one event with the text of one or more tokens.
 
-        :param cursor: Position behind them.
-        :param text: Their text.
+        :param cursor: Cursor for the position after the tokens.
+        :param text: Text of the tokens.
         """
         return b"id: " + cursor + self._start + self._encode(text) + self._end
 
     def finish(self, *, cursor: bytes, reason: str) -> bytes:
-        """Return the last events of a whole answer.
+        """Return the last events of a complete response.
 
-        :param cursor: Position behind the last token.
-        :param reason: Why the generation ended.
+        :param cursor: Cursor for the position after the last token.
+        :param reason: Finish reason of the generation.
         """
         closing = self._finish + self._encode(reason) + b"}]}\n\ndata: [DONE]\n\n"
         return b"id: " + cursor + self._start + b'""' + closing
@@ -71,12 +71,13 @@
 
 @final
 class StreamSink:
-    """Hands each batch on as one event, as it comes.
+    """Streams each batch of tokens to the caller as one event when it arrives.
 
-    :param writer: Reply to the caller.
-    :param signer_of: Makes the signer of an attempt's cursors.
-    :param event_format: Frames the events.
-    :param offset: Tokens the caller already holds.
+    :param writer: Response to the caller.
+    :param signer_of: Creates the signer of an attempt's cursors.
+    :param event_format: Encodes the events.
+    :param offset: Number of tokens that the caller already has.
+    :param checksum: Running CRC-32 of their text.
     """
 
     def __init__(
@@ -97,44 +98,46 @@
 
     @property
     def cancel_after_ms(self) -> int | None:
-        """A caller with a cursor may come back for a while."""
-        return COMEBACK_MS
+        """How long the attempt continues after a disconnect; a caller can resume by its cursor."""
+        return RECONNECT_GRACE_MS
 
     async def begin(self, *, attempt: AttemptId, engine: UpstreamId) -> None:
-        """Sign the cursors of a new attempt from now on."""
+        """Use the cursors of a new attempt from now on."""
         self._signer = self._signer_of(attempt, engine)
 
     def deliver(self, *, texts: Sequence[str], offset: int, checksum: int) -> Awaitable[None]:
-        """Send one event with all texts, so that the caller holds all of them or none."""
+        """Send one event with all texts, so that the caller receives all of them or none."""
         self._offset = offset
         self._checksum = checksum
         text = texts[0] if len(texts) == 1 else "".join(texts)
         return self._writer.write(self._format.tokens(cursor=self._cursor(), text=text))
 
     def discard(self) -> bool:
-        """Return whether the caller holds nothing yet."""
+        """Return whether the caller has received no tokens yet."""
         return self._offset == 0
 
     async def finish(self, *, reason: str) -> None:
-        """Send the end marker of a whole answer.
+        """Send the end marker of a complete response.
 
-        :param reason: Why the generation ended.
+        :param reason: Finish reason of the generation.
         """
         await self._writer.write(self._format.finish(cursor=self._cursor(), reason=reason))
 
     def _cursor(self) -> bytes:
         if self._signer is None:
-            raise RuntimeError("Tokens came before their attempt; call begin first.")
+            raise RuntimeError(
+                "Tokens cannot be delivered before an attempt has begun; call begin first."
+            )
         return self._signer.sign(offset=self._offset, checksum=self._checksum)
 
 
 @final
-class WholeSink:
-    """Holds all tokens until the answer is complete.
+class BufferedSink:
+    """Buffers all tokens until the response is complete.
 
-    :param signer_of: Makes the signer of an attempt's cursors; ``None`` for callers that take
-        one plain reply.
-    :param writer: Reply to a caller that asked for events, who gets a cursor for each attempt.
+    :param signer_of: Creates the signer of an attempt's cursors; ``None`` for callers that asked
+        for a single plain response.
+    :param writer: Response to a caller that asked for events; it gets a cursor for each attempt.
     """
 
     def __init__(
@@ -149,16 +152,16 @@
 
     @property
     def text(self) -> str:
-        """All tokens so far."""
+        """Text of all tokens received so far."""
         return "".join(self._texts)
 
     @property
     def cancel_after_ms(self) -> int | None:
-        """Only a caller that holds a cursor can come back."""
-        return 0 if self._signer_of is None else COMEBACK_MS
+        """How long the attempt continues after a disconnect; 0 if the caller has no cursor."""
+        return 0 if self._signer_of is None else RECONNECT_GRACE_MS
 
     async def begin(self, *, attempt: AttemptId, engine: UpstreamId) -> None:
-        """Give a caller of events the cursor of a new attempt."""
+        """Send a caller that asked for events the cursor of a new attempt."""
         if self._signer_of is None or self._writer is None:
             return
         self._signer = self._signer_of(attempt, engine)
@@ -166,24 +169,26 @@
         await self._writer.write(b"id: " + cursor + b"\n\n")
 
     async def deliver(self, *, texts: Sequence[str], offset: int, checksum: int) -> None:
-        """Hold the texts."""
+        """Buffer the texts."""
         self._texts.extend(texts)
         self._offset = offset
         self._checksum = checksum
 
     def discard(self) -> bool:
-        """Drop all tokens, none of which has reached the caller."""
+        """Drop all tokens, none of which have been sent to the caller; always return ``True``."""
         self._texts.clear()
         return True
 
     async def send_all(self, *, event_format: EventFormat, reason: str) -> None:
-        """Send the whole answer and its end marker to a caller of events.
+        """Send the complete response and its end marker to a caller that asked for events.
 
-        :param event_format: Frames the events.
-        :param reason: Why the generation ended.
+        :param event_format: Encodes the events.
+        :param reason: Finish reason of the generation.
         """
         if self._signer is None or self._writer is None:
-            raise RuntimeError("The caller did not ask for events; read the text instead.")
+            raise RuntimeError(
+                "Events can't be sent to a caller that did not ask for them; read the text instead."
+            )
         cursor = self._signer.sign(offset=self._offset, checksum=self._checksum)
         tokens = event_format.tokens(cursor=cursor, text=self.text) if self._texts else b""
         await self._writer.write(tokens + event_format.finish(cursor=cursor, reason=reason))
--- a/src/tanagerscale/entry/_completions.py
+++ b/src/tanagerscale/entry/_completions.py
@@ -24,12 +24,12 @@
 from tanagerscale.core import get_logger
 from tanagerscale.core import new_id
 from tanagerscale.declarations import Declarations
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.delivery import Cursor
 from tanagerscale.delivery import CursorBinding
 from tanagerscale.delivery import CursorSigner
 from tanagerscale.delivery import EventFormat
 from tanagerscale.delivery import StreamSink
-from tanagerscale.delivery import WholeSink
 from tanagerscale.delivery import verify_cursor
 from tanagerscale.dispatch import Attempt
 from tanagerscale.dispatch import AttemptEnd
@@ -115,7 +115,7 @@
         raise AssertionError("A Result is a Success or a Failure.")
 
     async def _reply_whole(self, checked: GenerationRequest, chat: bool) -> web.Response:
-        sink = WholeSink()
+        sink = BufferedSink()
         generation = Generation(request=checked, sink=sink, parts=self._parts.dispatch)
         match await self._run_counted(generation, checked):
             case Success(finish):
@@ -153,9 +153,9 @@
             bound = msgspec.structs.replace(binding, attempt=attempt, engine=engine)
             return CursorSigner(key=self._parts.cursor_key, binding=bound)
 
-        sink: StreamSink | WholeSink
+        sink: StreamSink | BufferedSink
         if checked.whole and (cursor is None or cursor.offset == 0):
-            sink = WholeSink(signer_of=signer_of, writer=reply)
+            sink = BufferedSink(signer_of=signer_of, writer=reply)
         else:
             sink = StreamSink(
                 writer=reply,
--- a/src/tanagerscale/entry/_replies.py
+++ b/src/tanagerscale/entry/_replies.py
@@ -12,9 +12,9 @@
 from returns.result import Success
 
 from tanagerscale.core import Problem
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.delivery import EventFormat
 from tanagerscale.delivery import StreamSink
-from tanagerscale.delivery import WholeSink
 from tanagerscale.dispatch import Finish
 from tanagerscale.dispatch import GenerationRequest
 from tanagerscale.entry._problems import problem_event
@@ -70,7 +70,7 @@
 
 async def end_stream(
     result: Result[Finish, Problem],
-    sink: StreamSink | WholeSink,
+    sink: StreamSink | BufferedSink,
     reply: LazyReply,
     event_format: EventFormat,
     request_id: str,
@@ -85,7 +85,7 @@
     """
     match result:
         case Success(finish):
-            if isinstance(sink, WholeSink):
+            if isinstance(sink, BufferedSink):
                 await sink.send_all(event_format=event_format, reason=finish.reason.value)
             else:
                 await sink.finish(reason=finish.reason.value)
--- a/src/tanagerscale/forwarding/_dispatcher.py
+++ b/src/tanagerscale/forwarding/_dispatcher.py
@@ -29,9 +29,9 @@
 from tanagerscale.forwarding._types import Refusal
 from tanagerscale.forwarding._types import Responder
 from tanagerscale.forwarding._types import RoutedRequest
+from tanagerscale.routes import AllowedRegions
 from tanagerscale.routes import Caller
 from tanagerscale.routes import EngineCapabilities
-from tanagerscale.routes import Homes
 from tanagerscale.routes import Route
 from tanagerscale.routes import RouteKind
 from tanagerscale.routes import RouteTable
@@ -57,7 +57,7 @@
         parts: ForwardingParts,
         admission: Admission,
         movers: StreamMovers,
-        homes: Homes,
+        homes: AllowedRegions,
         is_stopping: Callable[[], bool],
     ) -> None:
         self._parts = parts
--- a/src/tanagerscale/forwarding/_types.py
+++ b/src/tanagerscale/forwarding/_types.py
@@ -19,7 +19,7 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.quarantine import Fingerprint
 from tanagerscale.quarantine import fingerprint_of
-from tanagerscale.routes import ANYWHERE
+from tanagerscale.routes import ANY_FAILURE_DOMAIN
 from tanagerscale.routes import Caller
 from tanagerscale.routes import EngineCapabilities
 from tanagerscale.routes import Route
@@ -109,7 +109,7 @@
     service: ServiceId
     engine: EngineCapabilities | None
     deadline: Millis
-    domains: frozenset[FailureDomainId] = ANYWHERE
+    domains: frozenset[FailureDomainId] = ANY_FAILURE_DOMAIN
 
     @property
     def fingerprint(self) -> Fingerprint:
--- a/src/tanagerscale/gateway/__init__.py
+++ b/src/tanagerscale/gateway/__init__.py
@@ -1,8 +1,8 @@
-"""A host that forwards by routes: its parts, joined and ended in order."""
+"""Composition and lifecycle of a host that forwards requests by route."""
 
 from __future__ import annotations
 
-from tanagerscale.gateway._edges import Edges
 from tanagerscale.gateway._host import GatewayHost
+from tanagerscale.gateway._platform import Platform
 
-__all__ = ["Edges", "GatewayHost"]
+__all__ = ["GatewayHost", "Platform"]
--- a/src/tanagerscale/gateway/_caller_edge.py
+++ b/src/tanagerscale/gateway/_caller_handler.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP: whole requests in, answers out."""
+"""HTTP request handling for callers: reads whole requests and writes responses."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tanagerscale.forwarding import Header
 from tanagerscale.forwarding import Refusal
 from tanagerscale.forwarding import RefusalKind
-from tanagerscale.gateway._edges import CallerCodec
-from tanagerscale.gateway._edges import CallerRules
-from tanagerscale.gateway._edges import Serve
+from tanagerscale.gateway._platform import CallerCodec
+from tanagerscale.gateway._platform import CallerRules
+from tanagerscale.gateway._platform import RequestHandler
 
-STATUSES: Final = {
+STATUS_BY_REFUSAL: Final = {
     RefusalKind.NOT_READY: 503,
     RefusalKind.UNKNOWN_ROUTE: 404,
     RefusalKind.UNKNOWN_KEY: 401,
@@ -37,20 +37,20 @@
 
 
 @final
-class CallerEdge:
-    """Reads requests whole and carries their answers.
+class CallerRequestHandler:
+    """Reads each request completely, decodes it and passes it on to be served.
 
-    :param serve: Answers one request.
+    :param serve: Serves one decoded request.
     :param codec: Decodes requests.
-    :param rules: What callers may do.
-    :param is_stopping: Returns whether each connection is to end after its answer.
-    :param clock: Time.
+    :param rules: Limits that apply to callers.
+    :param is_stopping: Returns whether every connection is closed after its response.
+    :param clock: Clock that timestamps the arrival of requests.
     """
 
     def __init__(
         self,
         *,
-        serve: Serve,
+        serve: RequestHandler,
         codec: CallerCodec,
         rules: CallerRules,
         is_stopping: Callable[[], bool],
@@ -63,10 +63,10 @@
         self._clock = clock
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request; the handler of an aiohttp server."""
-        responder = HttpResponder(
+        """Handle one request; this is the handler of the aiohttp server."""
+        responder = AiohttpResponder(
             request=request,
-            echoed=self._codec.echoed(request),
+            echoed_headers=self._codec.echoed_headers(request),
             idle_timeout_ms=None if self._is_stopping() else self._rules.idle_timeout_ms(),
         )
         arrived = self._clock.now()
@@ -83,7 +83,7 @@
         return responder.response
 
     async def _read_body(self, request: web.BaseRequest) -> bytes | None:
-        """Return the whole body, or ``None`` when it is too large."""
+        """Return the whole body, or ``None`` if it exceeds the size limit."""
         if not request.can_read_body:
             return b""
         limit = self._rules.body_bytes()
@@ -102,55 +102,56 @@
 
 
 @final
-class HttpResponder:
-    """Carries one answer to its caller.
+class AiohttpResponder:
+    """Writes the response to one request over aiohttp.
 
-    :param request: What is answered.
-    :param echoed: Fields of it that answers of our own repeat.
-    :param idle_timeout_ms: How long the connection may stay idle afterwards; ``None`` ends it.
+    :param request: The request to respond to.
+    :param echoed_headers: Header fields of the request that the gateway's own responses repeat.
+    :param idle_timeout_ms: How long the connection may stay idle after the response; ``None``
+        closes it.
     """
 
     def __init__(
         self,
         *,
         request: web.BaseRequest,
-        echoed: Sequence[Header],
+        echoed_headers: Sequence[Header],
         idle_timeout_ms: int | None,
     ) -> None:
         self._request = request
-        self._echoed = echoed
+        self._echoed = echoed_headers
         self._idle_timeout_ms = idle_timeout_ms
         self._response: web.StreamResponse | None = None
 
     @property
     def response(self) -> web.StreamResponse:
-        """What the HTTP server finishes after the answer."""
+        """The response object that the aiohttp server finishes."""
         assert self._response is not None
         return self._response
 
     @property
     def begun(self) -> bool:
-        """Whether the head of the answer has been sent."""
+        """Whether the head of the response has been sent."""
         return self._response is not None
 
     async def begin(self, *, status: int, reason: str, headers: Sequence[Header]) -> None:
-        """Send the head of an answer whose body comes in pieces."""
+        """Send the head of a response whose body is streamed."""
         response = web.StreamResponse(status=status, reason=reason, headers=CIMultiDict(headers))
         self._prepare(response)
         await response.prepare(self._request)
 
     async def write(self, chunk: bytes) -> None:
-        """Send a piece of the body, waiting while the caller is slow."""
+        """Send a chunk of the body, waiting while the caller reads slowly."""
         await self.response.write(chunk)
 
     async def end(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the end of a complete response."""
         await self.response.write_eof()
 
     async def answer(
         self, *, status: int, reason: str, headers: Sequence[Header], body: bytes
     ) -> None:
-        """Send a whole answer at once."""
+        """Send a complete response."""
         response = web.Response(
             status=status, reason=reason, headers=CIMultiDict(headers), body=body
         )
@@ -159,24 +160,24 @@
         await response.write_eof()
 
     async def refuse(self, *, refusal: Refusal) -> None:
-        """Send an answer of our own, as problem details (RFC 9457)."""
+        """Send an error response of the gateway itself, as problem details (RFC 9457)."""
         problem = {"type": f"urn:tanagerscale:{refusal.kind.value}", "detail": refusal.detail}
         headers = [("Content-Type", "application/problem+json"), *self._echoed]
         if refusal.retry_after_ms is not None:
             headers.append(("Retry-After", f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"))
         await self.answer(
-            status=STATUSES[refusal.kind],
+            status=STATUS_BY_REFUSAL[refusal.kind],
             reason=refusal.kind.value,
             headers=headers,
             body=msgspec.json.encode(problem),
         )
 
     def close_after_answer(self) -> None:
-        """End the connection after this answer."""
+        """Close the connection after this response."""
         self._idle_timeout_ms = None
 
     def abort(self) -> None:
-        """Break the connection, so that what was sent does not look whole."""
+        """Abort the connection, so that a partial response does not look complete."""
         if self._response is None:
             self._response = web.StreamResponse()
         transport = self._request.transport
--- a/src/tanagerscale/gateway/_caller_server.py
+++ b/src/tanagerscale/gateway/_caller_server.py
@@ -1,4 +1,4 @@
-"""The server that callers connect to."""
+"""HTTP server that accepts connections from callers."""
 
 from __future__ import annotations
 
@@ -12,42 +12,43 @@
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.core import Clock
 from tanagerscale.core import Millis
-from tanagerscale.gateway._caller_edge import CallerEdge
-from tanagerscale.gateway._edges import CallerCodec
-from tanagerscale.gateway._edges import CallerRules
-from tanagerscale.gateway._edges import Serve
+from tanagerscale.gateway._caller_handler import CallerRequestHandler
+from tanagerscale.gateway._platform import CallerCodec
+from tanagerscale.gateway._platform import CallerRules
+from tanagerscale.gateway._platform import RequestHandler
 
-IDLE_LIMIT_S: Final = 3600.0
-"""Beyond any idle time that may be declared; the declared one is kept by ``sweep``."""
+MAX_KEEPALIVE_S: Final = 3600.0
+"""Above any idle timeout that can be configured; ``close_idle`` enforces the configured one."""
 MAX_HEAD_BYTES: Final = 64 * 1024
-"""Beyond any size that may be declared for a head."""
-BACKLOG: Final = 1024
-"""Connections that may wait to be accepted; where it is full, their first packet is dropped and
-sent again only after a second."""
-END_MS: Final = 30
-"""Time for a request that has just been read to reach its handler; many turns of the event loop."""
+"""Above any limit for the head of a request that can be configured."""
+ACCEPT_BACKLOG: Final = 1024
+"""Connections that may wait to be accepted. When the backlog is full, the first packet of a new
+connection is dropped and resent only after one second."""
+CLOSE_GRACE_MS: Final = 30
+"""Time for a request that has just been read to reach its handler; covers many iterations of the
+event loop."""
 SHUTDOWN_TIMEOUT_S: Final = 0.2
 
 
 @final
 class CallerServer:
-    """Accepts callers and ends connections that are idle for too long.
+    """Accepts connections from callers and closes those that stay idle for too long.
 
-    :param serve: Answers one request.
+    :param serve: Serves one decoded request.
     :param codec: Decodes requests.
-    :param rules: What callers may do.
-    :param clock: Time.
+    :param rules: Limits that apply to callers.
+    :param clock: Clock that measures idle times.
     """
 
     def __init__(
-        self, *, serve: Serve, codec: CallerCodec, rules: CallerRules, clock: Clock
+        self, *, serve: RequestHandler, codec: CallerCodec, rules: CallerRules, clock: Clock
     ) -> None:
         self._rules = rules
         self._clock = clock
         self._stopping = False
         self._idle_since: dict[asyncio.BaseProtocol, Millis | None] = {}
-        """Each connection with the time since when it is idle; ``None`` while it is answered."""
-        edge = CallerEdge(
+        """When each connection became idle; ``None`` while a request on it is being handled."""
+        edge = CallerRequestHandler(
             serve=serve,
             codec=codec,
             rules=rules,
@@ -57,29 +58,29 @@
         self._handle = edge.handle
 
     async def start(self, *, address: str) -> None:
-        """Begin to accept.
+        """Start to accept connections.
 
-        :param address: IP number and port.
+        :param address: IP address and port to listen on.
         """
         self._server = web.Server(
             self._track,
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
-            keepalive_timeout=IDLE_LIMIT_S,
+            keepalive_timeout=MAX_KEEPALIVE_S,
             max_line_size=MAX_HEAD_BYTES,
             max_field_size=MAX_HEAD_BYTES,
         )
         self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         host, _, port = address.rpartition(":")
-        self._site = web.TCPSite(self._runner, host, int(port), backlog=BACKLOG)
+        self._site = web.TCPSite(self._runner, host, int(port), backlog=ACCEPT_BACKLOG)
         await self._site.start()
 
-    def sweep(self, *, limit_ms: int | None = None) -> None:
-        """End connections that have been idle for too long.
+    def close_idle(self, *, limit_ms: int | None = None) -> None:
+        """Close connections that have been idle for too long.
 
-        :param limit_ms: What is too long; ``None`` means longer than is declared.
+        :param limit_ms: Longest idle time; ``None`` uses the configured idle timeout.
         """
         now = self._clock.now()
         limit = self._rules.idle_timeout_ms() if limit_ms is None else limit_ms
@@ -89,41 +90,42 @@
         for protocol in present:
             since = self._idle_since[protocol]
             if since is not None and now - since > limit:
-                self._end(protocol)
+                self._close_after_grace(protocol)
 
-    def _end(self, protocol: web.RequestHandler) -> None:
-        """End an idle connection, unless a request has just come in on it.
+    def _close_after_grace(self, protocol: web.RequestHandler) -> None:
+        """Close an idle connection unless a request has just arrived on it.
 
-        A request that was read already is answered, and its connection ends after the answer; what
-        comes later is not read any more.
+        A request that has already been read gets its response, and the connection is closed after
+        it. Nothing that arrives later is read.
         """
         protocol.close()
         loop = asyncio.get_running_loop()
-        loop.call_later(END_MS / MS_PER_SECOND, self._end_now, protocol)
+        loop.call_later(CLOSE_GRACE_MS / MS_PER_SECOND, self._force_close_idle, protocol)
 
-    def _end_now(self, protocol: web.RequestHandler) -> None:
+    def _force_close_idle(self, protocol: web.RequestHandler) -> None:
         if self._idle_since.get(protocol, Millis(0)) is not None:
             protocol.force_close()
 
-    def begin_stop(self) -> None:
-        """End each connection after its answer from now on."""
+    def begin_shutdown(self) -> None:
+        """Close every connection after its response from now on."""
         self._stopping = True
 
     async def stop_listening(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         await self._site.stop()
 
-    def end_idle(self, *, idle_ms: int) -> bool:
-        """End connections that have been idle for so long.
+    def drain(self, *, idle_ms: int) -> bool:
+        """Close connections that have been idle for at least a given time.
 
-        :param idle_ms: A request may be on its way on one that was used more lately.
+        :param idle_ms: Idle time in milliseconds; a request may be in transit on a connection that
+            was used more recently.
         :returns: Whether no connection is left.
         """
-        self.sweep(limit_ms=idle_ms)
+        self.close_idle(limit_ms=idle_ms)
         return not self._server.connections
 
     async def close(self) -> None:
-        """End everything."""
+        """Close all connections and stop the server."""
         for protocol in self._server.connections:
             protocol.force_close()
         await self._runner.cleanup()
@@ -137,11 +139,11 @@
 
 
 async def serve_readiness(*, is_ready: Callable[[], bool], address: str) -> web.ServerRunner:
-    """Answer the platform's question whether this host takes new connections.
+    """Serve the readiness check, by which the platform decides whether to send connections here.
 
-    :param is_ready: Returns the present answer.
-    :param address: IP number and port.
-    :returns: What ends it.
+    :param is_ready: Returns whether the host accepts new connections.
+    :param address: IP address and port to listen on.
+    :returns: The runner; its ``cleanup`` stops the server.
     """
 
     async def handle(_request: web.BaseRequest) -> web.StreamResponse:
--- a/src/tanagerscale/gateway/_configuration.py
+++ b/src/tanagerscale/gateway/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, from the store or from peers, never an older one again."""
+"""Active configuration, taken from the store or from peers; its version never decreases."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 from tanagerscale.core import Revision
 from tanagerscale.core import get_logger
-from tanagerscale.gateway._packing import pack
-from tanagerscale.gateway._packing import unpack
+from tanagerscale.gateway._compression import compress
+from tanagerscale.gateway._compression import decompress
 from tanagerscale.generated.messages import HeadContent
 from tanagerscale.membership import NOT_PACKED
 from tanagerscale.routes import Configuration
@@ -28,9 +28,9 @@
 from tanagerscale.store import StoreRange
 from tanagerscale.store import WatchBatch
 
-KEPT_VERSIONS: Final = 4
-"""Versions that are kept, so that hosts which are a few behind get only what differs. A version
-takes some 12 KB, and up to a megabyte."""
+MAX_KEPT_VERSIONS: Final = 4
+"""Versions kept in memory, so that hosts that lag by a few versions receive only a delta. A version
+takes about 12 KB, and at most a megabyte."""
 
 _log = get_logger(part="configuration")
 
@@ -38,31 +38,34 @@
 
 
 @final
-class ConfigurationKeeper:
-    """Puts each newer version in force as a whole.
+class ConfigurationManager:
+    """Activates each newer version of the configuration as a whole.
 
-    :param decode: Reads the stored value.
+    :param decode: Decodes the stored value.
     """
 
     def __init__(self, *, decode: Decode) -> None:
         self._decode = decode
         self._values: OrderedDict[Revision, bytes] = OrderedDict()
-        """The last versions, by which newer ones are told."""
+        """Encoded values of the last versions, used as dictionaries to compress newer ones."""
         self._tables: BehaviorSubject[RouteTable | None] = BehaviorSubject(None)
 
     @property
     def tables(self) -> BehaviorSubject[RouteTable | None]:
-        """What is in force, at once and after each change; ``None`` before anything is known."""
+        """Emits the active table on subscription and after each change.
+
+        The value is ``None`` until a version is known.
+        """
         return self._tables
 
     @property
     def table(self) -> RouteTable | None:
-        """What is in force now."""
+        """The active table, or ``None`` until a version is known."""
         return self._tables.value
 
     @property
     def head_revision(self) -> Revision:
-        """The version in force; 0 before anything is known."""
+        """The active version; 0 until one is known."""
         table = self._tables.value
         return Revision(0) if table is None else table.version
 
@@ -71,53 +74,57 @@
         return self._values[self.head_revision]
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Take in what the store holds."""
-        self._take_all(found.entries)
+        """Apply the configuration found in the store."""
+        self._apply_all(found.entries)
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in a change; a configuration that was removed stays in force."""
-        self._take_all(batch.entries)
+        """Apply a change; a configuration whose key is deleted stays active."""
+        self._apply_all(batch.entries)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Do nothing: what is known stays in force."""
+        """Do nothing; the active configuration remains valid without the store."""
 
     async def offer_from_peer(
         self, *, head: bytes, chunks: Mapping[str, str], packed_after: int = NOT_PACKED
     ) -> Result[Revision, Any]:
-        """Take in what a peer has in force.
+        """Apply the configuration that a peer has active.
 
-        :param head: The value, or how it differs from an older one.
-        :param chunks: Nothing.
-        :param packed_after: Version of that older one; 0 for none.
+        :param head: The value, or its compressed delta to an older version.
+        :param chunks: Unused; the value has no chunks.
+        :param packed_after: The older version that the delta is based on; 0 if there is none.
+        :returns: The active version, or the reason why the value was refused.
         """
         if packed_after == NOT_PACKED:
-            return self._take(head, source="peer", store_revision=0)
+            return self._apply(head, source="peer", store_revision=0)
         known = self._values.get(Revision(packed_after), b"")
-        unpacked = unpack(head, known=known)
-        if isinstance(unpacked, Failure):
-            _log.warning("A configuration is refused.", source="peer", detail=unpacked.failure())
-            return unpacked
-        return self._take(unpacked.unwrap(), source="peer", store_revision=0)
+        decompressed = decompress(head, known=known)
+        if isinstance(decompressed, Failure):
+            _log.warning(
+                "A configuration is refused.", source="peer", detail=decompressed.failure()
+            )
+            return decompressed
+        return self._apply(decompressed.unwrap(), source="peer", store_revision=0)
 
     def content_for_peer(self, *, have: Revision) -> HeadContent | None:
-        """Return the value for a peer that is behind.
+        """Return the active configuration for a peer that has an older version.
 
-        :param have: The version that it has; 0 for none.
+        :param have: The version that the peer has; 0 if it has none.
+        :returns: The compressed value; ``None`` if the peer's version is at least as new.
         """
         if self.head_revision <= have:
             return None
         known = self._values.get(have)
-        packed = pack(self._value, known=known or b"")
-        return HeadContent(head=packed, chunks={}, packed_after=have if known else 0)
+        compressed = compress(self._value, known=known or b"")
+        return HeadContent(head=compressed, chunks={}, packed_after=have if known else 0)
 
     def peers_agree(self, *, revisions: Iterable[Revision]) -> None:
-        """Do nothing: any version that was accepted may be served."""
+        """Do nothing; any accepted version may be served without the agreement of peers."""
 
-    def _take_all(self, entries: Sequence[StoreEntry]) -> None:
+    def _apply_all(self, entries: Sequence[StoreEntry]) -> None:
         for entry in entries:
-            self._take(entry.value, source="store", store_revision=entry.mod_revision)
+            self._apply(entry.value, source="store", store_revision=entry.mod_revision)
 
-    def _take(self, value: bytes, *, source: str, store_revision: int) -> Result[Revision, str]:
+    def _apply(self, value: bytes, *, source: str, store_revision: int) -> Result[Revision, str]:
         decoded = self._decode(value)
         if isinstance(decoded, Failure):
             _log.warning("A configuration is refused.", source=source, detail=decoded.failure())
@@ -127,7 +134,7 @@
         if configuration.version <= before:
             return Success(before)
         self._values[configuration.version] = value
-        while len(self._values) > KEPT_VERSIONS:
+        while len(self._values) > MAX_KEPT_VERSIONS:
             self._values.popitem(last=False)
         table = RouteTable(configuration=configuration)
         _log.info(
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -1,4 +1,4 @@
-"""What of a host knows, decides and talks to the other hosts."""
+"""Control plane of a host: cluster state, placement decisions and messages to other hosts."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import get_logger
 from tanagerscale.forwarding import OwnWork
-from tanagerscale.gateway._configuration import ConfigurationKeeper
-from tanagerscale.gateway._edges import Edges
-from tanagerscale.gateway._following import StoreFollowing
-from tanagerscale.gateway._peers import PeerNews
-from tanagerscale.gateway._peers import Talkers
+from tanagerscale.gateway._configuration import ConfigurationManager
+from tanagerscale.gateway._peer_messages import MessageReceivers
+from tanagerscale.gateway._peer_messages import PeerMessageRouter
+from tanagerscale.gateway._platform import Platform
 from tanagerscale.gateway._presence import HostPresence
+from tanagerscale.gateway._store_followers import StoreFollowers
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.generated.messages import Heartbeat
 from tanagerscale.generated.messages import ListTopic
@@ -52,45 +52,45 @@
 from tanagerscale.quarantine import Suspects
 from tanagerscale.routes import RouteTable
 
-PATIENCE_MS: Final = 150
-"""How long a host that hears of a newer configuration waits for its own watch to bring it."""
+WATCH_GRACE_MS: Final = 150
+"""How long a host that is told of a newer configuration waits for its own watch to deliver it."""
 
-SPREAD_CHECK_MS: Final = 1000
-"""How often a host looks whether another one that it asked for a configuration does not answer;
-each heartbeat of those that have a newer one leads to that as well."""
+HEAD_REQUEST_CHECK_INTERVAL_MS: Final = 1000
+"""How often a host checks whether a peer that it asked for a configuration has failed to answer.
+Each heartbeat from a peer with a newer configuration triggers the same check."""
 
 _log = get_logger(part="host")
 
 
 @final
 class HostControl:
-    """Knows hosts, upstreams and declarations, and decides or asks those that do.
+    """Tracks hosts, upstreams and the configuration, and places requests or asks a coordinator to.
 
-    :param settings: The host's checked settings.
-    :param edges: The platform.
-    :param work: What the host runs on engines.
-    :param carry_out: Copies or moves one of its runs, and returns whether the memory is where it
-        was to go.
-    :param is_leaving: Returns whether the host is in a planned stop.
-    :param clock: Time.
-    :param rng: Source of chance.
-    :param transport: Carries messages in place of WebSockets, in tests.
+    :param settings: The host's validated settings.
+    :param platform: Adapters to the platform.
+    :param work: The runs that this host has on engines.
+    :param execute_order: Copies or moves one of this host's runs, and returns whether its memory
+        has reached the target.
+    :param is_leaving: Returns whether the host is shutting down gracefully.
+    :param clock: Clock for timeouts and intervals.
+    :param rng: Random number generator for jitter and tie-breaking.
+    :param transport: Carries messages instead of WebSockets; set by tests.
     """
 
     def __init__(
         self,
         *,
         settings: GatewaySettings,
-        edges: Edges,
+        platform: Platform,
         work: OwnWork,
-        carry_out: Callable[[MoveOrder], Awaitable[bool]],
+        execute_order: Callable[[MoveOrder], Awaitable[bool]],
         is_leaving: Callable[[], bool],
         clock: Clock,
         rng: Random,
         transport: Transport | None = None,
     ) -> None:
         self._settings = settings
-        self._edges = edges
+        self._platform = platform
         self._work = work
         self._is_leaving = is_leaving
         self._clock = clock
@@ -100,7 +100,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self.incarnation = clock.wall()
         self.directory = Directory(host=self._host, seeds=settings.host.seeds, clock=clock)
-        self.keeper = ConfigurationKeeper(decode=edges.decode_configuration)
+        self.configuration = ConfigurationManager(decode=platform.decode_configuration)
         self.suspects = Suspects(clock=clock)
         self.health = UpstreamHealth(
             service_of=self._service_of,
@@ -110,12 +110,12 @@
         self.mesh = self._make_mesh(transport)
         self._relay = NewsRelay(network=self.mesh, directory=self.directory, clock=clock)
         self.gate = UpstreamGate(clock=clock, rng=rng, spread=self._relay.tell)
-        self.evacuations = Evacuations(domain_of=edges.evacuated_domain, clock=clock)
+        self.evacuations = Evacuations(domain_of=platform.evacuated_domain, clock=clock)
         self.roster = UpstreamRoster(
             gate=self.gate,
             evacuations=self.evacuations,
-            decode=edges.decode_entry,
-            name_of=edges.name_of,
+            decode=platform.decode_entry,
+            name_of=platform.name_of,
             clock=clock,
         )
         self.feed = self._make_feed(ListTopic.UPSTREAMS, self.roster)
@@ -124,7 +124,7 @@
         self._presence = self._make_presence()
         self.warmup = WarmupLimit(
             host=self._host,
-            tables=self.keeper,
+            tables=self.configuration,
             upstreams=self.roster,
             share=self._share_of_hosts,
             clock=clock,
@@ -135,17 +135,17 @@
         self.client = CoordinationClient(
             host=self._host,
             directory=self.directory,
-            tell=self._tell,
+            tell=self._send,
             uses=work.uses,
             incarnation=self.incarnation,
             clock=clock,
         )
-        self._news = self._make_news(carry_out)
+        self._messages = self._make_message_router(execute_order)
 
     async def start(self) -> None:
-        """Begin to talk to the other hosts and to the store."""
+        """Connect to the other hosts and start following the store."""
         await self.mesh.start()
-        self._news.start()
+        self._messages.start()
         self._spread.start()
         self._subscribe()
         self._spawn(self._presence.run())
@@ -155,8 +155,8 @@
         self.duties.look()
 
     async def stop(self) -> None:
-        """Talk to nobody any more."""
-        self._news.stop()
+        """Cancel all tasks and close the connections to other hosts."""
+        self._messages.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -165,7 +165,7 @@
         await self.mesh.stop()
 
     async def withdraw(self) -> None:
-        """End the host's entry in the store, so that the others forget it at once."""
+        """Remove the host's entry from the store, so that other hosts drop it immediately."""
         await self._presence.withdraw()
 
     def _make_mesh(self, transport: Transport | None) -> Mesh:
@@ -185,16 +185,16 @@
         )
 
     def _make_feed(self, topic: ListTopic, listener: FeedListener) -> ListFeed:
-        return ListFeed(topic=topic, listener=listener, tell=self._tell, clock=self._clock)
+        return ListFeed(topic=topic, listener=listener, tell=self._send, clock=self._clock)
 
     def _make_spread(self) -> HeadSpread:
         return HeadSpread(
             network=self.mesh,
-            follower=self.keeper,
+            follower=self.configuration,
             clock=self._clock,
-            patience_ms=lambda: PATIENCE_MS if self.duties.follows_store else 0,
+            patience_ms=lambda: WATCH_GRACE_MS if self.duties.follows_store else 0,
             distance=lambda host: distance(self._host, host),
-            check_ms=SPREAD_CHECK_MS,
+            check_ms=HEAD_REQUEST_CHECK_INTERVAL_MS,
             tell=self._relay.tell,
         )
 
@@ -209,22 +209,22 @@
             cores=host.processor_share * host.processor_speed,
         )
         return HostPresence(
-            store=self._edges.store,
+            store=self._platform.store,
             prefix=settings.store.prefix,
             record=record,
             on_records=lambda records, revision: self.directory.on_records(
                 records, revision=revision
             ),
             is_coordinator=lambda: self.directory.is_coordinator,
-            on_answers=self._on_store_answers,
+            on_availability=self._on_store_availability,
             clock=self._clock,
             rng=self._rng,
         )
 
     def _make_duties(self) -> Duties:
-        following = StoreFollowing(
-            edges=self._edges,
-            keeper=self.keeper,
+        followers = StoreFollowers(
+            platform=self._platform,
+            configuration=self.configuration,
             evacuations=self.evacuations_feed,
             feed=self.feed,
             presence=self._presence,
@@ -235,8 +235,8 @@
             host=self._host,
             directory=self.directory,
             feeds=self._feeds,
-            loops=following.loops,
-            is_served=following.is_served,
+            loops=followers.loops,
+            is_served=followers.is_store_available,
             clock=self._clock,
             rng=self._rng,
         )
@@ -257,13 +257,13 @@
         )
 
     def _share_of_hosts(self) -> float:
-        """Return how many of all hosts let this one decide."""
+        """Return the fraction of all hosts whose requests this host places, between 0 and 1."""
         deciding = self.coordinator.ledger.hosts_of(self._host)
         return min(max(deciding, 1) / self.directory.hosts, 1.0)
 
     def _make_coordinator(self) -> Coordinator:
         parts = DecisionParts(
-            tables=self.keeper,
+            tables=self.configuration,
             upstreams=self.roster,
             gate=self.gate,
             health=self.health,
@@ -276,12 +276,14 @@
             domain=self._domain,
             parts=parts,
             repeats=self.repeats,
-            engines=self._edges.upstreams,
-            tell=self._tell,
+            engines=self._platform.upstreams,
+            tell=self._send,
         )
 
-    def _make_news(self, carry_out: Callable[[MoveOrder], Awaitable[bool]]) -> PeerNews:
-        talkers = Talkers(
+    def _make_message_router(
+        self, carry_out: Callable[[MoveOrder], Awaitable[bool]]
+    ) -> PeerMessageRouter:
+        receivers = MessageReceivers(
             directory=self.directory,
             duties=self.duties,
             feeds=self._feeds,
@@ -292,11 +294,11 @@
             health=self.health,
             suspects=self.suspects,
         )
-        return PeerNews(mesh=self.mesh, parts=talkers, carry_out=carry_out)
+        return PeerMessageRouter(mesh=self.mesh, receivers=receivers, execute_order=carry_out)
 
     def _subscribe(self) -> None:
-        """Join the parts that hear of each other's changes."""
-        self.keeper.tables.subscribe(self._on_table)
+        """Subscribe components to each other's changes."""
+        self.configuration.tables.subscribe(self._on_table)
         self.gate.changes.subscribe(self.coordinator.on_upstreams)
         self.roster.changes.subscribe(self.coordinator.on_upstreams)
         self.evacuations.changes.subscribe(lambda _: self.coordinator.look())
@@ -305,23 +307,23 @@
 
     def _heartbeat(self) -> Heartbeat:
         return Heartbeat(
-            revision=self.keeper.head_revision,
+            revision=self.configuration.head_revision,
             leaving=self._is_leaving(),
             store_lost=self._presence.store_lost,
             listed=self.feed.reached,
             evacuations=self.evacuations_feed.reached,
         )
 
-    def _tell(self, host: HostId, message: Message) -> bool:
-        return self._news.tell(host, message)
+    def _send(self, host: HostId, message: Message) -> bool:
+        return self._messages.send(host, message)
 
     def _on_table(self, table: RouteTable | None) -> None:
         if table is not None:
             self._spread.announce(revision=table.version, digest="")
 
-    def _on_store_answers(self, is_answered: bool) -> None:
+    def _on_store_availability(self, is_answered: bool) -> None:
         _log.info(
-            "Calls to the store are answered again." if is_answered else "Calls to the store fail."
+            "Calls to the store succeed again." if is_answered else "Calls to the store fail."
         )
         self.feed.on_calls(answered=is_answered)
         self.duties.on_own_store(is_lost=not is_answered)
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -1,4 +1,4 @@
-"""The composition root of a host that forwards by routes."""
+"""Composition root of a host that forwards requests by route."""
 
 from __future__ import annotations
 
@@ -27,38 +27,38 @@
 from tanagerscale.gateway._caller_server import CallerServer
 from tanagerscale.gateway._caller_server import serve_readiness
 from tanagerscale.gateway._control import HostControl
-from tanagerscale.gateway._edges import CallerRules
-from tanagerscale.gateway._edges import Edges
+from tanagerscale.gateway._graceful_shutdown import drain_requests
 from tanagerscale.gateway._metrics import serve_metrics
-from tanagerscale.gateway._planned_stop import finish_requests
+from tanagerscale.gateway._platform import CallerRules
+from tanagerscale.gateway._platform import Platform
 from tanagerscale.generated.gateway import GatewaySettings
+from tanagerscale.routes import AllowedRegions
 from tanagerscale.routes import CallerLimits
-from tanagerscale.routes import Homes
 from tanagerscale.settings import regions_of
 
-SWEEP_MS: Final = 1000
-"""How often idle connections are looked through; idle times are declared in seconds."""
+IDLE_CHECK_INTERVAL_MS: Final = 1000
+"""How often idle connections are checked; idle timeouts are configured in seconds."""
 
-BEFORE_CONFIGURATION: Final = CallerLimits(
+DEFAULT_CALLER_LIMITS: Final = CallerLimits(
     header_bytes=16_384, body_bytes=4_194_304, header_timeout_ms=3000, idle_timeout_ms=15_000
 )
-"""What callers may do while nothing is declared yet; they only get refusals then."""
+"""Limits that apply until a configuration is known; callers only get refusals until then."""
 
 _log = get_logger(part="host")
 
 
 @final
 class GatewayHost:
-    """One host with all its parts.
+    """A gateway host with all its components.
 
-    :param settings: Its checked settings.
-    :param edges: The platform.
-    :param clock: Time.
+    :param settings: The host's validated settings.
+    :param platform: Adapters to the platform.
+    :param clock: Clock shared by all components.
     """
 
-    def __init__(self, *, settings: GatewaySettings, edges: Edges, clock: Clock) -> None:
+    def __init__(self, *, settings: GatewaySettings, platform: Platform, clock: Clock) -> None:
         self._settings = settings
-        self._edges = edges
+        self._platform = platform
         self._clock = clock
         self._rng = random.Random(secrets.randbits(64))
         self._leaving = False
@@ -68,9 +68,9 @@
         self._work = OwnWork(clock=clock)
         self._control = HostControl(
             settings=settings,
-            edges=edges,
+            platform=platform,
             work=self._work,
-            carry_out=lambda order: self._movers.carry_out(order),
+            execute_order=lambda order: self._movers.carry_out(order),
             is_leaving=lambda: self._leaving,
             clock=clock,
             rng=self._rng,
@@ -78,11 +78,11 @@
         self._dispatcher = self._make_dispatcher()
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start all servers and background tasks."""
         settings = self._settings
         readiness = settings.host.readiness
-        asked = await serve_readiness(is_ready=lambda: self.ready, address=readiness)
-        self._runners.append(asked)
+        runner = await serve_readiness(is_ready=lambda: self.ready, address=readiness)
+        self._runners.append(runner)
         if settings.host.metrics:
             metrics = await serve_metrics(registry=self._registry, address=settings.host.metrics)
             self._runners.append(metrics)
@@ -92,7 +92,7 @@
         )
         self._server = CallerServer(
             serve=self._dispatcher.serve,
-            codec=self._edges.callers,
+            codec=self._platform.callers,
             rules=rules,
             clock=self._clock,
         )
@@ -100,9 +100,9 @@
         await self._control.start()
         self._control.gate.changes.subscribe(self._movers.on_upstreams)
         self._control.roster.replaced.subscribe(
-            lambda earlier: self._edges.upstreams.forget(upstream=earlier)
+            lambda replaced: self._platform.upstreams.forget(upstream=replaced)
         )
-        self._spawn(self._sweep())
+        self._spawn(self._close_idle_connections())
         _log.info(
             "The host starts.",
             incarnation=self._control.incarnation,
@@ -111,9 +111,9 @@
         )
 
     def reload(self, *, settings: GatewaySettings) -> None:
-        """Put changed settings in force, as far as a running host can.
+        """Apply changed settings, as far as a running host can.
 
-        :param settings: The checked settings; addresses take a restart.
+        :param settings: The validated settings; changed addresses take effect after a restart.
         """
         old = self._settings
         retries = settings.retries
@@ -123,7 +123,7 @@
             )
         self._settings = settings
         _log.info(
-            "The settings are read again.",
+            "Settings were reloaded.",
             changed=[
                 name
                 for name in ("host", "store", "retries", "deadlines", "logs")
@@ -132,24 +132,24 @@
             need_restart=old.host != settings.host or old.store != settings.store,
         )
 
-    async def abandon(self) -> None:
-        """End at once, without a planned stop."""
-        await self._end()
+    async def abort(self) -> None:
+        """Stop immediately, without waiting for running requests."""
+        await self._shut_down()
 
     async def stop(self) -> None:
-        """Carry out a planned stop: no new work, then the end of all that runs."""
+        """Shut down gracefully: accept no new work, then wait for running requests to finish."""
         self._leaving = True
         self._control.mesh.beat_now()
-        self._server.begin_stop()
+        self._server.begin_shutdown()
         self._spawn(self._control.withdraw())
         _log.info("The host stops.", running=self._dispatcher.running)
-        took_ms = await finish_requests(
+        took_ms = await drain_requests(
             server=self._server, grace_s=self._settings.host.stop_grace_s, clock=self._clock
         )
         _log.info("The host ends.", running=self._dispatcher.running, after_ms=took_ms)
-        await self._end()
+        await self._shut_down()
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -157,72 +157,72 @@
         await self._server.close()
         for runner in self._runners:
             await runner.cleanup()
-        await self._edges.close()
+        await self._platform.close()
 
     @property
     def ready(self) -> bool:
-        """Whether the host takes new connections.
+        """Whether the host accepts new connections.
 
-        One that has started while the store is away has its declarations from peers and no
-        upstreams; the other hosts serve its callers at once, and it would refuse them.
+        A host that starts while the store is unavailable gets the configuration from peers but has
+        no upstreams. It would refuse callers that other hosts can serve immediately.
         """
         return (
             not self._leaving
-            and self._control.keeper.table is not None
+            and self._control.configuration.table is not None
             and self._control.roster.has_read
             and self._control.evacuations.has_read
         )
 
     @property
     def version(self) -> int:
-        """Version of the declarations in force; 0 before any is known."""
-        return self._control.keeper.head_revision
+        """Version of the active configuration; 0 until one is known."""
+        return self._control.configuration.head_revision
 
     @property
     def peers(self) -> list[HostId]:
-        """The hosts this one is connected to."""
+        """The hosts that this host is connected to."""
         return [peer.host for peer in self._control.mesh.live.value]
 
     @property
-    def sharing_hosts(self) -> int:
-        """How many hosts share what may be repeated, those included that can't be reached."""
+    def known_hosts(self) -> int:
+        """Number of hosts that share the retry budgets, including unreachable ones."""
         return self._control.directory.hosts
 
     @property
-    def upstreams_known(self) -> int:
-        """How many upstreams are listed."""
+    def known_upstreams(self) -> int:
+        """Number of listed upstreams."""
         return self._control.roster.known
 
     @property
-    def runs_known(self) -> int:
-        """How many generations are known to run on engines, those of other hosts included."""
+    def known_runs(self) -> int:
+        """Number of generations known to run or wait on engines, including those of other hosts."""
         totals = self._control.coordinator.ledger.totals().values()
         return sum(total.running + total.waiting for total in totals)
 
     @property
     def decider(self) -> HostId:
-        """The host that places this one's generations."""
+        """The host that places this host's generations."""
         return self._control.directory.decider
 
-    def upstreams_open(self, service: str) -> int:
-        """Return how many upstreams of a service take work."""
+    def count_open_upstreams(self, service: str) -> int:
+        """Return how many upstreams of a service accept work."""
         return len(self._control.roster.open_for(ServiceId(service)))
 
     @property
     def _limits(self) -> CallerLimits:
-        table = self._control.keeper.table
-        return BEFORE_CONFIGURATION if table is None else table.limits
+        table = self._control.configuration.table
+        return DEFAULT_CALLER_LIMITS if table is None else table.limits
 
     def _make_dispatcher(self) -> Dispatcher:
         control = self._control
         parts = ForwardingParts(
-            tables=control.keeper,
+            tables=control.configuration,
             upstreams=control.roster,
             gate=control.gate,
             health=control.health,
             suspects=control.suspects,
-            caller=self._edges.upstreams,
-            engines=self._edges.upstreams,
+            caller=self._platform.upstreams,
+            engines=self._platform.upstreams,
             work=self._work,
             repeats=control.client,
             warmup=control.warmup,
@@ -242,14 +242,14 @@
             parts=parts,
             admission=Admission(parts=parts, placer=control.client),
             movers=self._movers,
-            homes=Homes(regions=regions_of(self._settings)),
+            homes=AllowedRegions(regions=regions_of(self._settings)),
             is_stopping=lambda: self._leaving,
         )
 
-    async def _sweep(self) -> None:
+    async def _close_idle_connections(self) -> None:
         while True:
-            await self._clock.sleep(SWEEP_MS)
-            self._server.sweep()
+            await self._clock.sleep(IDLE_CHECK_INTERVAL_MS)
+            self._server.close_idle()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
--- a/src/tanagerscale/gateway/_metrics.py
+++ b/src/tanagerscale/gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""The address where a host's counters are read."""
+"""HTTP endpoint of a host's metrics."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 async def serve_metrics(*, registry: CollectorRegistry, address: str) -> web.ServerRunner:
-    """Serve counters as text.
+    """Serve metrics in the Prometheus text format.
 
-    :param registry: What is counted.
-    :param address: IP number and port.
-    :returns: What ends it.
+    :param registry: Registry of the metrics.
+    :param address: IP address and port to listen on.
+    :returns: The runner; its ``cleanup`` stops the server.
     """
 
     async def handle(_request: web.BaseRequest) -> web.StreamResponse:
--- a/src/tanagerscale/gateway/_operator_keys.py
+++ b/src/tanagerscale/gateway/_operator_keys.py
@@ -1,4 +1,4 @@
-"""What the operators write to the store, followed as one prefix."""
+"""Listener for the store keys that operators write, followed as one prefix."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 @final
-class OperatorKeys:
-    """Gives each listener the keys that concern it, so that one watch serves both.
+class OperatorKeyListener:
+    """Passes each key to the listener that handles it, so that one watch serves two listeners.
 
-    :param configuration_key: Key of the configuration.
-    :param configuration: Takes the configuration.
-    :param evacuated_domain: Returns which failure domain a key evacuates, or ``None``.
-    :param evacuations: Takes the keys that evacuate failure domains.
+    :param configuration_key: Store key of the configuration.
+    :param configuration: Listener for the configuration.
+    :param evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
+    :param evacuations: Listener for the keys that evacuate failure domains.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._evacuations = evacuations
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Take in all keys at once."""
+        """Replace all known keys by a snapshot."""
         self._configuration.on_snapshot(
             replace(found, entries=self._configuration_entries(found.entries))
         )
@@ -48,7 +48,7 @@
         )
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in changes."""
+        """Apply changes."""
         configured = self._configuration_entries(batch.entries)
         if configured:
             self._configuration.on_changes(replace(batch, entries=configured, deleted=()))
@@ -58,7 +58,7 @@
             self._evacuations.on_changes(replace(batch, entries=evacuated, deleted=ended))
 
     def on_store(self, *, reachable: bool) -> None:
-        """Note that the store was lost or answers again."""
+        """Pass on whether the store is reachable."""
         self._configuration.on_store(reachable=reachable)
         self._evacuations.on_store(reachable=reachable)
 
--- /dev/null
+++ b/src/tanagerscale/gateway/_platform.py
@@ -0,0 +1,86 @@
+"""Interfaces that a host requires from the platform it runs on."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from collections.abc import Callable
+from collections.abc import Sequence
+from typing import Protocol
+
+from aiohttp import web
+from msgspec import Struct
+from returns.result import Result
+
+from tanagerscale.core import FailureDomainId
+from tanagerscale.core import Millis
+from tanagerscale.core import UpstreamName
+from tanagerscale.forwarding import CallerRequest
+from tanagerscale.forwarding import EngineControl
+from tanagerscale.forwarding import Header
+from tanagerscale.forwarding import Refusal
+from tanagerscale.forwarding import Responder
+from tanagerscale.forwarding import UpstreamCaller
+from tanagerscale.routes import Configuration
+from tanagerscale.store import Store
+from tanagerscale.upstreams import UpstreamEntry
+
+RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
+
+
+class UpstreamClient(UpstreamCaller, EngineControl, Protocol):
+    """Client that sends requests to upstreams and controls the runs on engines."""
+
+    def forget(self, *, upstream: UpstreamEntry) -> None:
+        """Close the idle connections to an incarnation of an upstream that has ended."""
+
+
+class CallerCodec(Protocol):
+    """Decodes the requests of callers."""
+
+    def decode(
+        self, request: web.BaseRequest, body: bytes, arrived: Millis
+    ) -> Result[CallerRequest, Refusal]:
+        """Return the request, or a refusal that names what is missing."""
+
+    def echoed_headers(self, request: web.BaseRequest) -> Sequence[Header]:
+        """Return the header fields of a request that the gateway's own responses repeat."""
+
+
+class CallerRules(Struct, frozen=True, kw_only=True):
+    """Limits that apply to callers; read on each use, because the configuration may change.
+
+    :param body_bytes: Returns the largest accepted body in bytes.
+    :param idle_timeout_ms: Returns how long a connection may stay idle.
+    """
+
+    body_bytes: Callable[[], int]
+    idle_timeout_ms: Callable[[], int]
+
+
+class Platform(Struct, frozen=True, kw_only=True):
+    """Adapters to the platform, in the project's own types.
+
+    :param store: Client of the key-value store.
+    :param upstreams: Client of upstreams and engines.
+    :param operator_prefix: Prefix of the store keys that operators write.
+    :param configuration_key: Store key of the configuration.
+    :param decode_configuration: Decodes the configuration, or returns what is wrong with it.
+    :param evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
+    :param registry_prefix: Prefix of the store keys under which upstreams register.
+    :param decode_entry: Decodes the entry of an upstream from its key and value.
+    :param name_of: Returns the name of the upstream that registers under a key.
+    :param callers: Decodes the requests of callers.
+    :param close: Closes the connections to the store and to upstreams.
+    """
+
+    store: Store
+    upstreams: UpstreamClient
+    operator_prefix: str
+    configuration_key: str
+    decode_configuration: Callable[[bytes], Result[Configuration, str]]
+    evacuated_domain: Callable[[str], FailureDomainId | None]
+    registry_prefix: str
+    decode_entry: Callable[[str, bytes], Result[UpstreamEntry, str]]
+    name_of: Callable[[str], UpstreamName]
+    callers: CallerCodec
+    close: Callable[[], Awaitable[None]]
--- a/src/tanagerscale/gateway/_presence.py
+++ b/src/tanagerscale/gateway/_presence.py
@@ -1,4 +1,4 @@
-"""How hosts find each other: short entries in the store, under leases."""
+"""Host discovery through leased entries in the store."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 from tanagerscale.store import StoreRevision
 from tanagerscale.store import WatchBatch
 
-LEASE_S: Final = 30
-"""How long the entry of a dead host stays. The mesh itself finds dead hosts within seconds, so a
-longer lease only costs a few tries to connect."""
+LEASE_TTL_S: Final = 30
+"""How long the entry of a crashed host remains. The mesh detects crashed hosts within seconds, so a
+longer lease only costs a few connection attempts."""
 
-RENEW_MS: Final = 10_000
-"""A third of the lease, so that two lost renewals change nothing."""
+RENEW_INTERVAL_MS: Final = 10_000
+"""A third of the lease, so that the entry survives two lost renewals."""
 
-COORDINATOR_RENEW_MS: Final = 1000
-"""How often those renew that the others rely on to hear whether the store answers. A watch that
-waits does not show it; a renewal costs a tenth of a call."""
+COORDINATOR_RENEW_INTERVAL_MS: Final = 1000
+"""Renewal interval of coordinators, on which other hosts rely to detect whether the store answers.
+A waiting watch does not show it; a renewal costs a tenth of a call."""
 
-CHECK_MS: Final = 2000
-"""Least time between two renewals that a peer's word causes; where the store refuses some hosts for
-long, the others look again no oftener. Each costs a tenth of a call."""
+MIN_CHECK_INTERVAL_MS: Final = 2000
+"""Minimum time between two renewals triggered by reports of peers, which bounds the checks of the
+other hosts while the store refuses some hosts for a long time. Each costs a tenth of a call."""
 
-RETRY_MS: Final = 500
-RETRY_SPREAD: Final = (0.5, 2.0)
+RETRY_DELAY_MS: Final = 500
+RETRY_JITTER: Final = (0.5, 2.0)
 
 _CONTESTED: Final = StoreError(
     kind=StoreErrorKind.REFUSED,
@@ -57,17 +57,17 @@
 
 @final
 class HostPresence:
-    """Keeps this host's entry alive and knows the others'.
+    """Keeps this host's entry in the store alive and tracks the entries of other hosts.
 
-    :param store: The store.
-    :param prefix: What this installation's keys begin with.
+    :param store: Client of the store.
+    :param prefix: Prefix of this installation's keys.
     :param record: This host's entry.
-    :param on_records: Takes the entries of all hosts and their revision after each change.
+    :param on_records: Called after each change with the entries of all hosts and their revision.
     :param is_coordinator: Returns whether the other hosts rely on this one.
-    :param on_answers: Called when calls to the store begin to fail, or to be answered again. A
-        watch that waits does not show that.
-    :param clock: Time.
-    :param rng: Spreads tries.
+    :param on_availability: Called with ``False`` when calls to the store start to fail, and with
+        ``True`` when they succeed again. A waiting watch does not show either.
+    :param clock: Clock for renewals and retries.
+    :param rng: Random number generator for retry jitter.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         record: HostRecord,
         on_records: Callable[[Sequence[HostRecord], int], None],
         is_coordinator: Callable[[], bool] = lambda: False,
-        on_answers: Callable[[bool], None] = lambda _: None,
+        on_availability: Callable[[bool], None] = lambda _: None,
         clock: Clock,
         rng: Random,
     ) -> None:
@@ -87,10 +87,10 @@
         self._record = record
         self._on_records = on_records
         self._is_coordinator = is_coordinator
-        self._on_answers = on_answers
+        self._on_availability = on_availability
         self._store_lost = False
-        self._checked_at = Millis(-CHECK_MS)
-        self._asked = asyncio.Event()
+        self._checked_at = Millis(-MIN_CHECK_INTERVAL_MS)
+        self._check_requested = asyncio.Event()
         self._clock = clock
         self._rng = rng
         self._records: dict[str, HostRecord] = {}
@@ -99,101 +99,105 @@
 
     @property
     def prefix(self) -> str:
-        """What the keys of all hosts' entries begin with."""
+        """Prefix of the keys of all hosts' entries."""
         return self._prefix
 
     @property
     def store_lost(self) -> bool:
-        """Whether the store did not answer the last call."""
+        """Whether the store failed to answer the last call."""
         return self._store_lost
 
     def check_soon(self) -> None:
-        """Renew the lease out of turn, to see whether the store answers."""
-        if not self._store_lost and self._clock.now() - self._checked_at >= CHECK_MS:
-            self._asked.set()
+        """Renew the lease ahead of schedule, to find out whether the store answers."""
+        if not self._store_lost and self._clock.now() - self._checked_at >= MIN_CHECK_INTERVAL_MS:
+            self._check_requested.set()
 
     async def run(self) -> None:
-        """Write the entry and renew its lease until cancelled."""
+        """Write the entry and renew its lease until the task is cancelled."""
         while True:
-            self._asked.clear()
+            self._check_requested.clear()
             self._checked_at = self._clock.now()
             result = await self._write() if self._lease is None else await self._renew()
             if isinstance(result, Failure):
                 error = result.failure()
-                _log.info("The entry is not renewed.", detail=error.detail)
-                self._note_answers(error is _CONTESTED)
-                await self._clock.sleep(int(RETRY_MS * self._rng.uniform(*RETRY_SPREAD)))
+                _log.info("The host's entry could not be renewed.", detail=error.detail)
+                self._set_available(error is _CONTESTED)
+                await self._clock.sleep(int(RETRY_DELAY_MS * self._rng.uniform(*RETRY_JITTER)))
                 continue
-            self._note_answers(True)
+            self._set_available(True)
             if not self._has_read:
                 await self._read_once()
             if self._lease is not None:
                 await self._wait_to_renew()
 
     async def _read_once(self) -> None:
-        """Learn which hosts there are; what follows is told by those that coordinate."""
+        """Read the entries of all hosts once; coordinators send all later changes."""
         found = await self._store.list(prefix=self._prefix)
         if isinstance(found, Failure):
-            _log.info("The hosts' entries are not read.", detail=found.failure().detail)
+            _log.info("The hosts' entries could not be read.", detail=found.failure().detail)
             return
         self.on_snapshot(found.unwrap())
 
     async def _wait_to_renew(self) -> None:
         try:
-            renew_ms = COORDINATOR_RENEW_MS if self._is_coordinator() else RENEW_MS
+            renew_ms = (
+                COORDINATOR_RENEW_INTERVAL_MS if self._is_coordinator() else RENEW_INTERVAL_MS
+            )
             async with asyncio.timeout(renew_ms / MS_PER_SECOND):
-                await self._asked.wait()
+                await self._check_requested.wait()
         except TimeoutError:
-            return  # It is time.
+            return  # The renewal is due.
 
-    def _note_answers(self, is_answered: bool) -> None:
-        if self._store_lost is is_answered:
-            self._store_lost = not is_answered
-            self._on_answers(is_answered)
+    def _set_available(self, is_available: bool) -> None:
+        if self._store_lost is is_available:
+            self._store_lost = not is_available
+            self._on_availability(is_available)
 
     async def withdraw(self) -> None:
-        """End the lease, so that the others forget this host at once."""
+        """Revoke the lease, so that the other hosts drop this host immediately."""
         if self._lease is None:
             return
-        ended = await self._store.revoke(lease=self._lease)
-        if isinstance(ended, Failure):
-            _log.info("The entry ends with its lease.", detail=ended.failure().detail)
+        revoked = await self._store.revoke(lease=self._lease)
+        if isinstance(revoked, Failure):
+            _log.info(
+                "The lease could not be revoked; it will expire.", detail=revoked.failure().detail
+            )
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Replace all that is known."""
+        """Replace all known entries by a snapshot."""
         self._has_read = True
         self._records.clear()
         for entry in found.entries:
-            self._take(entry)
+            self._decode_record(entry)
         self._publish(found.revision)
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in changes."""
+        """Apply changes."""
         for entry in batch.entries:
-            self._take(entry)
+            self._decode_record(entry)
         for key in batch.deleted:
             self._records.pop(key, None)
         self._publish(batch.revision)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Do nothing: connections to the others live on without the store."""
+        """Do nothing; connections to other hosts do not depend on the store."""
 
-    def _take(self, entry: StoreEntry) -> None:
+    def _decode_record(self, entry: StoreEntry) -> None:
         try:
             self._records[entry.key] = msgspec.json.decode(entry.value, type=HostRecord)
         except msgspec.DecodeError as error:
-            _log.warning("A host's entry is refused.", key=entry.key, detail=str(error))
+            _log.warning("A host's entry could not be decoded.", key=entry.key, detail=str(error))
 
     def _publish(self, revision: StoreRevision) -> None:
         self._on_records(list(self._records.values()), revision)
 
     async def _write(self) -> Result[None, StoreError]:
-        granted = await self._store.grant_lease(ttl_s=LEASE_S)
+        granted = await self._store.grant_lease(ttl_s=LEASE_TTL_S)
         if isinstance(granted, Failure):
             return granted
         lease = granted.unwrap()
         revision = StoreRevision(0)
-        # The entry of this host's process before may still be there.
+        # The entry of this host's previous process may still exist.
         for _ in range(2):
             put = PutIf(
                 key=f"{self._prefix}{self._record.host}",
--- a/src/tanagerscale/platform/__init__.py
+++ b/src/tanagerscale/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The platform's names and shapes, translated to the product's own and back; nothing else."""
+"""Translation between the platform's wire formats and the project's own types."""
 
 from __future__ import annotations
 
-from tanagerscale.platform._edges import make_edges
+from tanagerscale.platform._factory import make_platform
 
-__all__ = ["make_edges"]
+__all__ = ["make_platform"]
--- a/src/tanagerscale/platform/__main__.py
+++ b/src/tanagerscale/platform/__main__.py
@@ -18,60 +18,63 @@
 from tanagerscale.core import set_up_line_log
 from tanagerscale.gateway import GatewayHost
 from tanagerscale.generated.gateway import GatewaySettings
-from tanagerscale.platform._edges import make_edges
+from tanagerscale.platform._factory import make_platform
 from tanagerscale.settings import read_gateway_settings
 
 SETTINGS_VARIABLE: Final = "TANAGERSCALE_CONFIG"
-"""The platform puts the path of the settings file there."""
+"""Environment variable in which the platform passes the path of the settings file."""
 
-BAD_SETTINGS: Final = 2
-"""Exit status, as for any command whose input is wrong."""
+EXIT_BAD_SETTINGS: Final = 2
+"""Exit status for invalid settings, as for any command with invalid input."""
 
 _log = get_logger(part="host")
 
 
 async def _run(path: Path, settings: GatewaySettings) -> None:
     clock = Clock()
-    lines = set_up_line_log(
+    line_log = set_up_line_log(
         descriptor=sys.stdout.fileno(),
         host=settings.host.id,
         lines_per_s=settings.logs.lines_per_s,
         clock=clock,
     )
     host = GatewayHost(
-        settings=settings, edges=make_edges(settings=settings, clock=clock), clock=clock
+        settings=settings, platform=make_platform(settings=settings, clock=clock), clock=clock
     )
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload, path, host, lines)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, _reload, path, host, line_log)
     loop.add_signal_handler(signal.SIGUSR1, log_tasks)
     await host.start()
-    await stopped.wait()
+    await stop_requested.wait()
     await host.stop()
 
 
-def _reload(path: Path, host: GatewayHost, lines: LineLog) -> None:
-    """Put a changed settings file in force, as far as a running host can."""
+def _reload(path: Path, host: GatewayHost, line_log: LineLog) -> None:
+    """Apply a changed settings file, as far as a running host can."""
     result = read_gateway_settings(path=path)
     if isinstance(result, Failure):
         for error in result.failure():
-            _log.error("The changed settings are refused; the old ones stay.", detail=str(error))
+            _log.error(
+                "The changed settings are invalid; the previous ones remain active.",
+                detail=str(error),
+            )
         return
     settings = result.unwrap()
-    lines.set_limit(lines_per_s=settings.logs.lines_per_s)
+    line_log.set_limit(lines_per_s=settings.logs.lines_per_s)
     host.reload(settings=settings)
 
 
 def main() -> None:
-    """Read the settings and serve until a planned stop."""
+    """Read the settings and serve until a signal requests a graceful shutdown."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     result = read_gateway_settings(path=path)
     if isinstance(result, Failure):
         for error in result.failure():
             print(error, file=sys.stderr)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(EXIT_BAD_SETTINGS)
     asyncio.run(_run(path, result.unwrap()))
 
 
--- a/src/tanagerscale/platform/_callers.py
+++ b/src/tanagerscale/platform/_callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests in the platform's words, decoded into the product's own."""
+"""Decoding of callers' requests from the platform's header fields."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tanagerscale.platform._headers import REQUEST_ID
 from tanagerscale.platform._headers import TIME_LEFT
 from tanagerscale.platform._headers import TOKENS
-from tanagerscale.platform._headers import passed_on
+from tanagerscale.platform._headers import forwarded_request_headers
 
 BEARER: Final = "bearer "
 
@@ -37,28 +37,28 @@
 
 @final
 class PlatformCallers:
-    """Decodes callers' requests."""
+    """Decodes the requests of callers."""
 
     def decode(
         self, request: web.BaseRequest, body: bytes, arrived: Millis
     ) -> Result[CallerRequest, Refusal]:
-        """Return the request, or the answer that tells what it lacks.
+        """Return the request, or a refusal that names what is missing.
 
-        :param request: Its head.
-        :param body: Its whole body.
-        :param arrived: When it was read.
+        :param request: The head of the request.
+        :param body: The complete body of the request.
+        :param arrived: Monotonic time at which the request arrived.
         """
         if not request.headers.get(REQUEST_ID):
             return Failure(_NO_ID)
-        return Success(_decode(request, body, arrived))
+        return Success(_decode_request(request, body, arrived))
 
-    def echoed(self, request: web.BaseRequest) -> tuple[Header, ...]:
-        """Return the fields of a request that answers of our own repeat."""
+    def echoed_headers(self, request: web.BaseRequest) -> tuple[Header, ...]:
+        """Return the header fields of a request that the gateway's own responses repeat."""
         request_id = request.headers.get(REQUEST_ID)
         return () if request_id is None else ((REQUEST_ID, request_id),)
 
 
-def _decode(request: web.BaseRequest, body: bytes, arrived: Millis) -> CallerRequest:
+def _decode_request(request: web.BaseRequest, body: bytes, arrived: Millis) -> CallerRequest:
     headers = request.headers
     target = request.raw_path
     return CallerRequest(
@@ -67,50 +67,50 @@
         target=target,
         host=headers.get("Host", ""),
         path=target.partition("?")[0],
-        headers=passed_on(headers, headers.items()),
+        headers=forwarded_request_headers(headers, headers.items()),
         body=body,
-        key=_bearer(headers.get("Authorization", "")),
-        time_left_ms=_whole_number(headers.get(TIME_LEFT, "")),
+        key=_parse_bearer_token(headers.get("Authorization", "")),
+        time_left_ms=_parse_int(headers.get(TIME_LEFT, "")),
         arrived=arrived,
-        demand=_demand(request),
+        demand=_decode_demand(request),
         resume_after=headers.get(LAST_EVENT, ""),
     )
 
 
-def _bearer(field: str) -> str | None:
+def _parse_bearer_token(field: str) -> str | None:
     if field[: len(BEARER)].lower() != BEARER:
         return None
     return field[len(BEARER) :].strip()
 
 
-def _whole_number(text: str) -> int | None:
+def _parse_int(text: str) -> int | None:
     try:
         return int(float(text))
     except (ValueError, OverflowError):
         return None
 
 
-def _demand(request: web.BaseRequest) -> Demand | None:
+def _decode_demand(request: web.BaseRequest) -> Demand | None:
     headers = request.headers
-    prompt, _, longest = headers.get(TOKENS, "").partition(",")
-    prompt_tokens = _whole_number(prompt)
-    max_tokens = _whole_number(longest)
+    prompt, _, maximum = headers.get(TOKENS, "").partition(",")
+    prompt_tokens = _parse_int(prompt)
+    max_tokens = _parse_int(maximum)
     if prompt_tokens is None or max_tokens is None:
         return None
     return Demand(
         model=ModelId(headers.get(MODEL, "")),
         prompt_tokens=prompt_tokens,
         max_tokens=max_tokens,
-        expected_tokens=_whole_number(headers.get(EXPECTED_LENGTH, "")),
-        parts=_parts(headers.get(PROMPT_PARTS, "")),
+        expected_tokens=_parse_int(headers.get(EXPECTED_LENGTH, "")),
+        parts=_parse_prompt_parts(headers.get(PROMPT_PARTS, "")),
     )
 
 
-def _parts(field: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(field: str) -> tuple[PromptPart, ...]:
     parts = []
     for entry in field.split(","):
         part, _, tokens = entry.strip().partition(":")
-        length = _whole_number(tokens)
+        length = _parse_int(tokens)
         if part and length is not None:
             parts.append(PromptPart(part=part, tokens=length))
     return tuple(parts)
--- a/src/tanagerscale/platform/_configuration.py
+++ b/src/tanagerscale/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operators' configuration."""
+"""Decoding of the configuration that operators write."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from tanagerscale.routes import Target
 
 OPERATOR_PREFIX: Final = "op/"
-"""What the keys begin with that the operators write."""
+"""Prefix of the store keys that operators write."""
 
 CONFIGURATION_KEY: Final = "op/config"
 EVACUATION_PREFIX: Final = "op/evacuate/"
@@ -47,20 +47,20 @@
 
 
 def evacuated_domain(key: str) -> FailureDomainId | None:
-    """Return which failure domain a key evacuates as long as it exists, whatever its value.
+    """Return the failure domain that a key evacuates while it exists, regardless of its value.
 
     :param key: A key of the store.
-    :returns: The failure domain; ``None`` when the key evacuates none.
+    :returns: The failure domain, or ``None`` if the key is not an evacuation key.
     """
     domain = key.removeprefix(EVACUATION_PREFIX)
     return FailureDomainId(domain) if domain and domain != key else None
 
 
 def decode_configuration(value: bytes) -> Result[Configuration, str]:
-    """Decode the value of the configuration's key.
+    """Decode the value stored under the configuration's key.
 
     :param value: JSON text.
-    :returns: The configuration, or what is wrong with it.
+    :returns: The configuration, or the reason why it cannot be decoded.
     """
     try:
         wire = _decoder.decode(value)
@@ -70,9 +70,9 @@
     return Success(
         Configuration(
             version=Revision(wire.version),
-            routes=tuple(_route(route) for route in wire.routes),
-            services=tuple(_service(service) for service in wire.services),
-            accounts=tuple(_account(tenant) for tenant in wire.tenants),
+            routes=tuple(_to_route(route) for route in wire.routes),
+            services=tuple(_to_service(service) for service in wire.services),
+            accounts=tuple(_to_account(tenant) for tenant in wire.tenants),
             limits=CallerLimits(
                 header_bytes=limits.max_header_bytes,
                 body_bytes=limits.max_body_bytes,
@@ -83,7 +83,7 @@
     )
 
 
-def _route(wire: WireRoute) -> Route:
+def _to_route(wire: WireRoute) -> Route:
     targets = tuple(
         Target(service=ServiceId(split.service), weight=split.weight)
         for split in wire.traffic_split
@@ -95,7 +95,7 @@
         name=RouteId(wire.name),
         host=wire.host.lower(),
         path_prefix=wire.path_prefix,
-        # A kind of a later version is handled as the strictest one that is known.
+        # A kind added by a later version is handled as the strictest known kind.
         kind=_KINDS.get(wire.kind, RouteKind.NON_IDEMPOTENT),
         targets=targets,
         attempts=wire.attempts,
@@ -105,22 +105,22 @@
         priority=wire.priority,
         public=wire.public,
         resumable=wire.resumable,
-        regions=_regions(wire.allowed_regions),
+        regions=_to_regions(wire.allowed_regions),
     )
 
 
-def _service(wire: WireService) -> Service:
+def _to_service(wire: WireService) -> Service:
     return Service(
         name=ServiceId(wire.name),
         health_path=wire.health_path,
         max_connections=wire.max_connections,
-        engine=None if wire.engine is None else _engine(wire.engine),
+        engine=None if wire.engine is None else _to_capabilities(wire.engine),
         cold_ms=int(wire.cold_start_s * MS_PER_SECOND),
         cold_per_s=wire.cold_per_s,
     )
 
 
-def _engine(wire: WireEngine) -> EngineCapabilities:
+def _to_capabilities(wire: WireEngine) -> EngineCapabilities:
     return EngineCapabilities(
         batch=wire.slots,
         memory_tokens=wire.kv_cache_tokens,
@@ -135,14 +135,14 @@
     )
 
 
-def _account(wire: WireTenant) -> Account:
+def _to_account(wire: WireTenant) -> Account:
     return Account(
         name=ClientAccountId(wire.name),
         keys=tuple(wire.api_keys),
         priority=wire.priority,
-        regions=_regions(wire.allowed_regions),
+        regions=_to_regions(wire.allowed_regions),
     )
 
 
-def _regions(names: Sequence[str]) -> frozenset[RegionId]:
+def _to_regions(names: Sequence[str]) -> frozenset[RegionId]:
     return frozenset(RegionId(name) for name in names)
--- a/src/tanagerscale/platform/_engines.py
+++ b/src/tanagerscale/platform/_engines.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams in the platform's words."""
+"""Client for upstreams and engines on the platform."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from tanagerscale.platform._headers import PRIORITY
 from tanagerscale.platform._headers import REQUEST_ID
 from tanagerscale.platform._headers import TIME_LEFT
-from tanagerscale.platform._headers import returned
+from tanagerscale.platform._headers import forwarded_response_headers
 from tanagerscale.platform._wire import WireMove
 from tanagerscale.platform._wire import WireMoved
 from tanagerscale.platform._wire import WireReport
@@ -47,7 +47,8 @@
 HTTP_MISDIRECTED: Final = 421
 
 CALL_TIMEOUT_MS: Final = 2500
-"""Longest wait for a call about an engine itself; a notice of leaving is about two seconds."""
+"""Longest wait for a control call to an engine; engines announce their departure about two seconds
+ahead."""
 
 _COPY_FAILURES: Final = {
     404: CopyFailure.UNKNOWN_RUN,
@@ -55,18 +56,18 @@
     503: CopyFailure.NO_ROOM,
 }
 
-MOST_STRAY_REPLIES: Final = 4
-"""Replies to earlier requests that are skipped on one connection before it is given up."""
+MAX_STRAY_REPLIES: Final = 4
+"""Replies to earlier requests that are skipped on a connection before it is abandoned."""
 
 
 @final
-class PlatformAnswer:
-    """An upstream's answer, read from its connection.
+class PlatformResponse:
+    """A response of an upstream, read from its connection.
 
-    :param reply: Its head.
-    :param connection: Where its body comes from.
-    :param pool: Takes the connection back.
-    :param address: Where the connection leads.
+    :param reply: Head of the response.
+    :param connection: Connection from which the body is read.
+    :param pool: Pool to which the connection is returned.
+    :param address: Address of the upstream.
     """
 
     def __init__(
@@ -80,28 +81,28 @@
 
     @property
     def status(self) -> int:
-        """HTTP status."""
+        """HTTP status code."""
         return self._reply.status
 
     @property
     def reason(self) -> str:
-        """Its phrase."""
+        """Reason phrase of the status."""
         return self._reply.reason
 
     @property
     def headers(self) -> Sequence[Header]:
-        """Header fields for the caller."""
+        """Header fields that are forwarded to the caller."""
         headers = self._reply.headers
-        return returned(headers, headers.items())
+        return forwarded_response_headers(headers, headers.items())
 
     @property
     def not_executed(self) -> bool:
-        """Whether the upstream says that it did not run the request."""
+        """Whether the upstream reports that it did not run the request."""
         return self.is_someone_else or NOT_EXECUTED in self._reply.headers
 
     @property
     def is_someone_else(self) -> bool:
-        """Whether another upstream has the address now."""
+        """Whether another upstream now has the address."""
         return self._reply.status == HTTP_MISDIRECTED
 
     @property
@@ -110,20 +111,20 @@
         return not self._reply.keeps_connection
 
     async def read_some(self) -> bytes:
-        """Return the next bytes of the body, or none after its proper end."""
+        """Return the next bytes of the body, or empty bytes after its regular end."""
         chunk = await self._connection.read_some()
         if not chunk:
             self._release()
         return chunk
 
     async def read_all(self) -> bytes:
-        """Return the whole body."""
+        """Return the complete body."""
         body = await self._connection.read_all()
         self._release()
         return body
 
     def close(self) -> None:
-        """Give the answer up and end its connection, so that the upstream stops."""
+        """Abandon the response and close its connection, so that the upstream stops."""
         if not self._done:
             self._done = True
             self._connection.close()
@@ -138,30 +139,35 @@
 
 @final
 class PlatformUpstreams:
-    """Sends requests to upstreams.
+    """Sends requests to upstreams and control calls to engines.
 
-    :param pool: Connections to them.
+    :param pool: Pool of connections to upstreams.
     """
 
     def __init__(self, *, pool: ConnectionPool) -> None:
         self._pool = pool
 
-    async def send(self, *, order: UpstreamOrder) -> PlatformAnswer:
-        """Send a request and wait for the head of its answer."""
+    async def send(self, *, order: UpstreamOrder) -> PlatformResponse:
+        """Send a request and wait for the head of its response."""
         request = order.request
         address = order.upstream.address
         connection = await self._pool.acquire(address=address)
         try:
-            connection.send(method=request.method, head=_head(order), body=request.body)
-            reply = await self._own_reply(connection, request.request)
+            connection.send(method=request.method, head=_encode_head(order), body=request.body)
+            reply = await self._receive_matching(connection, request.request)
         except BaseException:
             connection.close()
             raise
-        return PlatformAnswer(reply=reply, connection=connection, pool=self._pool, address=address)
+        return PlatformResponse(
+            reply=reply, connection=connection, pool=self._pool, address=address
+        )
+
+    async def _receive_matching(self, connection: HttpConnection, request_id: str) -> Reply:
+        """Receive the reply to a request.
 
-    async def _own_reply(self, connection: HttpConnection, request_id: str) -> Reply:
-        """Skip late and repeated answers to earlier requests on the same connection."""
-        for _ in range(MOST_STRAY_REPLIES):
+        Late and duplicate replies to earlier requests on the same connection are skipped.
+        """
+        for _ in range(MAX_STRAY_REPLIES):
             reply = await connection.receive()
             if reply.headers.get(REQUEST_ID, request_id) == request_id:
                 return reply
@@ -171,15 +177,15 @@
     async def copy(
         self, *, source: UpstreamEntry, request: RequestId, target: UpstreamEntry, stop: bool
     ) -> Result[RunCopy, CopyError]:
-        """Copy what is new of a run's memory to another engine."""
+        """Copy the parts of a run's memory that are new since the last copy to another engine."""
         order = WireMove(id=request, to=target.address, last=stop)
         body = msgspec.json.encode(order)
         try:
             status, content = await self._call("POST", source.address, "/v1/kv-move", body)
         except (ExchangeError, TimeoutError) as error:
-            lost = CopyError(failure=CopyFailure.LOST, detail=type(error).__name__)
-            return Failure(lost)
-        moved = _moved(content)
+            copy_error = CopyError(failure=CopyFailure.LOST, detail=type(error).__name__)
+            return Failure(copy_error)
+        moved = _decode_copy_answer(content)
         if status == HTTP_OK and moved.handle:
             return Success(RunCopy(copy=moved.handle, events=moved.created_rev))
         return Failure(
@@ -191,7 +197,7 @@
         )
 
     async def report(self, *, upstream: UpstreamEntry) -> Result[EngineReport, str]:
-        """Return what an engine says of itself."""
+        """Return an engine's report of its load and its runs."""
         try:
             status, content = await self._call("GET", upstream.address, "/v1/report", b"")
             report = msgspec.json.decode(content, type=WireReport)
@@ -199,23 +205,25 @@
             return Failure(f"No report came ({type(error).__name__}); ask again later.")
         if status != HTTP_OK:
             return Failure(f"The engine answered {status}; ask again later.")
-        if _is_another_start(upstream, report):
+        if _is_other_incarnation(upstream, report):
             return Failure("Another start of the engine answered; ask by its newest entry.")
         return _to_report(upstream, report)
 
     def forget(self, *, upstream: UpstreamEntry) -> None:
-        """Close the idle connections to a start of an upstream that is over."""
+        """Close the idle connections to an incarnation of an upstream that has ended."""
         self._pool.drop(address=upstream.address)
 
     async def drop_copy(self, *, holder: UpstreamEntry, copy: str) -> None:
-        """Free a copy that nobody will use."""
+        """Free a copy that will not be used."""
         try:
             await self._call("DELETE", holder.address, f"/v1/kv-handle/{copy}", b"")
         except (ExchangeError, TimeoutError):
-            _log.info("A copy was not freed; it ends by itself.", upstream=holder.upstream)
+            _log.info(
+                "A copy could not be freed; the engine will expire it.", upstream=holder.upstream
+            )
 
     async def _call(self, method: str, address: str, target: str, body: bytes) -> tuple[int, bytes]:
-        """Make one call about an engine itself and return its status and body."""
+        """Make one control call to an engine and return the status and body of its reply."""
         lines = [f"{method} {target} HTTP/1.1", f"Host: {address}"]
         if method == "POST":
             lines += ["Content-Type: application/json", f"Content-Length: {len(body)}"]
@@ -233,15 +241,15 @@
         return reply.status, content
 
 
-def _moved(content: bytes) -> WireMoved:
+def _decode_copy_answer(content: bytes) -> WireMoved:
     try:
         return msgspec.json.decode(content, type=WireMoved)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        # Refusals have bodies of all kinds; only their status counts then.
+        # Refusals have bodies of any format; only their status matters.
         return WireMoved()
 
 
-def _is_another_start(upstream: UpstreamEntry, wire: WireReport) -> bool:
+def _is_other_incarnation(upstream: UpstreamEntry, wire: WireReport) -> bool:
     return bool(upstream.started_ms) and wire.born not in (msgspec.UNSET, upstream.started_ms)
 
 
@@ -267,17 +275,17 @@
     )
 
 
-def _head(order: UpstreamOrder) -> bytes:
+def _encode_head(order: UpstreamOrder) -> bytes:
     request = order.request
     lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {request.host}"]
     lines += [f"{name}: {value}" for name, value in request.headers]
-    lines += [f"{name}: {value}" for name, value in _own_fields(order)]
+    lines += [f"{name}: {value}" for name, value in _gateway_fields(order)]
     if request.body or request.method not in ("GET", "HEAD"):
         lines.append(f"Content-Length: {len(request.body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("utf-8", "surrogateescape")
 
 
-def _own_fields(order: UpstreamOrder) -> list[Header]:
+def _gateway_fields(order: UpstreamOrder) -> list[Header]:
     fields: list[Header] = [(EXPECTED_UPSTREAM, order.upstream.name)]
     if order.time_left_ms is not None:
         fields.append((TIME_LEFT, str(order.time_left_ms)))
--- a/src/tanagerscale/platform/_edges.py
+++ b/src/tanagerscale/platform/_factory.py
@@ -1,11 +1,11 @@
-"""The platform as the product's edges."""
+"""Construction of the platform adapters that a host uses."""
 
 from __future__ import annotations
 
 from typing import Final
 
 from tanagerscale.core import Clock
-from tanagerscale.gateway import Edges
+from tanagerscale.gateway import Platform
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.platform._callers import PlatformCallers
 from tanagerscale.platform._configuration import CONFIGURATION_KEY
@@ -21,41 +21,41 @@
 from tanagerscale.upstreams import ConnectionPool
 
 CONNECT_TIMEOUT_MS: Final = 400
-"""Longest wait for a connection. It takes 3 ms between failure domains, and a lost first packet is
-sent again only after a second, so trying another upstream is quicker."""
+"""Longest wait for a connection. Connecting takes 3 ms between failure domains, and a lost first
+packet is resent only after one second, so that trying another upstream is faster."""
 
-IDLE_MS: Final = 3000
-"""How long an idle connection is counted on when its upstream does not tell."""
+IDLE_TIMEOUT_MS: Final = 3000
+"""How long an idle connection is reused if its upstream does not announce an idle timeout."""
 
 
-STORE_SILENCE_S: Final = 3
-"""Connections to the store that went silent are found within this time, by probes that cost no
-call. A configuration must be in force two seconds after that."""
+STORE_SILENCE_TIMEOUT_S: Final = 3
+"""Time within which TCP probes detect a silent connection to the store; a probe costs no call.
+A configuration must be active two seconds after that."""
 
 
-def make_edges(*, settings: GatewaySettings, clock: Clock) -> Edges:
-    """Return the platform as a host sees it.
+def make_platform(*, settings: GatewaySettings, clock: Clock) -> Platform:
+    """Return the adapters to the platform.
 
     :param settings: The host's settings.
-    :param clock: Time.
+    :param clock: Clock for the timeouts of connections.
     """
 
-    def pool(silence_s: int) -> ConnectionPool:
+    def make_pool(silence_s: int) -> ConnectionPool:
         return ConnectionPool(
             clock=clock,
             connect_timeout_ms=CONNECT_TIMEOUT_MS,
-            idle_ms=IDLE_MS,
+            idle_ms=IDLE_TIMEOUT_MS,
             silence_s=silence_s,
         )
 
-    store_pool = pool(STORE_SILENCE_S)
-    upstream_pool = pool(SILENCE_S)
+    store_pool = make_pool(STORE_SILENCE_TIMEOUT_S)
+    upstream_pool = make_pool(SILENCE_S)
 
     async def close() -> None:
         store_pool.close()
         upstream_pool.close()
 
-    return Edges(
+    return Platform(
         store=PlatformStore(address=settings.store.address, pool=store_pool),
         upstreams=PlatformUpstreams(pool=upstream_pool),
         operator_prefix=OPERATOR_PREFIX,
--- a/src/tanagerscale/platform/_headers.py
+++ b/src/tanagerscale/platform/_headers.py
@@ -1,4 +1,4 @@
-"""Names of the platform's header fields, and which of them pass from callers to upstreams."""
+"""Names of the platform's header fields, and which fields are forwarded."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 from typing import Final
 
 REQUEST_ID: Final = "Tanagerscale-Attempt-Id"
-"""Names one try of a caller; its repeats have other ids, so it is a request id to us."""
+"""Identifies one attempt of a caller. Retries by the caller have other ids, so that the gateway
+treats it as a request id."""
 TIME_LEFT: Final = "Tanagerscale-Deadline-Remaining"
 PROMPT_PARTS: Final = "Tanagerscale-Prompt-Prefix"
-"""The whole prompt as a chain of parts, not only its shared beginning."""
+"""The complete prompt as a chain of parts, not only a shared prefix."""
 LAST_EVENT: Final = "Last-Event-Id"
 SIGNATURE: Final = "Tanagerscale-Server-Stamp"
 ACCOUNT: Final = "Tanagerscale-Tenant"
@@ -19,7 +20,7 @@
 UPSTREAM: Final = "Tanagerscale-Instance-Id"
 MODEL: Final = "Tanagerscale-Model"
 TOKENS: Final = "Tanagerscale-Token-Usage"
-"""Tokens of the prompt and most tokens of the answer, not what was used."""
+"""Prompt tokens and maximum output tokens of the request, not the actual usage."""
 PRIORITY: Final = "Tanagerscale-Request-Priority"
 EXPECTED_VERSION: Final = "Tanagerscale-Expect-Version"
 PIN: Final = "Tanagerscale-Pin-Duration"
@@ -43,7 +44,7 @@
         "expect",
     }
 )
-_OUR_FIELDS: Final = frozenset(
+_GATEWAY_FIELDS: Final = frozenset(
     name.lower()
     for name in (
         "Host",
@@ -66,30 +67,30 @@
 _PROTECTED: Final = frozenset(
     name.lower() for name in (REQUEST_ID, MODEL, TOKENS, PROMPT_PARTS, EXPECTED_LENGTH)
 )
-"""A caller can't have these taken out by naming them as fields of its connection."""
+"""Fields that a caller cannot remove by listing them in its ``Connection`` field."""
 
 
-def passed_on(
+def forwarded_request_headers(
     headers: Mapping[str, str], fields: Iterable[tuple[str, str]]
 ) -> tuple[tuple[str, str], ...]:
-    """Return the fields of a request that go to the upstream as they are.
+    """Return the header fields of a request that are forwarded unchanged to the upstream.
 
-    :param headers: All fields, by name.
-    :param fields: The same in order, repeated ones included.
+    :param headers: All fields by name.
+    :param fields: The same fields in order, including repeated ones.
     """
-    left_out = _CONNECTION_FIELDS | _OUR_FIELDS | _named_by_connection(headers)
-    return tuple((name, value) for name, value in fields if name.lower() not in left_out)
+    excluded = _CONNECTION_FIELDS | _GATEWAY_FIELDS | _connection_options(headers)
+    return tuple((name, value) for name, value in fields if name.lower() not in excluded)
 
 
-def returned(
+def forwarded_response_headers(
     headers: Mapping[str, str], fields: Iterable[tuple[str, str]]
 ) -> tuple[tuple[str, str], ...]:
-    """Return the fields of an answer that go to the caller as they are."""
-    left_out = _CONNECTION_FIELDS | _named_by_connection(headers) | {"content-length"}
-    return tuple((name, value) for name, value in fields if name.lower() not in left_out)
+    """Return the header fields of a response that are forwarded unchanged to the caller."""
+    excluded = _CONNECTION_FIELDS | _connection_options(headers) | {"content-length"}
+    return tuple((name, value) for name, value in fields if name.lower() not in excluded)
 
 
-def _named_by_connection(headers: Mapping[str, str]) -> frozenset[str]:
+def _connection_options(headers: Mapping[str, str]) -> frozenset[str]:
     named = headers.get("Connection")
     if named is None:
         return frozenset()
--- a/src/tanagerscale/platform/_registry.py
+++ b/src/tanagerscale/platform/_registry.py
@@ -1,6 +1,6 @@
-"""Decodes the entries that upstreams write of themselves.
+"""Decoding of the entries under which upstreams register.
 
-Others may write under the same prefix. What is not an entry as an upstream writes it names none.
+Other writers may use the same prefix. A value that is not a valid entry registers no upstream.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
 _STATES: Final = {"ready": UpstreamState.READY, "draining": UpstreamState.LEAVING}
 
 _NAME: Final = re.compile(r"[!-~]+")
-"""Names are sent in header fields, where control characters would begin another field."""
+"""Names are sent in header fields, where control characters would start another field."""
 
 _decoder = msgspec.json.Decoder(WireServer)
 
 
 def name_of(key: str) -> UpstreamName:
-    """Return whose entry stands under a key; the name stands nowhere else."""
+    """Return the name of the upstream that registers under a key; the entry does not contain it."""
     return UpstreamName(key.removeprefix(REGISTRY_PREFIX))
 
 
-def start_of(name: UpstreamName, started_ms: int) -> UpstreamId:
-    """Return the id of one start of an upstream."""
+def build_upstream_id(name: UpstreamName, started_ms: int) -> UpstreamId:
+    """Return the id of one incarnation of an upstream."""
     return UpstreamId(f"{name}@{started_ms}" if started_ms else name)
 
 
 def decode_entry(key: str, value: bytes) -> Result[UpstreamEntry, str]:
     """Decode one entry.
 
-    :param key: Its key in the store.
-    :param value: JSON text, if its upstream wrote it.
-    :returns: The entry, or what is wrong with it.
+    :param key: Store key of the entry.
+    :param value: JSON text if written by an upstream; other writers may store any bytes.
+    :returns: The entry, or the reason why it is invalid.
     """
     try:
         wire = _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return _left_out(str(error))
+        return _reject(str(error))
     name = name_of(key)
     if not _NAME.fullmatch(name):
-        return _left_out("its name can't be sent")
+        return _reject("its name can't be sent")
     if wire.state not in _STATES:
-        return _left_out(f"state {wire.state[:20]!r} is unknown")
+        return _reject(f"state {wire.state[:20]!r} is unknown")
     if problem := address_problem(address=wire.address):
-        return _left_out(f"the address is not {problem}")
+        return _reject(f"the address is not {problem}")
     started_ms = 0 if wire.born is msgspec.UNSET else wire.born
     return Success(
         UpstreamEntry(
-            upstream=start_of(name, started_ms),
+            upstream=build_upstream_id(name, started_ms),
             name=name,
             started_ms=started_ms,
             service=ServiceId(wire.service),
@@ -76,5 +76,5 @@
     )
 
 
-def _left_out(cause: str) -> Result[UpstreamEntry, str]:
+def _reject(cause: str) -> Result[UpstreamEntry, str]:
     return Failure(f"The entry can't be read ({cause}); the upstream is left out.")
--- a/src/tanagerscale/platform/_store.py
+++ b/src/tanagerscale/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as the product's own ``Store``."""
+"""Client of the platform's store that implements ``Store``."""
 
 from __future__ import annotations
 
@@ -40,28 +40,28 @@
 
 HTTP_OK: Final = 200
 HTTP_NOT_FOUND: Final = 404
-HTTP_CONFLICT: Final = 412
+HTTP_PRECONDITION_FAILED: Final = 412
 HTTP_GONE: Final = 410
-HTTP_TOO_MANY: Final = 429
+HTTP_TOO_MANY_REQUESTS: Final = 429
 
 CALL_TIMEOUT_MS: Final = 1000
-"""Longest wait for one call. The store answers in 4 ms; slowed down sixty times, in 240 ms."""
+"""Longest wait for one call. The store answers in 4 ms, or in 240 ms if sixty times slower."""
 
 WATCH_WAIT_MS: Final = 28_000
-"""How long the store holds a watch without news, which is paid for as a call; at most 30 s."""
+"""How long the store holds a watch without changes; each watch costs one call. At most 30 s."""
 
-WATCH_SLACK_MS: Final = 2000
-"""How much later than its wait a watch may answer before its connection counts as silent."""
+WATCH_TIMEOUT_MARGIN_MS: Final = 2000
+"""How long after its wait a watch may answer before its connection is considered silent."""
 
 _Body = TypeVar("_Body", bound=msgspec.Struct)
 
 
 @final
 class PlatformStore:
-    """Calls to the platform's store.
+    """Client of the platform's store.
 
-    :param address: IP number and port.
-    :param pool: Connections to it.
+    :param address: IP address and port of the store.
+    :param pool: Pool of connections to the store.
     """
 
     def __init__(self, *, address: str, pool: ConnectionPool) -> None:
@@ -70,7 +70,7 @@
         self.calls = 0
 
     async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
-        """Read one key; a stale answer costs a tenth."""
+        """Read one key; a possibly stale read costs a tenth of a call."""
         query = {"key": key, **({"serializable": "1"} if stale else {})}
         answer = await self._call("GET", "/v1/kv-key", query=query)
         if isinstance(answer, Failure):
@@ -78,7 +78,7 @@
         status, body = answer.unwrap()
         if status == HTTP_NOT_FOUND:
             return Success(None)
-        return _decoded(status, body, WireItem).map(_to_entry)
+        return _decode_body(status, body, WireItem).map(_to_entry)
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix, page by page."""
@@ -90,12 +90,12 @@
             answer = await self._call("GET", "/v1/kv-range", query=query)
             if isinstance(answer, Failure):
                 return answer
-            decoded = _decoded(*answer.unwrap(), WireRange)
+            decoded = _decode_body(*answer.unwrap(), WireRange)
             if isinstance(decoded, Failure):
                 return decoded
             page = decoded.unwrap()
             entries.extend(_to_entry(item) for item in page.items)
-            # Pages are read at different revisions; a watch must begin at the first one's.
+            # Pages are read at different revisions; a watch must start at that of the first page.
             first_revision = page.as_of if first_revision is None else first_revision
             if not page.more_pages or not page.items:
                 revision = StoreRevision(first_revision)
@@ -103,7 +103,7 @@
             after = page.items[-1].key
 
     async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
-        """Carry out conditional writes, each by itself on its own condition."""
+        """Execute conditional writes, each in a transaction of its own."""
         outcomes = []
         for put in puts:
             outcome = await self._commit_one(put)
@@ -113,42 +113,42 @@
         return Success(outcomes)
 
     async def grant_lease(self, *, ttl_s: int) -> Result[LeaseId, StoreError]:
-        """Make a lease that ends after ``ttl_s`` seconds without a keep-alive."""
+        """Create a lease that expires after ``ttl_s`` seconds without a keep-alive."""
         body = {"ttlMs": ttl_s * MS_PER_SECOND}
         answer = await self._call("POST", "/v1/kv-lease", body=body)
         if isinstance(answer, Failure):
             return answer
-        return _decoded(*answer.unwrap(), WireLease).map(lambda made: LeaseId(made.lease))
+        return _decode_body(*answer.unwrap(), WireLease).map(lambda granted: LeaseId(granted.lease))
 
     async def keep_alive(self, *, lease: LeaseId) -> Result[int, StoreError]:
-        """Renew a lease and return its seconds to live; 0 means that it has ended."""
+        """Renew a lease and return its time to live in seconds; 0 means that it has expired."""
         answer = await self._call("POST", f"/v1/kv-keep/{lease}", body={})
         if isinstance(answer, Failure):
             return answer
         status, content = answer.unwrap()
         if status == HTTP_NOT_FOUND:
             return Success(0)
-        decoded = _decoded(status, content, WireLease)
+        decoded = _decode_body(status, content, WireLease)
         return decoded.map(lambda renewed: max(renewed.ttl_ms // MS_PER_SECOND, 1))
 
     async def revoke(self, *, lease: LeaseId) -> Result[None, StoreError]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         answer = await self._call("DELETE", f"/v1/kv-lease-end/{lease}")
         return answer.map(lambda _: None)
 
     async def watch(
         self, *, prefix: str, from_revision: StoreRevision
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
-        """Follow the changes under a prefix; the iterator ends after its first failure."""
+        """Watch the changes under a prefix; the iterator ends after the first failure."""
         after = from_revision - 1
         while True:
             query = {"pathPrefix": prefix, "after": str(after), "waitMs": str(WATCH_WAIT_MS)}
-            timeout_ms = WATCH_WAIT_MS + WATCH_SLACK_MS
+            timeout_ms = WATCH_WAIT_MS + WATCH_TIMEOUT_MARGIN_MS
             answer = await self._call("GET", "/v1/kv-watch", query=query, timeout_ms=timeout_ms)
             if isinstance(answer, Failure):
                 yield answer
                 return
-            decoded = _decoded(*answer.unwrap(), WireChanges)
+            decoded = _decode_body(*answer.unwrap(), WireChanges)
             if isinstance(decoded, Failure):
                 yield decoded
                 return
@@ -172,11 +172,11 @@
         if isinstance(answer, Failure):
             return answer
         status, content = answer.unwrap()
-        if status != HTTP_CONFLICT:
-            return _decoded(status, content, WireCommitted).map(
-                lambda done: PutOutcome(written=True, revision=StoreRevision(done.revision))
+        if status != HTTP_PRECONDITION_FAILED:
+            return _decode_body(status, content, WireCommitted).map(
+                lambda wire: PutOutcome(written=True, revision=StoreRevision(wire.revision))
             )
-        return _decoded(HTTP_OK, content, WireRange).map(_to_conflict)
+        return _decode_body(HTTP_OK, content, WireRange).map(_to_conflict)
 
     async def _call(
         self,
@@ -187,7 +187,7 @@
         body: Mapping[str, Any] | None = None,
         timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> Result[tuple[int, bytes], StoreError]:
-        """Make one call and return its status and body."""
+        """Make one call and return the status and body of the reply."""
         self.calls += 1
         target = f"{path}?{urlencode(query)}" if query else path
         content = b"" if body is None else msgspec.json.encode(body)
@@ -219,23 +219,23 @@
             connection.close()
             raise
         self._pool.release(address=self._address, connection=connection, reply=reply)
-        return _checked(reply.status, answer)
+        return _check_status(reply.status, answer)
 
 
-def _checked(status: int, body: bytes) -> Result[tuple[int, bytes], StoreError]:
-    if status in (HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT):
+def _check_status(status: int, body: bytes) -> Result[tuple[int, bytes], StoreError]:
+    if status in (HTTP_OK, HTTP_NOT_FOUND, HTTP_PRECONDITION_FAILED):
         return Success((status, body))
     if status == HTTP_GONE:
         detail = "The history asked for is gone; read the present state and watch from there."
         return Failure(StoreError(kind=StoreErrorKind.COMPACTED, detail=detail))
-    if status == HTTP_TOO_MANY:
+    if status == HTTP_TOO_MANY_REQUESTS:
         detail = "The store refuses calls for now; call it less often."
         return Failure(StoreError(kind=StoreErrorKind.OVERLOADED, detail=detail))
     detail = f"The store answered {status}; try again after a pause."
     return Failure(StoreError(kind=StoreErrorKind.REFUSED, detail=detail))
 
 
-def _decoded(status: int, body: bytes, kind: type[_Body]) -> Result[_Body, StoreError]:
+def _decode_body(status: int, body: bytes, kind: type[_Body]) -> Result[_Body, StoreError]:
     if status != HTTP_OK:
         detail = f"The store answered {status}; read the present state and try again."
         return Failure(StoreError(kind=StoreErrorKind.REFUSED, detail=detail))
--- a/src/tanagerscale/platform/_wire.py
+++ b/src/tanagerscale/platform/_wire.py
@@ -1,7 +1,7 @@
-"""The platform's bodies as they stand on the wire; only this folder sees these types.
+"""Wire format of the platform's request and response bodies, used only in this package.
 
-Fields keep the platform's names, turned from camel case by ``rename``; unknown ones are ignored, as
-new ones may come. Where such a name says little, its type's docstring tells what it holds.
+Fields keep the platform's names, converted from camel case by ``rename``. Unknown fields are
+ignored because later versions may add some. Docstrings explain fields whose names are unclear.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 import msgspec
 
-_MOST_MS: Final = 86_400_000
-"""A day, more than any span of time in these bodies; a number beyond it was not meant."""
+_MAX_MS: Final = 86_400_000
+"""One day, more than any duration in these bodies; a larger number is invalid."""
 
 
 class WireItem(msgspec.Struct, kw_only=True, rename="camel"):
-    """An entry of the store; ``value`` is base64."""
+    """An entry of the store; ``value`` is base64 on the wire."""
 
     key: str
     revision: int
@@ -29,7 +29,7 @@
 
 
 class WireRange(msgspec.Struct, kw_only=True, rename="camel"):
-    """Entries under a prefix; ``as_of`` is the store's revision."""
+    """Entries under a prefix; ``as_of`` is the revision of the store."""
 
     items: list[WireItem] = []
     more_pages: bool = False
@@ -37,27 +37,27 @@
 
 
 class WireChanges(msgspec.Struct, kw_only=True, rename="camel"):
-    """What a watch returns; ``as_of`` is where the next one goes on."""
+    """Result of a watch; ``as_of`` is the revision after which the next watch continues."""
 
     events: list[WireItem] = []
     as_of: int = 0
 
 
 class WireLease(msgspec.Struct, kw_only=True, rename="camel"):
-    """A lease that was made or renewed."""
+    """A lease that was granted or renewed."""
 
     ttl_ms: int = 0
     lease: int = 0
 
 
 class WireCommitted(msgspec.Struct, kw_only=True, rename="camel"):
-    """A transaction that was carried out."""
+    """A committed transaction."""
 
     revision: int = 0
 
 
 class WireSplit(msgspec.Struct, kw_only=True, rename="camel"):
-    """One service of a route that sends to several."""
+    """One of several services among which a route splits its requests."""
 
     service: str
     weight: int = 1
@@ -83,17 +83,17 @@
 
 
 class WireModel(msgspec.Struct, kw_only=True, rename="camel"):
-    """A model that the engines of a service have."""
+    """A model that the engines of a service serve."""
 
     name: str
     version: int = 1
 
 
 class WireEngine(msgspec.Struct, kw_only=True, rename="camel"):
-    """What the engines of a service can do.
+    """Capabilities of the engines of a service.
 
-    ``most`` bounds calls that wait for cache events, ``stride`` is the tokens of one event, and
-    ``handle_s`` the time in seconds after which an unused copy is dropped.
+    ``most`` limits calls that wait for cache events, ``stride`` is the number of tokens in one
+    event, and ``handle_s`` is the time in seconds after which an unused copy is dropped.
     """
 
     slots: int
@@ -120,7 +120,7 @@
 
 
 class WireLimits(msgspec.Struct, kw_only=True, rename="camel"):
-    """What clients may send."""
+    """Limits that apply to callers."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -129,7 +129,7 @@
 
 
 class WireTenant(msgspec.Struct, kw_only=True, rename="camel"):
-    """A client account; its priority goes before a route's."""
+    """A client account; its priority overrides a route's."""
 
     name: str
     api_keys: list[str] = []
@@ -148,16 +148,15 @@
 
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
-_Moment = Annotated[int, msgspec.Meta(gt=0, lt=2**53)]
-"""Numbers from 2 to the power of 53 on are not exact in all JSON writers."""
+_Timestamp = Annotated[int, msgspec.Meta(gt=0, lt=2**53)]
+"""Unix milliseconds. JSON writers may not represent numbers from 2**53 upwards exactly."""
 
 
 class WireServer(msgspec.Struct, kw_only=True, rename="camel"):
-    """An upstream's own entry in the store; ``sequence`` counts its heartbeats since its start.
+    """An upstream's entry in the store; ``sequence`` counts its heartbeats since its start.
 
-    ``born`` is the Unix millisecond of its start. Some upstreams don't tell it; all else is always
-    there. Fields that nothing uses are decoded so that an entry with others in their place is
-    refused.
+    ``born`` is the Unix time of its start in milliseconds. Some upstreams omit it; all other fields
+    are required. Unused fields are decoded so that an entry with invalid values in them is refused.
     """
 
     service: str
@@ -166,17 +165,18 @@
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: str
-    cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=_MOST_MS)]
+    cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=_MAX_MS)]
     sequence: _Count
-    born: _Moment | msgspec.UnsetType = msgspec.UNSET
+    born: _Timestamp | msgspec.UnsetType = msgspec.UNSET
 
 
 class WireReport(msgspec.Struct, kw_only=True, rename="camel"):
-    """An engine's late report of itself.
+    """An engine's report of its load, which lags behind its actual state.
 
-    ``next`` is the tokens of the first waiting request, ``kv_cache_used`` the memory that can't be
-    freed, and each of ``runs`` an id, its tokens in memory, its events made and its priority.
-    ``born`` is the Unix millisecond of the start that answers.
+    ``next`` is the number of tokens of the first waiting request, and ``kv_cache_used`` is the
+    memory that cannot be freed. Each item of ``runs`` holds a request id, the run's tokens in
+    memory, the number of events it has produced and its priority. ``born`` is the Unix time in
+    milliseconds at which the incarnation that answers was started.
     """
 
     waiting: int = 0
@@ -194,7 +194,7 @@
 
 
 class WireMove(msgspec.Struct, kw_only=True, rename="camel"):
-    """Asks an engine to copy a run's memory to another engine."""
+    """Request to an engine to copy a run's memory to another engine."""
 
     id: str
     to: str
@@ -202,7 +202,7 @@
 
 
 class WireMoved(msgspec.Struct, kw_only=True, rename="camel"):
-    """A copy that is complete; ``created_rev`` is the number of events made so far."""
+    """A completed copy; ``created_rev`` is the number of events the run has produced so far."""
 
     handle: str = ""
     created_rev: int = 0
--- a/src/tanagerscale/routes/__init__.py
+++ b/src/tanagerscale/routes/__init__.py
@@ -1,10 +1,10 @@
-"""Declared routes, services and client accounts, and how requests find theirs."""
+"""Configured routes, services and client accounts, and their lookup for requests."""
 
 from __future__ import annotations
 
-from tanagerscale.routes._homes import ANYWHERE
-from tanagerscale.routes._homes import Homes
-from tanagerscale.routes._table import ANYBODY
+from tanagerscale.routes._regions import ANY_FAILURE_DOMAIN
+from tanagerscale.routes._regions import AllowedRegions
+from tanagerscale.routes._table import ANONYMOUS_CALLER
 from tanagerscale.routes._table import Caller
 from tanagerscale.routes._table import RouteTable
 from tanagerscale.routes._table import choose_target
@@ -19,14 +19,14 @@
 from tanagerscale.routes._types import Target
 
 __all__ = [
-    "ANYBODY",
-    "ANYWHERE",
+    "ANONYMOUS_CALLER",
+    "ANY_FAILURE_DOMAIN",
     "Account",
+    "AllowedRegions",
     "Caller",
     "CallerLimits",
     "Configuration",
     "EngineCapabilities",
-    "Homes",
     "Route",
     "RouteId",
     "RouteKind",
--- a/src/tanagerscale/routes/_homes.py
+++ b/src/tanagerscale/routes/_regions.py
@@ -1,4 +1,4 @@
-"""Regions that requests must not leave."""
+"""Restriction of requests to regions."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from tanagerscale.routes._table import Caller
 from tanagerscale.routes._types import Route
 
-ANYWHERE: frozenset[FailureDomainId] = frozenset()
-"""Stands for a request that may run in any failure domain."""
+ANY_FAILURE_DOMAIN: frozenset[FailureDomainId] = frozenset()
+"""Marks a request that may run in any failure domain."""
 
 
 @final
-class Homes:
-    """Tells in which failure domains a request may run.
+class AllowedRegions:
+    """Determines the failure domains in which a request may run.
 
-    :param regions: The region of each failure domain.
+    :param regions: Maps each failure domain to its region.
     """
 
     def __init__(self, *, regions: Mapping[FailureDomainId, RegionId]) -> None:
         self._regions = dict(regions)
 
     def domains(self, *, route: Route, caller: Caller) -> frozenset[FailureDomainId] | None:
-        """Return the failure domains a request may run in.
+        """Return the failure domains in which a request may run.
 
-        Where both its route and its account name regions, both bind.
+        If both its route and its account name regions, only the regions named by both are allowed.
 
-        :param route: Its route.
-        :param caller: Whose it is.
-        :returns: The failure domains; ``ANYWHERE`` when no regions are named, and ``None`` when
-            nothing is left.
+        :param route: The route of the request.
+        :param caller: The caller of the request.
+        :returns: The failure domains; ``ANY_FAILURE_DOMAIN`` if no regions are named, and ``None``
+            if no failure domain is allowed.
         """
         if not route.regions and not caller.regions:
-            return ANYWHERE
+            return ANY_FAILURE_DOMAIN
         named = [regions for regions in (route.regions, caller.regions) if regions]
         regions = frozenset.intersection(*named)
         domains = frozenset(domain for domain, region in self._regions.items() if region in regions)
--- a/src/tanagerscale/routes/_table.py
+++ b/src/tanagerscale/routes/_table.py
@@ -1,4 +1,4 @@
-"""Looking up routes and accounts of one version."""
+"""Lookup of routes and client accounts in one version of the configuration."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 @final
 class Caller(Struct, frozen=True, kw_only=True):
-    """Whose request it is.
+    """The sender of a request.
 
-    :param account: The account of its key; ``None`` on public routes and where no accounts are
-        declared.
-    :param priority: The account's priority, when it has one.
-    :param regions: Regions that its requests may run in; none means any.
+    :param account: The client account that owns the request's key; ``None`` on public routes and if
+        no accounts are configured.
+    :param priority: The account's priority; ``None`` if the route's priority applies.
+    :param regions: Regions in which the requests may run; empty means any.
     """
 
     account: ClientAccountId | None
@@ -33,17 +33,17 @@
     regions: frozenset[RegionId] = frozenset()
 
 
-ANYBODY = Caller(account=None, priority=None)
+ANONYMOUS_CALLER = Caller(account=None, priority=None)
 
 
 @final
 class RouteTable:
-    """The declarations of one version, compiled for lookup.
+    """One version of the configuration, indexed for lookup.
 
     A route is found by one dictionary lookup for each slash of the path, so that hundreds of
     routes cost no more than one.
 
-    :param configuration: What was declared.
+    :param configuration: The configuration to index.
     """
 
     def __init__(self, *, configuration: Configuration) -> None:
@@ -60,12 +60,12 @@
 
     @property
     def version(self) -> Revision:
-        """Version of the declarations."""
+        """Version of the configuration."""
         return self._configuration.version
 
     @property
     def limits(self) -> CallerLimits:
-        """What callers may send."""
+        """Limits that apply to callers."""
         return self._configuration.limits
 
     @property
@@ -79,10 +79,10 @@
         return self._configuration.services
 
     def route(self, *, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, or ``None``.
+        """Return the route with the longest matching path prefix, or ``None``.
 
         :param host: Host name of the request, with or without a port.
-        :param path: Its path without the query.
+        :param path: Path of the request without the query.
         """
         name = host.partition(":")[0].lower()
         end = len(path)
@@ -93,26 +93,26 @@
         return None
 
     def caller(self, *, route: Route, key: str | None) -> Caller | None:
-        """Return whose request it is, or ``None`` when its key is missing or unknown.
+        """Return the caller of a request, or ``None`` if its key is missing or unknown.
 
-        :param route: The route asked for; public ones need no key.
-        :param key: Key that the request carries, if any.
+        :param route: The route of the request; public routes need no key.
+        :param key: Key that the request carries, or ``None``.
         """
         known = None if key is None else self._callers.get(key)
         if known is not None:
             return known
-        return ANYBODY if route.public or not self._configuration.accounts else None
+        return ANONYMOUS_CALLER if route.public or not self._configuration.accounts else None
 
     def service(self, name: ServiceId) -> Service | None:
-        """Return a declared service."""
+        """Return a configured service, or ``None`` if there is none of that name."""
         return self._services.get(name)
 
 
 def choose_target(*, route: Route, rng: Random) -> ServiceId:
-    """Draw one of a route's services by weight.
+    """Return one of a route's services, chosen randomly by weight.
 
     :param route: The route.
-    :param rng: Source of chance.
+    :param rng: Random number generator used for the choice.
     """
     if len(route.targets) == 1:
         return route.targets[0].service
--- a/src/tanagerscale/routes/_types.py
+++ b/src/tanagerscale/routes/_types.py
@@ -1,4 +1,4 @@
-"""Declared routes: what a caller's request may be, and which service answers it."""
+"""Types of the configuration: routes, services, client accounts and limits."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @unique
 class RouteKind(Enum):
-    """What may be done again when the outcome of an attempt is not known."""
+    """How a route may be retried when the outcome of an attempt is unknown."""
 
     IDEMPOTENT = "idempotent"
-    """An attempt may be repeated on another upstream, whatever became of the first."""
+    """An attempt may be repeated on another upstream, whatever the outcome of the first."""
     NON_IDEMPOTENT = "non-idempotent"
-    """An attempt may be repeated only when it is known not to have run."""
+    """An attempt may be repeated only if it is known not to have run."""
     STREAMING = "streaming"
-    """As a non-idempotent one; its answer is a stream of numbered events."""
+    """Like ``NON_IDEMPOTENT``; the response is a stream of numbered events."""
 
 
 class Target(Struct, frozen=True, kw_only=True):
-    """One of the services a route sends to.
+    """One of the services to which a route sends requests.
 
-    :param service: The service.
+    :param service: Id of the service.
     :param weight: Its share of the route's requests, relative to the other targets.
     """
 
@@ -41,22 +41,22 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """A host name and a path prefix, and how requests to them are treated.
-
-    :param name: The operators' name of the route.
-    :param host: Host name that requests carry, in lower case.
-    :param path_prefix: Begins and ends with a slash.
-    :param kind: What may be repeated.
-    :param targets: Services that answer, with at least one weight above 0.
-    :param attempts: Most upstreams that may run one request.
-    :param timeout_ms: Longest time a caller is kept waiting for the end of its answer.
-    :param target_ms: Time within which an answer, or the first event of a stream, is on time.
-    :param gap_ms: Longest pause between two events of a stream that is still on time; 0 means
-        that the route declares none.
-    :param priority: 0 goes first.
+    """A host name and a path prefix, and how requests to them are handled.
+
+    :param name: Name that the operators gave the route.
+    :param host: Host name of the requests, in lower case.
+    :param path_prefix: Prefix of the request path; it starts and ends with a slash.
+    :param kind: How attempts may be repeated.
+    :param targets: Services that handle the requests; at least one has a weight above 0.
+    :param attempts: Maximum number of upstreams that may run one request.
+    :param timeout_ms: Longest time that a caller waits for the end of its response.
+    :param target_ms: Target latency of a response, or of the first event of a stream.
+    :param gap_ms: Target for the longest pause between two events of a stream; 0 means that the
+        route has no such target.
+    :param priority: Priority of the requests; 0 is the highest.
     :param public: Whether requests need no key.
-    :param resumable: Whether a stream may be asked for from a later event on.
-    :param regions: Regions that its requests may run in; none means any.
+    :param resumable: Whether a caller may request a stream from a later event on.
+    :param regions: Regions in which the requests may run; empty means any.
     """
 
     name: RouteId
@@ -75,18 +75,18 @@
 
 
 class EngineCapabilities(Struct, frozen=True, kw_only=True):
-    """What the engines of a language model service have and can do.
+    """Capacity and features of the engines of a language model service.
 
-    :param batch: Most generations decoded together.
-    :param memory_tokens: Tokens of key-value memory of one engine.
-    :param token_bytes: Bytes of key-value memory for each token.
-    :param link_mbps: Speed at which engines copy memory to each other.
+    :param batch: Maximum number of generations that an engine decodes together.
+    :param memory_tokens: Capacity of one engine's key-value cache in tokens.
+    :param token_bytes: Bytes of key-value cache per token.
+    :param link_mbps: Bandwidth at which engines copy cache contents to each other.
     :param can_move: Whether a running generation may be copied to another engine.
-    :param tokens_per_event: Tokens that one event of a stream holds.
-    :param copy_ttl_ms: How long an engine keeps a copy that nobody uses.
-    :param pin_ms: Longest time that a finished run's memory may be kept.
-    :param hold_ms: Longest time that a place may be reserved.
-    :param models: Models the engines have.
+    :param tokens_per_event: Number of tokens in one event of a stream.
+    :param copy_ttl_ms: How long an engine keeps an unused copy.
+    :param pin_ms: Longest time for which the memory of a finished run may be kept.
+    :param hold_ms: Longest time for which a slot may be reserved.
+    :param models: Models that the engines serve.
     """
 
     batch: int
@@ -102,14 +102,15 @@
 
 
 class Service(Struct, frozen=True, kw_only=True):
-    """Upstreams that answer alike.
+    """A group of interchangeable upstreams.
 
-    :param name: Its name.
-    :param health_path: Path that tells whether an upstream takes work.
-    :param max_connections: Connections that one upstream takes from all callers together.
-    :param engine: What its engines can do, or ``None`` when it runs no language model.
+    :param name: Id of the service.
+    :param health_path: Path of the health check of an upstream.
+    :param max_connections: Connections that one upstream accepts from all hosts together.
+    :param engine: Capabilities of its engines, or ``None`` if it runs no language model.
     :param cold_ms: How long an upstream warms up after its start.
-    :param cold_per_s: Requests a second that one bears until it is warm; 0 for any number.
+    :param cold_per_s: Requests per second that one upstream can handle until it is warm; 0 means no
+        limit.
     """
 
     name: ServiceId
@@ -121,11 +122,11 @@
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
-    """What one caller's connection may send and how long it may take.
+    """Size limits and timeouts of a caller's connection.
 
-    :param header_bytes: Largest head of a request.
-    :param body_bytes: Largest body.
-    :param header_timeout_ms: Longest time for the head to arrive.
+    :param header_bytes: Largest accepted head of a request.
+    :param body_bytes: Largest accepted body.
+    :param header_timeout_ms: Longest time for the head of a request to arrive.
     :param idle_timeout_ms: How long a connection may stay idle between requests.
     """
 
@@ -138,10 +139,10 @@
 class Account(Struct, frozen=True, kw_only=True):
     """A client account.
 
-    :param name: Its id.
-    :param keys: Keys that its requests may carry.
-    :param priority: Goes before the route's priority; ``None`` leaves that in force.
-    :param regions: Regions that its requests may run in; none means any.
+    :param name: Id of the account.
+    :param keys: Keys that identify requests of the account.
+    :param priority: Overrides the route's priority; ``None`` keeps it.
+    :param regions: Regions in which the account's requests may run; empty means any.
     """
 
     name: ClientAccountId
@@ -151,13 +152,13 @@
 
 
 class Configuration(Struct, frozen=True, kw_only=True):
-    """Everything the operators have declared, as one version.
+    """One version of everything that the operators have configured.
 
-    :param version: Grows with each change.
+    :param version: Number that increases with each change.
     :param routes: All routes.
     :param services: All services.
-    :param accounts: All client accounts; none means that no request needs a key.
-    :param limits: What callers may send.
+    :param accounts: All client accounts; if there are none, no request needs a key.
+    :param limits: Limits that apply to callers.
     """
 
     version: Revision
--- a/standins/platform_world.py
+++ b/standins/platform_world.py
@@ -24,7 +24,7 @@
 from tanagerscale.generated.gateway import GatewayHost as HostSection
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.generated.gateway import GatewayStore
-from tanagerscale.platform import make_edges
+from tanagerscale.platform import make_platform
 
 HOST_NAME = "api.example"
 KEY = "key-of-account-one"
@@ -221,7 +221,7 @@
         )
         clock = Clock()
         host = GatewayHost(
-            settings=settings, edges=make_edges(settings=settings, clock=clock), clock=clock
+            settings=settings, platform=make_platform(settings=settings, clock=clock), clock=clock
         )
         self._settings[name] = settings
         await host.start()
@@ -230,7 +230,7 @@
 
     async def kill_host(self, name: str) -> None:
         """End a host without a planned stop."""
-        await self.hosts.pop(name).abandon()
+        await self.hosts.pop(name).abort()
         await self.links.pop(name).__aexit__()
 
     def cut_from_store(self, name: str) -> None:
--- a/testing/_crowded.py
+++ b/testing/_crowded.py
@@ -34,7 +34,7 @@
 from tanagerscale.daemon._host import RETRY_RESERVE
 from tanagerscale.daemon._notes import GateNotes
 from tanagerscale.declarations import Declarations
-from tanagerscale.delivery import WholeSink
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchParts
 from tanagerscale.dispatch import Generation
@@ -415,7 +415,7 @@
             came = self.clock.now()
             host = self._rng.choice(self.hosts)
             request = generation_request(name, f"{name}.{attempt}")
-            result = await Generation(request=request, sink=WholeSink(), parts=host.parts).run()
+            result = await Generation(request=request, sink=BufferedSink(), parts=host.parts).run()
             if isinstance(result, Success):
                 self.done.append(self.clock.now())
                 return
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -42,7 +42,7 @@
 from tanagerscale.forwarding import StreamMovers
 from tanagerscale.forwarding import UpstreamOrder
 from tanagerscale.quarantine import Suspects
-from tanagerscale.routes import ANYBODY
+from tanagerscale.routes import ANONYMOUS_CALLER
 from tanagerscale.routes import CallerLimits
 from tanagerscale.routes import Configuration
 from tanagerscale.routes import EngineCapabilities
@@ -179,7 +179,7 @@
     return RoutedRequest(
         request=request,
         route=route,
-        caller=ANYBODY,
+        caller=ANONYMOUS_CALLER,
         service=SERVICE,
         engine=ENGINE,
         deadline=Millis(request.arrived + route.timeout_ms),
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -20,7 +20,7 @@
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import UpstreamName
 from tanagerscale.forwarding import OwnWork
-from tanagerscale.gateway import Edges
+from tanagerscale.gateway import Platform
 from tanagerscale.gateway._control import HostControl
 from tanagerscale.generated.gateway import DeadlinesSection
 from tanagerscale.generated.gateway import GatewayHost as HostSection
@@ -234,7 +234,7 @@
     store = FakeStore(backend=backend)
     work = OwnWork(clock=clock)
     made: list[Host] = []
-    edges = Edges(
+    platform = Platform(
         store=store,
         upstreams=FakeUpstreamEdge(),  # type: ignore[arg-type]
         operator_prefix=OPERATOR_PREFIX,
@@ -263,9 +263,9 @@
     )
     control = HostControl(
         settings=settings,
-        edges=edges,
+        platform=platform,
         work=work,
-        carry_out=lambda order: made[0].carry_out(order),
+        execute_order=lambda order: made[0].carry_out(order),
         is_leaving=lambda: made[0].is_leaving,
         clock=clock,
         rng=Random(name),
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -233,7 +233,7 @@
         await asyncio.sleep(1)
         assert cut.control.roster.known == 3
         assert cut.control.roster.is_current
-        assert {host.control.keeper.head_revision for host in fleet.hosts} == {5}
+        assert {host.control.configuration.head_revision for host in fleet.hosts} == {5}
 
     _play(scene)
 
@@ -302,7 +302,7 @@
         await host.control.start()
         fleet.hosts.append(host)
         await asyncio.sleep(4)
-        assert host.control.keeper.head_revision == 1
+        assert host.control.configuration.head_revision == 1
         assert host.control.roster.known == 2
         assert host.decider == fleet.coordinators[0].name
 
--- a/testing/test_engine_losses.py
+++ b/testing/test_engine_losses.py
@@ -10,7 +10,7 @@
 
 from tanagerscale.core import Clock
 from tanagerscale.core import UpstreamId
-from tanagerscale.delivery import WholeSink
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.dispatch import Generation
 from testing._crowded import POISON_PREFIX
 from testing._crowded import CrowdedHost
@@ -86,7 +86,7 @@
 
 async def _call(host: CrowdedHost, fingerprint: str, number: int) -> None:
     request = generation_request(fingerprint, f"{fingerprint}.{number}")
-    generation = Generation(request=request, sink=WholeSink(), parts=host.parts)
+    generation = Generation(request=request, sink=BufferedSink(), parts=host.parts)
     async with asyncio.timeout(CALL_TIMEOUT_S):
         await generation.run()
 
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -20,7 +20,7 @@
 from tanagerscale.forwarding._legs import LegSender
 from tanagerscale.forwarding._legs import RunPoint
 from tanagerscale.forwarding._plain import PlainForward
-from tanagerscale.gateway._operator_keys import OperatorKeys
+from tanagerscale.gateway._operator_keys import OperatorKeyListener
 from tanagerscale.generated.messages import PlaceAnswer
 from tanagerscale.generated.messages import PlaceKind
 from tanagerscale.membership import Evacuations
@@ -137,7 +137,7 @@
 
 def test_one_watch_brings_configuration_and_evacuations() -> None:
     configuration, evacuations = _Heard(), _Heard()
-    keys = OperatorKeys(
+    keys = OperatorKeyListener(
         configuration_key="op/config",
         configuration=configuration,
         evacuated_domain=evacuated_domain,
--- a/testing/test_forwarding_dispatcher.py
+++ b/testing/test_forwarding_dispatcher.py
@@ -13,7 +13,7 @@
 from tanagerscale.forwarding import CallerRequest
 from tanagerscale.forwarding import Dispatcher
 from tanagerscale.forwarding import RefusalKind
-from tanagerscale.routes import Homes
+from tanagerscale.routes import AllowedRegions
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
@@ -45,7 +45,7 @@
             parts=parts,
             admission=Admission(parts=parts, placer=self.bench.alone.client),
             movers=make_movers(self.bench),
-            homes=Homes(regions={}),
+            homes=AllowedRegions(regions={}),
             is_stopping=lambda: self.is_stopping,
         )
 
--- a/testing/test_gateway_configuration.py
+++ b/testing/test_gateway_configuration.py
@@ -10,7 +10,7 @@
 from returns.result import Success
 
 from tanagerscale.core import Revision
-from tanagerscale.gateway._configuration import ConfigurationKeeper
+from tanagerscale.gateway._configuration import ConfigurationManager
 from tanagerscale.generated.messages import HeadContent
 from tanagerscale.routes import Configuration
 from tanagerscale.store import StoreEntry
@@ -42,33 +42,33 @@
 
 
 def test_nothing_is_in_force_before_a_version_is_known() -> None:
-    keeper = ConfigurationKeeper(decode=_decode)
-    assert keeper.table is None
-    assert keeper.head_revision == 0
-    assert keeper.content_for_peer(have=Revision(0)) is None
+    manager = ConfigurationManager(decode=_decode)
+    assert manager.table is None
+    assert manager.head_revision == 0
+    assert manager.content_for_peer(have=Revision(0)) is None
 
 
 def test_newer_versions_are_put_in_force_and_older_ones_are_not() -> None:
-    keeper = ConfigurationKeeper(decode=_decode)
+    manager = ConfigurationManager(decode=_decode)
     seen = []
-    keeper.tables.subscribe(lambda table: seen.append(None if table is None else table.version))
-    keeper.on_snapshot(StoreRange(entries=(_entry(b"3"),), revision=StoreRevision(1)))
-    keeper.on_changes(_batch(b"7", b"5"))
-    keeper.on_snapshot(StoreRange(entries=(_entry(b"6"),), revision=StoreRevision(1)))
+    manager.tables.subscribe(lambda table: seen.append(None if table is None else table.version))
+    manager.on_snapshot(StoreRange(entries=(_entry(b"3"),), revision=StoreRevision(1)))
+    manager.on_changes(_batch(b"7", b"5"))
+    manager.on_snapshot(StoreRange(entries=(_entry(b"6"),), revision=StoreRevision(1)))
     assert seen == [None, 3, 7]
 
 
 def test_version_stays_in_force_when_the_next_cannot_be_read_or_is_removed() -> None:
-    keeper = ConfigurationKeeper(decode=_decode)
-    keeper.on_changes(_batch(b"3"))
-    keeper.on_changes(_batch(b"garbage"))
-    keeper.on_changes(WatchBatch(entries=(), deleted=("k",), revision=StoreRevision(2)))
-    assert keeper.head_revision == 3
+    manager = ConfigurationManager(decode=_decode)
+    manager.on_changes(_batch(b"3"))
+    manager.on_changes(_batch(b"garbage"))
+    manager.on_changes(WatchBatch(entries=(), deleted=("k",), revision=StoreRevision(2)))
+    assert manager.head_revision == 3
 
 
-def _offer(keeper: ConfigurationKeeper, content: HeadContent) -> bool:
+def _offer(manager: ConfigurationManager, content: HeadContent) -> bool:
     """Give a host what another one sent; return whether it was taken."""
-    offered = keeper.offer_from_peer(
+    offered = manager.offer_from_peer(
         head=content.head.encode(), chunks=content.chunks, packed_after=content.packed_after
     )
     return isinstance(asyncio.run(offered), Success)
@@ -85,10 +85,10 @@
 
 
 def test_host_that_is_one_version_behind_is_told_only_what_differs() -> None:
-    ahead = ConfigurationKeeper(decode=_decode_padded)
-    behind = ConfigurationKeeper(decode=_decode_padded)
-    for keeper in (ahead, behind):
-        keeper.on_changes(_batch(_padded(4)))
+    ahead = ConfigurationManager(decode=_decode_padded)
+    behind = ConfigurationManager(decode=_decode_padded)
+    for manager in (ahead, behind):
+        manager.on_changes(_batch(_padded(4)))
     ahead.on_changes(_batch(_padded(9, "account-new key-new")))
     whole = ahead.content_for_peer(have=Revision(0))
     content = ahead.content_for_peer(have=Revision(4))
@@ -102,8 +102,8 @@
 
 
 def test_host_refuses_a_difference_to_what_it_has_not_and_takes_the_whole() -> None:
-    ahead = ConfigurationKeeper(decode=_decode_padded)
-    other = ConfigurationKeeper(decode=_decode_padded)
+    ahead = ConfigurationManager(decode=_decode_padded)
+    other = ConfigurationManager(decode=_decode_padded)
     ahead.on_changes(_batch(_padded(4)))
     ahead.on_changes(_batch(_padded(9)))
     content = ahead.content_for_peer(have=Revision(4))
@@ -118,13 +118,13 @@
 
 @pytest.mark.parametrize("head", ["", "no base64!", "aGVsbG8=", "eJw="])
 def test_host_refuses_what_it_cannot_unpack(head: str) -> None:
-    keeper = ConfigurationKeeper(decode=_decode)
-    assert not _offer(keeper, HeadContent(head=head, chunks={}, packed_after=0))
-    assert keeper.head_revision == 0
+    manager = ConfigurationManager(decode=_decode)
+    assert not _offer(manager, HeadContent(head=head, chunks={}, packed_after=0))
+    assert manager.head_revision == 0
 
 
 def test_host_without_the_store_gets_the_version_from_a_peer() -> None:
-    ahead, behind = ConfigurationKeeper(decode=_decode), ConfigurationKeeper(decode=_decode)
+    ahead, behind = ConfigurationManager(decode=_decode), ConfigurationManager(decode=_decode)
     ahead.on_changes(_batch(b"9"))
     behind.on_changes(_batch(b"4"))
     content = ahead.content_for_peer(have=behind.head_revision)
--- a/testing/test_gateway_http.py
+++ b/testing/test_gateway_http.py
@@ -25,9 +25,9 @@
 from tanagerscale.forwarding import RefusalKind
 from tanagerscale.forwarding import Responder
 from tanagerscale.gateway._caller_server import CallerServer
-from tanagerscale.gateway._edges import CallerRules
+from tanagerscale.gateway._platform import CallerRules
 
-Serve = Callable[[CallerRequest, Responder], Awaitable[None]]
+RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
 BODY_LIMIT = 1000
 HEAD = b"POST /a/b?c HTTP/1.1\r\nHost: x\r\n"
 
@@ -56,7 +56,7 @@
             )
         )
 
-    def echoed(self, request: web.BaseRequest) -> tuple[Header, ...]:
+    def echoed_headers(self, request: web.BaseRequest) -> tuple[Header, ...]:
         """Return the id."""
         return (("Id", request.headers.get("Id", "")),)
 
@@ -71,7 +71,7 @@
 
     server: CallerServer
     port: int
-    serve: Serve
+    serve: RequestHandler
     idle_timeout_ms: int = 60_000
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -236,10 +236,10 @@
     reader, writer = await served.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     await _answer(reader)
-    served.server.sweep()
+    served.server.close_idle()
     assert not reader.at_eof()
     served.idle_timeout_ms = -1
-    served.server.sweep()
+    served.server.close_idle()
     assert await reader.read() == b""
     writer.close()
 
@@ -259,7 +259,7 @@
     await started.wait()
     served.idle_timeout_ms = -1
     for _ in range(5):
-        served.server.sweep()
+        served.server.close_idle()
         await asyncio.sleep(0.02)
     release.set()
     assert await _answer(reader) == (200, b"one")
@@ -277,7 +277,7 @@
     served.idle_timeout_ms = -1
     (protocol,) = served.server._server.connections
     protocol.data_received(HEAD + b"Content-Length: 3\r\n\r\ntwo")
-    served.server.sweep()
+    served.server.close_idle()
     assert await _answer(reader) == (200, b"two")
     assert await reader.read() == b""
     writer.close()
@@ -286,7 +286,7 @@
 @pytest.mark.asyncio
 async def test_each_connection_ends_after_its_answer_when_the_host_stops(served: Served) -> None:
     reader, writer = await served.open()
-    served.server.begin_stop()
+    served.server.begin_shutdown()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
     head = await reader.readuntil(b"\r\n\r\n")
     assert b"connection: close" in head.lower()
--- a/testing/test_gateway_presence.py
+++ b/testing/test_gateway_presence.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from tanagerscale.core import Clock
-from tanagerscale.gateway._presence import CHECK_MS
-from tanagerscale.gateway._presence import RENEW_MS
+from tanagerscale.gateway._presence import MIN_CHECK_INTERVAL_MS
+from tanagerscale.gateway._presence import RENEW_INTERVAL_MS
 from tanagerscale.gateway._presence import HostPresence
 from tanagerscale.generated.records import HostRecord
 from testing._fake_store import FakeStore
@@ -31,7 +31,7 @@
             prefix="p/",
             record=HostRecord(host="a", peers="a:1", incarnation=1),
             on_records=lambda _records, _revision: None,
-            on_answers=self.answers.append,
+            on_availability=self.answers.append,
             clock=Clock(),
             rng=Random(1),
         )
@@ -43,7 +43,7 @@
         scene = Scene()
         await asyncio.sleep(SETTLED_S)
         scene.store.down = True
-        await asyncio.sleep(RENEW_MS / 1000)
+        await asyncio.sleep(RENEW_INTERVAL_MS / 1000)
         seen = [scene.presence.store_lost]
         scene.store.down = False
         await asyncio.sleep(SETTLED_S)
@@ -76,4 +76,4 @@
         assert not scene.presence.store_lost
         return scene.store.calls.leases - before
 
-    assert run_virtually(play()) <= 10_000 // CHECK_MS + 1
+    assert run_virtually(play()) <= 10_000 // MIN_CHECK_INTERVAL_MS + 1
--- a/testing/test_many_hosts.py
+++ b/testing/test_many_hosts.py
@@ -208,7 +208,7 @@
     async def scene(fleet: Fleet) -> None:
         fleet.write("op/config", "7")
         await asyncio.sleep(0.5)
-        assert {host.control.keeper.head_revision for host in fleet.hosts} == {7}
+        assert {host.control.configuration.head_revision for host in fleet.hosts} == {7}
 
     _play(scene)
 
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -17,9 +17,9 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.ini import address_problem
 from tanagerscale.platform._configuration import decode_configuration
-from tanagerscale.platform._engines import _moved
-from tanagerscale.platform._headers import passed_on
-from tanagerscale.platform._headers import returned
+from tanagerscale.platform._engines import _decode_copy_answer
+from tanagerscale.platform._headers import forwarded_request_headers
+from tanagerscale.platform._headers import forwarded_response_headers
 from tanagerscale.platform._registry import decode_entry
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import UpstreamEntry
@@ -33,7 +33,7 @@
     r"|pathPrefix|apiKeys|trafficSplit|coldRemaining|expectedRevision|createdRev|asOf|waitMs"
     r"|op/config|servers/|bounds\.|listen\.front"
 )
-MOST_LINES = 1500
+MAX_LINES = 1500
 
 
 def test_only_the_platform_folder_knows_the_platforms_names() -> None:
@@ -49,7 +49,7 @@
 
 def test_platform_folder_stays_small() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in (SOURCE / "platform").rglob("*.py"))
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
 
 
 def test_nothing_of_the_product_imports_the_platform_folder() -> None:
@@ -225,7 +225,7 @@
 @cases(examples=200)
 @given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
 def test_any_answer_to_a_copy_is_read_without_an_error(value: bytes) -> None:
-    assert isinstance(_moved(value).handle, str)
+    assert isinstance(_decode_copy_answer(value).handle, str)
 
 
 OURS = [
@@ -251,21 +251,21 @@
 def test_field_that_callers_may_not_set_is_not_passed_on(name: str) -> None:
     for spelling in (name, name.lower(), name.upper()):
         fields = [(spelling, "x"), ("Accept", "y")]
-        assert passed_on(dict(fields), fields) == (("Accept", "y"),)
+        assert forwarded_request_headers(dict(fields), fields) == (("Accept", "y"),)
 
 
 def test_field_named_by_the_connection_is_not_passed_on() -> None:
     fields = [("Connection", "close, X-Mine"), ("x-mine", "1"), ("X-Other", "2")]
-    assert passed_on({"Connection": "close, X-Mine"}, fields) == (("X-Other", "2"),)
+    assert forwarded_request_headers({"Connection": "close, X-Mine"}, fields) == (("X-Other", "2"),)
 
 
 def test_caller_cannot_have_its_ids_taken_out_by_naming_them_for_the_connection() -> None:
     named = "Tanagerscale-Attempt-Id, Tanagerscale-Token-Usage"
     fields = [("Tanagerscale-Attempt-Id", "1"), ("Tanagerscale-Token-Usage", "2,3")]
-    assert passed_on({"Connection": named}, fields) == tuple(fields)
+    assert forwarded_request_headers({"Connection": named}, fields) == tuple(fields)
 
 
 def test_other_fields_are_passed_on_as_often_as_they_come() -> None:
     fields = [("Accept", "a"), ("X", "1"), ("X", "2")]
-    assert passed_on(dict(fields), fields) == tuple(fields)
-    assert returned(dict(fields), fields) == tuple(fields)
+    assert forwarded_request_headers(dict(fields), fields) == tuple(fields)
+    assert forwarded_response_headers(dict(fields), fields) == tuple(fields)
--- a/testing/test_platform_path.py
+++ b/testing/test_platform_end_to_end.py
@@ -45,7 +45,7 @@
         await world.wait_until(
             lambda known=known: known.ready
             and known.version == _version(world)
-            and known.upstreams_known >= 4
+            and known.known_upstreams >= 4
         )
 
 
@@ -201,7 +201,7 @@
 async def test_upstream_that_leaves_gets_no_new_work(world: PlatformWorld) -> None:
     leaving = world.upstreams["p1"]
     world.register(leaving, PLAIN_SERVICE, state="draining")
-    await world.wait_until(lambda: world.hosts["h1"].upstreams_open(PLAIN_SERVICE) == 1)
+    await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 1)
     for _ in range(10):
         answer = await world.call("h1", "/book/x")
         assert answer.headers["Tanagerscale-Server-Stamp"] == "p2"
@@ -291,9 +291,9 @@
     await _settled(world, "h2")
     await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
     call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
-    await world.wait_until(lambda: world.hosts["h2"].runs_known == 1)
+    await world.wait_until(lambda: world.hosts["h2"].known_runs == 1)
     await call
-    await world.wait_until(lambda: world.hosts["h2"].runs_known == 0)
+    await world.wait_until(lambda: world.hosts["h2"].known_runs == 0)
 
 
 @pytest.mark.asyncio
@@ -301,7 +301,7 @@
     for number in range(2, 11):
         record = {"host": f"h{number}", "peers": "127.0.0.1:9", "incarnation": 1}
         world.store.put(f"tanagerscale/hosts/h{number}", msgspec.json.encode(record))
-    await world.wait_until(lambda: world.hosts["h1"].sharing_hosts == 10)
+    await world.wait_until(lambda: world.hosts["h1"].known_hosts == 10)
     for name in ("p1", "p2"):
         world.upstreams[name].mood = UpstreamMood.FULL
     for _ in range(18):
--- a/testing/test_platform_starts.py
+++ b/testing/test_platform_restarts.py
@@ -23,7 +23,7 @@
 
 STARTS = (1_700_000_000_000, 1_700_000_010_000, 1_700_000_020_000, 1_700_000_030_000)
 TOKENS = (500, 2000)
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 
 
 @pytest_asyncio.fixture
@@ -35,7 +35,7 @@
     await made.add_upstream("p1", PLAIN_SERVICE, born=STARTS[0])
     await made.add_host("h1")
     host = made.hosts["h1"]
-    await made.wait_until(lambda: host.ready and host.upstreams_known == 2)
+    await made.wait_until(lambda: host.ready and host.known_upstreams == 2)
     yield made
     await made.stop()
 
@@ -60,7 +60,7 @@
     world: PlatformWorld,
 ) -> None:
     world.register(world.upstreams["p1"], PLAIN_SERVICE, state="draining")
-    await world.wait_until(lambda: world.hosts["h1"].upstreams_open(PLAIN_SERVICE) == 0)
+    await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 0)
     await _restart(world, "p1", PLAIN_SERVICE, STARTS[1])
     answer = await world.call("h1", "/book/x")
     assert answer.status == 200
@@ -73,10 +73,10 @@
     earlier = world.upstreams["p1"]
     await _restart(world, "p1", PLAIN_SERVICE, STARTS[1])
     world.register(earlier, PLAIN_SERVICE, state="draining")
-    known = world.hosts["h1"].upstreams_known
+    known = world.hosts["h1"].known_upstreams
     await world.add_upstream("p2", PLAIN_SERVICE, born=STARTS[0])
-    await world.wait_until(lambda: world.hosts["h1"].upstreams_known > known)
-    assert world.hosts["h1"].upstreams_open(PLAIN_SERVICE) == 2
+    await world.wait_until(lambda: world.hosts["h1"].known_upstreams > known)
+    assert world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 2
 
 
 @pytest.mark.asyncio
@@ -84,7 +84,7 @@
     world: PlatformWorld,
 ) -> None:
     engine = world.upstreams["e1"]
-    for born in STARTS[1 : MOST_CRASHES + 1]:
+    for born in STARTS[1 : MAX_CRASHES + 1]:
         engine.mood = UpstreamMood.HANGS
         call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
         await world.wait_until(lambda engine=engine: len(engine.running) == 1)
@@ -92,7 +92,7 @@
         assert (await call).status != 200
     await world.call("h1", "/draft/x", tokens=TOKENS)
     arrivals = [arrival for arrival in world.ledger.arrivals if arrival.ran]
-    assert len(arrivals) == MOST_CRASHES
+    assert len(arrivals) == MAX_CRASHES
 
 
 @pytest.mark.asyncio
@@ -100,7 +100,7 @@
     await _restart(world, "e1", MODEL_SERVICE, STARTS[1])
     answer = await world.call("h1", "/draft/x", tokens=TOKENS)
     assert (answer.status, answer.whole) == (200, True)
-    assert world.hosts["h1"].runs_known == 0
+    assert world.hosts["h1"].known_runs == 0
 
 
 @pytest.mark.asyncio
@@ -118,7 +118,7 @@
 ) -> None:
     world.put_entry("made-up", value)
     await world.add_upstream("p2", PLAIN_SERVICE, born=STARTS[0])
-    await world.wait_until(lambda: world.hosts["h1"].upstreams_known == 3)
+    await world.wait_until(lambda: world.hosts["h1"].known_upstreams == 3)
     answers = [await world.call("h1", "/book/x") for _ in range(6)]
     assert [answer.status for answer in answers] == [200] * 6
 
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -21,7 +21,7 @@
 from standins.platform_store import StoreMood
 from tanagerscale.core import Clock
 from tanagerscale.platform._store import PlatformStore
-from tanagerscale.platform._store import _decoded
+from tanagerscale.platform._store import _decode_body
 from tanagerscale.platform._wire import WireChanges
 from tanagerscale.platform._wire import WireRange
 from tanagerscale.store import LeaseId
@@ -260,7 +260,7 @@
 @given(status=st.sampled_from([200, 404, 500]), body=st.binary(max_size=60))
 def test_any_bytes_from_the_store_give_a_value_or_a_typed_error(status: int, body: bytes) -> None:
     for kind in (WireRange, WireChanges):
-        result = _decoded(status, body, kind)
+        result = _decode_body(status, body, kind)
         assert isinstance(result, Success | Failure)
         if isinstance(result, Failure):
             assert ";" in result.failure().detail
--- a/testing/test_homes.py
+++ b/testing/test_regions.py
@@ -19,9 +19,9 @@
 from tanagerscale.forwarding import Dispatcher
 from tanagerscale.forwarding import RefusalKind
 from tanagerscale.platform._configuration import decode_configuration
-from tanagerscale.routes import ANYWHERE
+from tanagerscale.routes import ANY_FAILURE_DOMAIN
+from tanagerscale.routes import AllowedRegions
 from tanagerscale.routes import Caller
-from tanagerscale.routes import Homes
 from tanagerscale.routes import Route
 from tanagerscale.routes import RouteKind
 from tanagerscale.routes import RouteTable
@@ -54,7 +54,7 @@
         regions=frozenset(RegionId(name) for name in account),
     )
     regions = frozenset(RegionId(name) for name in route)
-    return Homes(regions=REGIONS).domains(
+    return AllowedRegions(regions=REGIONS).domains(
         route=replace(make_route(), regions=regions), caller=caller
     )
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     ("route", "account", "domains"),
     [
-        (set(), set(), ANYWHERE),
+        (set(), set(), ANY_FAILURE_DOMAIN),
         ({"east"}, set(), {"a", "b"}),
         (set(), {"west"}, {"c"}),
         ({"east", "west"}, {"west"}, {"c"}),
@@ -125,7 +125,7 @@
             parts=parts,
             admission=Admission(parts=parts, placer=self.bench.alone.client),
             movers=make_movers(self.bench),
-            homes=Homes(regions=REGIONS),
+            homes=AllowedRegions(regions=REGIONS),
             is_stopping=lambda: False,
         )
 
