--- a/testing/test_delivery_processes.py
+++ b/testing/test_delivery_processes.py
@@ -1,4 +1,4 @@
-"""Answers stay whole through late tokens and two faults at once, over real processes."""
+"""Process tests: responses stay complete despite late tokens and two faults at once."""
 
 from __future__ import annotations
 
@@ -19,45 +19,47 @@
 from testing._callers import until
 from testing.conftest import StartServing
 
-EACH = 3
+CALLERS_PER_HOST = 3
 
 
-class Crowd:
-    """Callers with prompts of their own at one host."""
+class CallerGroup:
+    """Concurrent callers of one host, each with its own prompt."""
 
     def __init__(
         self, *, cluster: Cluster, session: aiohttp.ClientSession, host: str, tokens: int
     ) -> None:
         self._session = session
-        self._prompts = [f"{host} plan {number} [[tokens={tokens}]]" for number in range(EACH)]
-        self.answers = [Answer() for _ in range(EACH)]
+        self._prompts = [
+            f"{host} plan {number} [[tokens={tokens}]]" for number in range(CALLERS_PER_HOST)
+        ]
+        self.answers = [Answer() for _ in range(CALLERS_PER_HOST)]
         url = cluster.caller_url(host)
-        self._asking = [
+        self._tasks = [
             asyncio.create_task(ask(session=session, url=url, prompt=prompt, answer=answer))
             for prompt, answer in zip(self._prompts, self.answers, strict=True)
         ]
 
-    async def begun(self) -> None:
-        """Wait until every caller has a token."""
+    async def wait_for_first_tokens(self) -> None:
+        """Wait until every caller has received a token."""
         await until(lambda: all(answer.texts for answer in self.answers))
 
-    async def ended(self) -> None:
+    async def wait_until_ended(self) -> None:
         """Wait until every connection has ended."""
-        await asyncio.gather(*self._asking)
+        await asyncio.gather(*self._tasks)
 
-    async def go_on_at(self, url: str) -> None:
-        """Go on at another host with all answers that broke off."""
+    async def resume_at(self, url: str) -> None:
+        """Resume all interrupted responses at another host."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
             await go_on(session=self._session, url=url, answer=answer, prompt=prompt)
 
-    def check_whole(self) -> None:
-        """Check that every caller has its own answer, once and whole."""
+    def assert_complete(self) -> None:
+        """Check that every caller received its complete response exactly once."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
             assert answer.done, answer.error
             assert answer.text == expected(prompt=prompt)
 
 
-async def test_answers_are_whole_when_a_frozen_link_thaws_and_old_tokens_arrive_late(
+async def test_responses_are_complete_when_a_frozen_link_delivers_old_tokens_late(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=1, services=0))
@@ -73,53 +75,54 @@
         declarations = msgspec.structs.replace(cluster.declarations, engines=engines)
         applied = await cluster.apply(declarations=declarations, author="second", wait=True)
         assert applied.returncode == 0, applied.output + applied.errors
-        crowd = Crowd(cluster=cluster, session=session, host="host-1", tokens=250)
-        await crowd.begun()
+        group = CallerGroup(cluster=cluster, session=session, host="host-1", tokens=250)
+        await group.wait_for_first_tokens()
         relay.freeze()
-        lost = len(cluster.executions(["engine-1"]))
-        assert lost
+        lost_runs = len(cluster.executions(["engine-1"]))
+        assert lost_runs
         before = len(cluster.executions(["engine-2"]))
-        # The link thaws once the other engine makes the lost answers again.
+        # The link thaws once the other engine has started to generate the lost responses again.
         await until(
-            lambda: len(cluster.executions(["engine-2"])) >= before + lost
-            or any(answer.error for answer in crowd.answers)
+            lambda: len(cluster.executions(["engine-2"])) >= before + lost_runs
+            or any(answer.error for answer in group.answers)
         )
         relay.thaw()
-        await crowd.ended()
-        crowd.check_whole()
+        await group.wait_until_ended()
+        group.assert_complete()
 
 
-async def test_answers_are_whole_when_an_engine_freezes_while_the_store_is_down(
+async def test_responses_are_complete_when_an_engine_freezes_while_the_store_is_down(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2, services=0))
-    crowds = [
-        Crowd(cluster=cluster, session=session, host=host, tokens=150) for host in cluster.hosts
+    groups = [
+        CallerGroup(cluster=cluster, session=session, host=host, tokens=150)
+        for host in cluster.hosts
     ]
-    for crowd in crowds:
-        await crowd.begun()
+    for group in groups:
+        await group.wait_for_first_tokens()
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
     cluster.engines["engine-1"].freeze()
-    for crowd in crowds:
-        await crowd.ended()
-        crowd.check_whole()
+    for group in groups:
+        await group.wait_until_ended()
+        group.assert_complete()
     cluster.engines["engine-1"].thaw()
 
 
-async def test_answers_are_whole_when_a_host_dies_while_another_is_in_a_planned_stop(
+async def test_responses_are_complete_when_a_host_crashes_during_the_shutdown_of_another(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0))
-    stopping = Crowd(cluster=cluster, session=session, host="host-1", tokens=150)
-    dying = Crowd(cluster=cluster, session=session, host="host-2", tokens=150)
-    await stopping.begun()
-    await dying.begun()
+    stopping = CallerGroup(cluster=cluster, session=session, host="host-1", tokens=150)
+    crashing = CallerGroup(cluster=cluster, session=session, host="host-2", tokens=150)
+    await stopping.wait_for_first_tokens()
+    await crashing.wait_for_first_tokens()
     stop = asyncio.create_task(cluster.hosts["host-1"].stop())
     await cluster.hosts["host-2"].kill()
-    await dying.ended()
-    assert not any(answer.done for answer in dying.answers)
-    await dying.go_on_at(cluster.caller_url("host-3"))
-    dying.check_whole()
-    await stopping.ended()
-    stopping.check_whole()
+    await crashing.wait_until_ended()
+    assert not any(answer.done for answer in crashing.answers)
+    await crashing.resume_at(cluster.caller_url("host-3"))
+    crashing.assert_complete()
+    await stopping.wait_until_ended()
+    stopping.assert_complete()
     assert await stop == 0
--- a/testing/test_gateway_configuration.py
+++ b/testing/test_gateway_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force never gets older, wherever it comes from."""
+"""Tests that the active configuration never goes back to an older version, whatever its source."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
     )
 
 
-def test_nothing_is_in_force_before_a_version_is_known() -> None:
+def test_no_configuration_is_active_before_a_version_is_known() -> None:
     manager = ConfigurationManager(decode=_decode)
     assert manager.table is None
     assert manager.head_revision == 0
     assert manager.content_for_peer(have=Revision(0)) is None
 
 
-def test_newer_versions_are_put_in_force_and_older_ones_are_not() -> None:
+def test_newer_versions_are_activated_and_older_ones_are_ignored() -> None:
     manager = ConfigurationManager(decode=_decode)
     seen = []
     manager.tables.subscribe(lambda table: seen.append(None if table is None else table.version))
@@ -58,7 +58,7 @@
     assert seen == [None, 3, 7]
 
 
-def test_version_stays_in_force_when_the_next_cannot_be_read_or_is_removed() -> None:
+def test_version_stays_active_when_the_next_is_invalid_or_deleted() -> None:
     manager = ConfigurationManager(decode=_decode)
     manager.on_changes(_batch(b"3"))
     manager.on_changes(_batch(b"garbage"))
@@ -67,7 +67,7 @@
 
 
 def _offer(manager: ConfigurationManager, content: HeadContent) -> bool:
-    """Give a host what another one sent; return whether it was taken."""
+    """Offer a host what another host sent, and return whether it was accepted."""
     offered = manager.offer_from_peer(
         head=content.head.encode(), chunks=content.chunks, packed_after=content.packed_after
     )
@@ -75,7 +75,7 @@
 
 
 def _decode_padded(value: bytes) -> Result[Configuration, str]:
-    """Read a configuration that is long, as its version stands before much else."""
+    """Decode a long value that has its version in the first line."""
     return _decode(value.partition(b"\n")[0])
 
 
@@ -84,7 +84,7 @@
     return f"{version}\n{body}\n{change}".encode()
 
 
-def test_host_that_is_one_version_behind_is_told_only_what_differs() -> None:
+def test_host_one_version_behind_receives_only_a_delta() -> None:
     ahead = ConfigurationManager(decode=_decode_padded)
     behind = ConfigurationManager(decode=_decode_padded)
     for manager in (ahead, behind):
@@ -97,11 +97,11 @@
     assert len(content.head) < 200 < len(whole.head) < len(_padded(9))
     assert _offer(behind, content)
     assert behind.head_revision == 9
-    # It tells others the same in its turn.
+    # It sends the same value to other hosts.
     assert behind.content_for_peer(have=Revision(0)) == whole
 
 
-def test_host_refuses_a_difference_to_what_it_has_not_and_takes_the_whole() -> None:
+def test_host_refuses_a_delta_to_an_unknown_version_and_accepts_the_whole_value() -> None:
     ahead = ConfigurationManager(decode=_decode_padded)
     other = ConfigurationManager(decode=_decode_padded)
     ahead.on_changes(_batch(_padded(4)))
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("head", ["", "no base64!", "aGVsbG8=", "eJw="])
-def test_host_refuses_what_it_cannot_unpack(head: str) -> None:
+def test_host_refuses_a_value_it_cannot_decompress(head: str) -> None:
     manager = ConfigurationManager(decode=_decode)
     assert not _offer(manager, HeadContent(head=head, chunks={}, packed_after=0))
     assert manager.head_revision == 0
--- a/testing/test_gateway_http.py
+++ b/testing/test_gateway_http.py
@@ -1,4 +1,4 @@
-"""The callers' connections as they are on the wire."""
+"""Tests of the callers' HTTP connections on the wire."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 from tanagerscale.gateway._platform import CallerRules
 
 RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
-BODY_LIMIT = 1000
+MAX_BODY_BYTES = 1000
 HEAD = b"POST /a/b?c HTTP/1.1\r\nHost: x\r\n"
 
 
 class Codec:
-    """Decodes as little as the server needs."""
+    """Decodes only the parts of a request that the server needs."""
 
     def decode(
         self, request: web.BaseRequest, body: bytes, arrived: Millis
     ) -> Result[CallerRequest, Refusal]:
-        """Return the request."""
+        """Return the decoded request."""
         return Success(
             CallerRequest(
                 request=RequestId(request.headers.get("Id", "")),
@@ -57,7 +57,7 @@
         )
 
     def echoed_headers(self, request: web.BaseRequest) -> tuple[Header, ...]:
-        """Return the id."""
+        """Return the id of the request."""
         return (("Id", request.headers.get("Id", "")),)
 
 
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Served:
-    """A server whose behaviour the test may change."""
+    """A running server whose handler and idle timeout a test may change."""
 
     server: CallerServer
     port: int
@@ -75,36 +75,36 @@
     idle_timeout_ms: int = 60_000
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Connect to it."""
+        """Connect to the server."""
         return await asyncio.open_connection(LOOPBACK, self.port)
 
 
 @pytest_asyncio.fixture
 async def served() -> AsyncIterator[Served]:
-    """Serve callers on a free port."""
-    kept: list[Served] = []
+    """Run a server on a free port."""
+    created: list[Served] = []
 
     async def serve(request: CallerRequest, responder: Responder) -> None:
-        await kept[0].serve(request, responder)
+        await created[0].serve(request, responder)
 
     port = free_port()
     server = CallerServer(
         serve=serve,
         codec=Codec(),
         rules=CallerRules(
-            body_bytes=lambda: BODY_LIMIT,
-            idle_timeout_ms=lambda: kept[0].idle_timeout_ms,
+            body_bytes=lambda: MAX_BODY_BYTES,
+            idle_timeout_ms=lambda: created[0].idle_timeout_ms,
         ),
         clock=Clock(),
     )
-    kept.append(Served(server=server, port=port, serve=_echo))
+    created.append(Served(server=server, port=port, serve=_echo))
     await server.start(address=f"{LOOPBACK}:{port}")
-    yield kept[0]
+    yield created[0]
     await server.close()
 
 
-async def _answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
-    """Read one answer with a length."""
+async def _read_response(reader: asyncio.StreamReader) -> tuple[int, bytes]:
+    """Read one response that has a content length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = 0
     for line in head.lower().split(b"\r\n"):
@@ -118,7 +118,7 @@
     reader, writer = await served.open()
     for text in (b"one", b"two"):
         writer.write(HEAD + b"Content-Length: 3\r\n\r\n" + text)
-        assert await _answer(reader) == (200, text)
+        assert await _read_response(reader) == (200, text)
     writer.close()
 
 
@@ -127,7 +127,7 @@
     reader, writer = await served.open()
     chunks = b"3\r\none\r\n4\r\n-two\r\n0\r\n\r\n"
     writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
-    assert await _answer(reader) == (200, b"one-two")
+    assert await _read_response(reader) == (200, b"one-two")
     writer.close()
 
 
@@ -141,14 +141,14 @@
         b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-async def test_request_with_two_meanings_is_not_served(served: Served, rest: bytes) -> None:
+async def test_ambiguous_request_is_not_served(served: Served, rest: bytes) -> None:
     seen: list[str] = []
 
-    async def keep(request: CallerRequest, responder: Responder) -> None:
+    async def record(request: CallerRequest, responder: Responder) -> None:
         seen.append(request.target)
         await _echo(request, responder)
 
-    served.serve = keep
+    served.serve = record
     reader, writer = await served.open()
     writer.write(HEAD + rest)
     writer.write_eof()
@@ -162,23 +162,23 @@
 async def test_body_is_refused_when_it_is_too_large(served: Served) -> None:
     reader, writer = await served.open()
     writer.write(HEAD + b"Content-Length: 5000\r\n\r\n")
-    status, _ = await _answer(reader)
+    status, _ = await _read_response(reader)
     assert status == 413
     writer.close()
 
 
 @pytest.mark.asyncio
-async def test_caller_that_asks_first_is_told_to_go_on(served: Served) -> None:
+async def test_caller_that_expects_100_continue_receives_it(served: Served) -> None:
     reader, writer = await served.open()
     writer.write(HEAD + b"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n")
     assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
     writer.write(b"one")
-    assert await _answer(reader) == (200, b"one")
+    assert await _read_response(reader) == (200, b"one")
     writer.close()
 
 
 @pytest.mark.asyncio
-async def test_refusal_names_its_remedy_and_when_to_come_back(served: Served) -> None:
+async def test_refusal_has_a_retry_time_and_the_echoed_id(served: Served) -> None:
     async def refuse(request: CallerRequest, responder: Responder) -> None:
         refusal = Refusal(kind=RefusalKind.OVERLOADED, detail="Come back.", retry_after_ms=1500)
         await responder.refuse(refusal=refusal)
@@ -194,13 +194,13 @@
 
 
 @pytest.mark.asyncio
-async def test_answer_that_breaks_off_does_not_look_whole(served: Served) -> None:
-    async def break_off(request: CallerRequest, responder: Responder) -> None:
+async def test_aborted_response_does_not_look_complete(served: Served) -> None:
+    async def abort_early(request: CallerRequest, responder: Responder) -> None:
         await responder.begin(status=200, reason="OK", headers=[])
         await responder.write(b"half")
         responder.abort()
 
-    served.serve = break_off
+    served.serve = abort_early
     reader, writer = await served.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     answer = b""
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.asyncio
-async def test_handler_ends_when_its_caller_leaves(served: Served) -> None:
+async def test_handler_is_cancelled_when_its_caller_disconnects(served: Served) -> None:
     started, ended = asyncio.Event(), asyncio.Event()
 
     async def wait(request: CallerRequest, responder: Responder) -> None:
@@ -232,10 +232,10 @@
 
 
 @pytest.mark.asyncio
-async def test_connection_ends_when_it_is_idle_for_too_long(served: Served) -> None:
+async def test_connection_is_closed_when_it_is_idle_for_too_long(served: Served) -> None:
     reader, writer = await served.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
-    await _answer(reader)
+    await _read_response(reader)
     served.server.close_idle()
     assert not reader.at_eof()
     served.idle_timeout_ms = -1
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.asyncio
-async def test_connection_with_a_request_under_way_does_not_end_as_idle(served: Served) -> None:
+async def test_connection_with_a_running_request_is_not_closed_as_idle(served: Served) -> None:
     started, release = asyncio.Event(), asyncio.Event()
 
     async def slow(request: CallerRequest, responder: Responder) -> None:
@@ -262,29 +262,31 @@
         served.server.close_idle()
         await asyncio.sleep(0.02)
     release.set()
-    assert await _answer(reader) == (200, b"one")
+    assert await _read_response(reader) == (200, b"one")
     writer.close()
 
 
 @pytest.mark.asyncio
-async def test_request_that_was_read_is_answered_when_its_idle_connection_is_ended(
+async def test_request_already_read_is_answered_when_its_idle_connection_is_closed(
     served: Served,
 ) -> None:
-    """The request is read in the same turn of the loop in which the connection is ended."""
+    """The request is read in the same iteration of the event loop that closes the connection."""
     reader, writer = await served.open()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
-    await _answer(reader)
+    await _read_response(reader)
     served.idle_timeout_ms = -1
     (protocol,) = served.server._server.connections
     protocol.data_received(HEAD + b"Content-Length: 3\r\n\r\ntwo")
     served.server.close_idle()
-    assert await _answer(reader) == (200, b"two")
+    assert await _read_response(reader) == (200, b"two")
     assert await reader.read() == b""
     writer.close()
 
 
 @pytest.mark.asyncio
-async def test_each_connection_ends_after_its_answer_when_the_host_stops(served: Served) -> None:
+async def test_each_connection_is_closed_after_its_response_when_the_host_stops(
+    served: Served,
+) -> None:
     reader, writer = await served.open()
     served.server.begin_shutdown()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
--- a/testing/test_gateway_presence.py
+++ b/testing/test_gateway_presence.py
@@ -1,7 +1,8 @@
-"""Hosts that learn from each other's calls that the store is away.
+"""Tests that hosts detect an unavailable store through reports of their peers.
 
-The load it answers: a store that refuses all calls for eight seconds but leaves watches waiting. A
-host calls it each ten seconds, so that alone it would not know for five of them on average.
+They guard against a store that refuses all calls for eight seconds but keeps watches waiting. A
+host calls the store every ten seconds, so that without reports of peers it would detect the failure
+only after five seconds on average.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from testing._fake_store import FakeStore
 from testing._virtual_time import run_virtually
 
-SETTLED_S = 3
+SETTLE_TIME_S = 3
 
 
-class Scene:
-    """One host's entry."""
+class PresenceHarness:
+    """The presence of one host, running against a fake store."""
 
     def __init__(self) -> None:
         self.store = FakeStore()
@@ -38,42 +39,42 @@
         self.task = asyncio.create_task(self.presence.run())
 
 
-def test_host_tells_when_its_calls_begin_to_fail_and_are_answered_again() -> None:
-    async def play() -> list[bool]:
-        scene = Scene()
-        await asyncio.sleep(SETTLED_S)
-        scene.store.down = True
+def test_host_reports_when_its_store_calls_start_to_fail_and_succeed_again() -> None:
+    async def scenario() -> list[bool]:
+        harness = PresenceHarness()
+        await asyncio.sleep(SETTLE_TIME_S)
+        harness.store.down = True
         await asyncio.sleep(RENEW_INTERVAL_MS / 1000)
-        seen = [scene.presence.store_lost]
-        scene.store.down = False
-        await asyncio.sleep(SETTLED_S)
-        assert [*seen, scene.presence.store_lost] == [True, False]
-        return scene.answers
+        seen = [harness.presence.store_lost]
+        harness.store.down = False
+        await asyncio.sleep(SETTLE_TIME_S)
+        assert [*seen, harness.presence.store_lost] == [True, False]
+        return harness.answers
 
-    assert run_virtually(play()) == [False, True]
+    assert run_virtually(scenario()) == [False, True]
 
 
-def test_host_calls_the_store_at_once_when_a_peer_tells_that_it_is_lost() -> None:
-    async def play() -> None:
-        scene = Scene()
-        await asyncio.sleep(SETTLED_S)
-        scene.store.down = True
-        scene.presence.check_soon()
+def test_host_calls_the_store_at_once_when_a_peer_reports_it_lost() -> None:
+    async def scenario() -> None:
+        harness = PresenceHarness()
+        await asyncio.sleep(SETTLE_TIME_S)
+        harness.store.down = True
+        harness.presence.check_soon()
         await asyncio.sleep(0.1)
-        assert scene.presence.store_lost
+        assert harness.presence.store_lost
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_word_of_peers_that_the_store_refuses_causes_few_calls_where_it_answers() -> None:
-    async def play() -> int:
-        scene = Scene()
-        await asyncio.sleep(SETTLED_S)
-        before = scene.store.calls.leases
+def test_peer_reports_of_a_lost_store_cause_few_calls_where_it_answers() -> None:
+    async def scenario() -> int:
+        harness = PresenceHarness()
+        await asyncio.sleep(SETTLE_TIME_S)
+        before = harness.store.calls.leases
         for _ in range(100):
-            scene.presence.check_soon()
+            harness.presence.check_soon()
             await asyncio.sleep(0.1)
-        assert not scene.presence.store_lost
-        return scene.store.calls.leases - before
+        assert not harness.presence.store_lost
+        return harness.store.calls.leases - before
 
-    assert run_virtually(play()) <= 10_000 // MIN_CHECK_INTERVAL_MS + 1
+    assert run_virtually(scenario()) <= 10_000 // MIN_CHECK_INTERVAL_MS + 1
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""Names of the platform are decoded in its folder only, whatever bytes come."""
+"""Tests that only the platform package decodes platform names, and that it accepts any bytes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 MAX_LINES = 1500
 
 
-def test_only_the_platform_folder_knows_the_platforms_names() -> None:
+def test_only_the_platform_package_contains_platform_names() -> None:
     found = [
         f"{path.relative_to(ROOT)}: {match.group()}"
         for path in SOURCE.rglob("*.py")
@@ -47,12 +47,12 @@
     assert found == []
 
 
-def test_platform_folder_stays_small() -> None:
+def test_platform_package_stays_small() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in (SOURCE / "platform").rglob("*.py"))
     assert lines < MAX_LINES
 
 
-def test_nothing_of_the_product_imports_the_platform_folder() -> None:
+def test_no_other_package_imports_the_platform_package() -> None:
     importing = [
         path.name
         for path in SOURCE.rglob("*.py")
@@ -77,7 +77,7 @@
     assert decoded.limits.idle_timeout_ms == 15000
 
 
-def test_route_that_is_split_has_all_its_targets_with_weight() -> None:
+def test_split_route_has_all_targets_with_a_positive_weight() -> None:
     value = configuration()
     del value["routes"][0]["service"]
     value["routes"][0]["trafficSplit"] = [
@@ -90,21 +90,21 @@
     assert targets == [(ServiceId("x"), 9), (ServiceId("z"), 1)]
 
 
-def test_kind_that_is_not_known_is_never_repeated() -> None:
+def test_unknown_route_kind_is_decoded_as_non_idempotent() -> None:
     value = configuration()
     value["routes"][2]["kind"] = "of-a-later-version"
     decoded = decode_configuration(msgspec.json.encode(value)).unwrap()
     assert decoded.routes[2].kind is RouteKind.NON_IDEMPOTENT
 
 
-def test_fields_of_a_later_version_are_ignored() -> None:
+def test_unknown_fields_are_ignored() -> None:
     value = configuration(newField={"a": 1})
     value["routes"][0]["another"] = [1]
     assert isinstance(decode_configuration(msgspec.json.encode(value)), Success)
 
 
 def _entry(**changes: object) -> dict[str, object]:
-    usual: dict[str, object] = {
+    entry: dict[str, object] = {
         "service": "s",
         "address": "10.0.0.1:80",
         "zone": "a",
@@ -114,62 +114,62 @@
         "coldRemainingMs": 0,
         "sequence": 1,
     }
-    return usual | changes
+    return entry | changes
 
 
-def _decoded(entry: object, *, key: str = "servers/i-1") -> Result[UpstreamEntry, str]:
+def _decode(entry: object, *, key: str = "servers/i-1") -> Result[UpstreamEntry, str]:
     return decode_entry(key, msgspec.json.encode(entry))
 
 
 def test_entry_is_decoded_into_an_upstream() -> None:
-    found = _decoded(_entry(later="field")).unwrap()
+    found = _decode(_entry(later="field")).unwrap()
     assert (found.upstream, found.name, found.started_ms) == ("i-1", "i-1", 0)
     assert (found.service, found.places, found.state) == ("s", 24, UpstreamState.READY)
 
 
-def test_each_start_of_an_upstream_has_an_id_of_its_own() -> None:
-    first, second = (_decoded(_entry(born=born)).unwrap() for born in (1700, 1800))
+def test_each_incarnation_of_an_upstream_has_its_own_id() -> None:
+    first, second = (_decode(_entry(born=born)).unwrap() for born in (1700, 1800))
     assert first.upstream != second.upstream
     assert first.name == second.name == "i-1"
     assert (first.started_ms, second.started_ms) == (1700, 1800)
 
 
-def test_entry_of_an_unknown_state_names_no_upstream() -> None:
-    assert isinstance(_decoded(_entry(state="of-a-later-version")), Failure)
+def test_entry_with_an_unknown_state_is_refused() -> None:
+    assert isinstance(_decode(_entry(state="of-a-later-version")), Failure)
 
 
 @pytest.mark.parametrize("field", sorted(_entry()))
-def test_entry_without_a_field_names_no_upstream(field: str) -> None:
+def test_entry_with_a_missing_field_is_refused(field: str) -> None:
     entry = _entry()
     del entry[field]
-    assert isinstance(_decoded(entry), Failure)
+    assert isinstance(_decode(entry), Failure)
 
 
 @pytest.mark.parametrize("field", sorted(_entry(born=1)))
 @pytest.mark.parametrize("value", [None, True, "7x", [], {}, -1, 1.5])
-def test_entry_with_a_field_of_another_type_names_no_upstream(field: str, value: object) -> None:
+def test_entry_with_a_field_of_the_wrong_type_is_refused(field: str, value: object) -> None:
     if field == "coldRemainingMs" and value == 1.5:
-        return  # A time may have a fraction.
-    assert isinstance(_decoded(_entry(**{field: value})), Failure) or (
-        # Any text is a failure domain, a version or a service; none of that name gets requests.
+        return  # A duration may have a fraction.
+    assert isinstance(_decode(_entry(**{field: value})), Failure) or (
+        # Any text is a valid failure domain, version or service; unknown ones get no requests.
         isinstance(value, str)
         and field in ("zone", "version", "service")
     )
 
 
 @pytest.mark.parametrize("start", [0, -5, 1.5, "1700", None, True, 2**70])
-def test_entry_whose_start_is_no_whole_number_names_no_upstream(start: object) -> None:
-    assert isinstance(_decoded(_entry(born=start)), Failure)
+def test_entry_with_an_invalid_start_time_is_refused(start: object) -> None:
+    assert isinstance(_decode(_entry(born=start)), Failure)
 
 
 @pytest.mark.parametrize("address", ["", "10.0.0.1", "10.0.0.1:0", "x:80", "10.0.0.1:80:1", "1:2"])
-def test_entry_whose_address_cannot_be_reached_names_no_upstream(address: str) -> None:
-    assert isinstance(_decoded(_entry(address=address)), Failure)
+def test_entry_with_an_invalid_address_is_refused(address: str) -> None:
+    assert isinstance(_decode(_entry(address=address)), Failure)
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a\r\nTE: x", "\u00e9"])
-def test_entry_whose_name_cannot_be_sent_names_no_upstream(name: str) -> None:
-    assert isinstance(_decoded(_entry(), key=f"servers/{name}"), Failure)
+def test_entry_with_a_name_unfit_for_a_header_is_refused(name: str) -> None:
+    assert isinstance(_decode(_entry(), key=f"servers/{name}"), Failure)
 
 
 @cases(examples=300)
@@ -181,10 +181,10 @@
         max_leaves=3,
     ),
 )
-def test_entry_with_any_field_changed_names_an_upstream_that_can_be_used_or_none(
+def test_entry_with_any_field_changed_is_refused_or_gives_a_usable_upstream(
     field: str, value: object
 ) -> None:
-    result = _decoded(_entry(born=5) | {field: value})
+    result = _decode(_entry(born=5) | {field: value})
     if isinstance(result, Failure):
         return
     found = result.unwrap()
@@ -194,7 +194,7 @@
     assert address_problem(address=found.address) == ""
 
 
-JSON = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3)
     | st.dictionaries(
@@ -207,28 +207,28 @@
 
 
 @cases(examples=300)
-@given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
-def test_any_configuration_gives_a_value_or_an_error_with_a_remedy(value: bytes) -> None:
+@given(value=JSON_VALUES.map(msgspec.json.encode) | st.binary(max_size=60))
+def test_any_bytes_decode_to_a_configuration_or_an_error_with_a_remedy(value: bytes) -> None:
     result = decode_configuration(value)
     if isinstance(result, Failure):
         assert "older one stays in force" in result.failure()
 
 
 @cases(examples=300)
-@given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
-def test_any_entry_gives_a_value_or_an_error_with_a_remedy(value: bytes) -> None:
+@given(value=JSON_VALUES.map(msgspec.json.encode) | st.binary(max_size=60))
+def test_any_bytes_decode_to_an_entry_or_an_error_with_a_remedy(value: bytes) -> None:
     result = decode_entry("servers/i-1", value)
     if isinstance(result, Failure):
         assert "left out" in result.failure()
 
 
 @cases(examples=200)
-@given(value=JSON.map(msgspec.json.encode) | st.binary(max_size=60))
-def test_any_answer_to_a_copy_is_read_without_an_error(value: bytes) -> None:
+@given(value=JSON_VALUES.map(msgspec.json.encode) | st.binary(max_size=60))
+def test_any_bytes_are_accepted_as_the_response_to_a_copy(value: bytes) -> None:
     assert isinstance(_decode_copy_answer(value).handle, str)
 
 
-OURS = [
+RESERVED_FIELDS = [
     "Tanagerscale-Tenant",
     "Tanagerscale-Hold",
     "Tanagerscale-Pin-Duration",
@@ -247,25 +247,25 @@
 ]
 
 
-@pytest.mark.parametrize("name", OURS)
-def test_field_that_callers_may_not_set_is_not_passed_on(name: str) -> None:
+@pytest.mark.parametrize("name", RESERVED_FIELDS)
+def test_reserved_field_is_not_forwarded(name: str) -> None:
     for spelling in (name, name.lower(), name.upper()):
         fields = [(spelling, "x"), ("Accept", "y")]
         assert forwarded_request_headers(dict(fields), fields) == (("Accept", "y"),)
 
 
-def test_field_named_by_the_connection_is_not_passed_on() -> None:
+def test_field_listed_in_connection_is_not_forwarded() -> None:
     fields = [("Connection", "close, X-Mine"), ("x-mine", "1"), ("X-Other", "2")]
     assert forwarded_request_headers({"Connection": "close, X-Mine"}, fields) == (("X-Other", "2"),)
 
 
-def test_caller_cannot_have_its_ids_taken_out_by_naming_them_for_the_connection() -> None:
+def test_id_fields_listed_in_connection_are_still_forwarded() -> None:
     named = "Tanagerscale-Attempt-Id, Tanagerscale-Token-Usage"
     fields = [("Tanagerscale-Attempt-Id", "1"), ("Tanagerscale-Token-Usage", "2,3")]
     assert forwarded_request_headers({"Connection": named}, fields) == tuple(fields)
 
 
-def test_other_fields_are_passed_on_as_often_as_they_come() -> None:
+def test_repeated_fields_are_all_forwarded() -> None:
     fields = [("Accept", "a"), ("X", "1"), ("X", "2")]
     assert forwarded_request_headers(dict(fields), fields) == tuple(fields)
     assert forwarded_response_headers(dict(fields), fields) == tuple(fields)
--- a/testing/test_platform_end_to_end.py
+++ b/testing/test_platform_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path through real hosts, a store and upstreams on loopback, with their failures."""
+"""End-to-end tests with real hosts, a store and upstreams on loopback, including failures."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
     for name in ("p1", "p2"):
         await made.add_upstream(name, PLAIN_SERVICE)
     await made.add_host("h1")
-    await _settled(made, "h1")
+    await _wait_until_settled(made, "h1")
     yield made
     await made.stop()
 
 
-async def _settled(world: PlatformWorld, *hosts: str) -> None:
-    """Wait until hosts know the declarations and the upstreams."""
+async def _wait_until_settled(world: PlatformWorld, *hosts: str) -> None:
+    """Wait until hosts know the current configuration and the upstreams."""
     for host in hosts:
         known = world.hosts[host]
         await world.wait_until(
             lambda known=known: known.ready
-            and known.version == _version(world)
+            and known.version == _stored_version(world)
             and known.known_upstreams >= 4
         )
 
 
-def _version(world: PlatformWorld) -> int:
+def _stored_version(world: PlatformWorld) -> int:
     value = world.store.value("op/config")
     assert value is not None
     version: int = msgspec.json.decode(value)["version"]
     return version
 
 
-def _numbers(answer: Answer) -> list[int]:
+def _event_numbers(answer: Answer) -> list[int]:
     lines = answer.body.decode().splitlines()
     return [int(line.removeprefix("id: ")) for line in lines if line.startswith("id: ")]
 
 
-def _generations(answer: Answer) -> set[str]:
+def _generation_ids(answer: Answer) -> set[str]:
     lines = answer.body.decode().splitlines()
     return {line.rpartition(".")[0] for line in lines if line.startswith("data: ")}
 
 
-def _no_request_ran_twice(world: PlatformWorld) -> None:
+def _assert_no_request_ran_twice(world: PlatformWorld) -> None:
     runs = Counter(arrival.request for arrival in world.ledger.arrivals if arrival.ran)
     repeated = {request for request, times in runs.items() if times > 1}
     moved = {arrival.request for arrival in world.ledger.arrivals if "Kv-From" in arrival.headers}
@@ -87,10 +87,10 @@
 
 
 @pytest.mark.asyncio
-async def test_stream_is_passed_on_whole(world: PlatformWorld) -> None:
+async def test_stream_is_forwarded_completely(world: PlatformWorld) -> None:
     answer = await world.call("h1", "/draft/x", tokens=TOKENS)
     assert (answer.status, answer.whole) == (200, True)
-    assert _numbers(answer) == list(range(1, 21))
+    assert _event_numbers(answer) == list(range(1, 21))
 
 
 @pytest.mark.asyncio
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.asyncio
-async def test_caller_cannot_set_what_is_the_hosts_to_set(world: PlatformWorld) -> None:
+async def test_caller_cannot_set_reserved_header_fields(world: PlatformWorld) -> None:
     await world.call(
         "h1",
         "/book/x",
@@ -128,7 +128,9 @@
 
 
 @pytest.mark.asyncio
-async def test_booking_runs_once_when_its_answer_is_lost(world: PlatformWorld) -> None:
+async def test_non_idempotent_request_runs_once_when_its_response_is_lost(
+    world: PlatformWorld,
+) -> None:
     for name in ("p1", "p2"):
         world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
     answer = await world.call("h1", "/book/x")
@@ -137,7 +139,9 @@
 
 
 @pytest.mark.asyncio
-async def test_reading_is_repeated_elsewhere_when_its_answer_is_lost(world: PlatformWorld) -> None:
+async def test_idempotent_request_is_retried_elsewhere_when_its_response_is_lost(
+    world: PlatformWorld,
+) -> None:
     for name in ("p1", "p2"):
         world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
     answer = await world.call("h1", "/read/x", method="GET")
@@ -149,7 +153,9 @@
 
 
 @pytest.mark.asyncio
-async def test_refusal_means_not_run_when_all_upstreams_are_full(world: PlatformWorld) -> None:
+async def test_refused_request_has_not_run_when_all_upstreams_are_full(
+    world: PlatformWorld,
+) -> None:
     for name in ("p1", "p2"):
         world.upstreams[name].mood = UpstreamMood.FULL
     answer = await world.call("h1", "/book/x")
@@ -159,7 +165,9 @@
 
 
 @pytest.mark.asyncio
-async def test_stream_goes_on_as_the_same_run_when_its_engine_leaves(world: PlatformWorld) -> None:
+async def test_stream_continues_as_the_same_run_when_its_engine_leaves(
+    world: PlatformWorld,
+) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
     await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
@@ -169,27 +177,29 @@
     answers = await asyncio.gather(*calls)
     for answer in answers:
         assert answer.whole
-        assert _numbers(answer) == list(range(1, 21))
-        assert len(_generations(answer)) == 1
+        assert _event_numbers(answer) == list(range(1, 21))
+        assert len(_generation_ids(answer)) == 1
     assert any("Kv-From" in arrival.headers for arrival in world.ledger.arrivals)
     assert world.ledger.overlaps == []
-    _no_request_ran_twice(world)
+    _assert_no_request_ran_twice(world)
 
 
 @pytest.mark.asyncio
-async def test_stream_never_looks_whole_when_its_engine_crashes(world: PlatformWorld) -> None:
+async def test_incomplete_stream_never_looks_complete_when_its_engine_crashes(
+    world: PlatformWorld,
+) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
     await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
     await world.upstreams["e1"].stop()
     for answer in await asyncio.gather(*calls):
-        assert answer.whole == (_numbers(answer) == list(range(1, 21)))
-        assert _numbers(answer) == list(range(1, len(_numbers(answer)) + 1))
-    _no_request_ran_twice(world)
+        assert answer.whole == (_event_numbers(answer) == list(range(1, 21)))
+        assert _event_numbers(answer) == list(range(1, len(_event_numbers(answer)) + 1))
+    _assert_no_request_ran_twice(world)
 
 
 @pytest.mark.asyncio
-async def test_engine_stops_when_the_caller_leaves(world: PlatformWorld) -> None:
+async def test_engine_stops_when_the_caller_disconnects(world: PlatformWorld) -> None:
     call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
     engines = [world.upstreams[name] for name in ("e1", "e2")]
     await world.wait_until(lambda: any(engine.running for engine in engines))
@@ -198,7 +208,7 @@
 
 
 @pytest.mark.asyncio
-async def test_upstream_that_leaves_gets_no_new_work(world: PlatformWorld) -> None:
+async def test_leaving_upstream_gets_no_new_requests(world: PlatformWorld) -> None:
     leaving = world.upstreams["p1"]
     world.register(leaving, PLAIN_SERVICE, state="draining")
     await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 1)
@@ -208,7 +218,7 @@
 
 
 @pytest.mark.asyncio
-async def test_request_goes_elsewhere_when_another_upstream_has_the_address(
+async def test_request_is_retried_elsewhere_when_another_upstream_has_the_address(
     world: PlatformWorld,
 ) -> None:
     world.upstreams["p1"].upstream = "of-another-service"
@@ -220,12 +230,12 @@
 
 
 @pytest.mark.asyncio
-async def test_new_version_is_in_force_as_a_whole(world: PlatformWorld) -> None:
+async def test_new_version_is_activated_as_a_whole(world: PlatformWorld) -> None:
     value = configuration(version=5)
     value["routes"] = value["routes"][:2]
     value["tenants"] = [{"name": "two", "apiKeys": ["other-key"]}]
     world.configure(value)
-    await _settled(world, "h1")
+    await _wait_until_settled(world, "h1")
     assert (await world.call("h1", "/book/x", key="other-key")).status == 200
     assert (await world.call("h1", "/book/x")).status == 401
     assert (await world.call("h1", "/read/x", method="GET", key="other-key")).status == 404
@@ -243,11 +253,11 @@
     world: PlatformWorld,
 ) -> None:
     await world.add_host("h2", seeds=(world.peers_address("h1"),))
-    await _settled(world, "h1", "h2")
+    await _wait_until_settled(world, "h1", "h2")
     await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
     world.cut_from_store("h2")
     world.configure(configuration(version=9))
-    await _settled(world, "h1", "h2")
+    await _wait_until_settled(world, "h1", "h2")
 
 
 @pytest.mark.asyncio
@@ -268,7 +278,7 @@
 
 
 @pytest.mark.asyncio
-async def test_planned_stop_ends_what_runs_and_refuses_nothing_that_came_before(
+async def test_graceful_shutdown_finishes_running_requests_and_refuses_none(
     world: PlatformWorld,
 ) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(3)]
@@ -286,9 +296,9 @@
 
 
 @pytest.mark.asyncio
-async def test_hosts_tell_each_other_what_runs(world: PlatformWorld) -> None:
+async def test_hosts_exchange_their_running_requests(world: PlatformWorld) -> None:
     await world.add_host("h2", seeds=(world.peers_address("h1"),))
-    await _settled(world, "h2")
+    await _wait_until_settled(world, "h2")
     await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
     call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
     await world.wait_until(lambda: world.hosts["h2"].known_runs == 1)
@@ -297,7 +307,7 @@
 
 
 @pytest.mark.asyncio
-async def test_repeats_are_shared_with_hosts_that_cannot_be_reached(world: PlatformWorld) -> None:
+async def test_retry_budget_is_shared_with_unreachable_hosts(world: PlatformWorld) -> None:
     for number in range(2, 11):
         record = {"host": f"h{number}", "peers": "127.0.0.1:9", "incarnation": 1}
         world.store.put(f"tanagerscale/hosts/h{number}", msgspec.json.encode(record))
@@ -306,5 +316,5 @@
         world.upstreams[name].mood = UpstreamMood.FULL
     for _ in range(18):
         await world.call("h1", "/book/x")
-    # A host that counted only those it hears would repeat each of the eighteen.
+    # A host that counted only reachable hosts would repeat each of the eighteen requests.
     assert 18 <= len(world.ledger.arrivals) < 36
--- a/testing/test_platform_restarts.py
+++ b/testing/test_platform_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the name they had, through real hosts on loopback."""
+"""Tests of upstreams that restart under the same name, with real hosts on loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tanagerscale.upstreams import ConnectionPool
 from tanagerscale.upstreams import UpstreamEntry
 
-STARTS = (1_700_000_000_000, 1_700_000_010_000, 1_700_000_020_000, 1_700_000_030_000)
+START_TIMES_MS = (1_700_000_000_000, 1_700_000_010_000, 1_700_000_020_000, 1_700_000_030_000)
 TOKENS = (500, 2000)
 MAX_CRASHES = 3
 
@@ -31,8 +31,8 @@
     """Start a platform with one host, one engine and one plain upstream."""
     made = PlatformWorld()
     await made.start()
-    await made.add_upstream("e1", MODEL_SERVICE, born=STARTS[0])
-    await made.add_upstream("p1", PLAIN_SERVICE, born=STARTS[0])
+    await made.add_upstream("e1", MODEL_SERVICE, born=START_TIMES_MS[0])
+    await made.add_upstream("p1", PLAIN_SERVICE, born=START_TIMES_MS[0])
     await made.add_host("h1")
     host = made.hosts["h1"]
     await made.wait_until(lambda: host.ready and host.known_upstreams == 2)
@@ -56,35 +56,35 @@
 
 
 @pytest.mark.asyncio
-async def test_call_runs_at_the_later_start_when_the_earlier_one_was_leaving(
+async def test_call_runs_on_the_new_incarnation_when_the_old_one_was_leaving(
     world: PlatformWorld,
 ) -> None:
     world.register(world.upstreams["p1"], PLAIN_SERVICE, state="draining")
     await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 0)
-    await _restart(world, "p1", PLAIN_SERVICE, STARTS[1])
+    await _restart(world, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
     answer = await world.call("h1", "/book/x")
     assert answer.status == 200
 
 
 @pytest.mark.asyncio
-async def test_late_word_of_the_earlier_start_does_not_close_the_later_one(
+async def test_late_entry_of_the_old_incarnation_does_not_close_the_new_one(
     world: PlatformWorld,
 ) -> None:
-    earlier = world.upstreams["p1"]
-    await _restart(world, "p1", PLAIN_SERVICE, STARTS[1])
-    world.register(earlier, PLAIN_SERVICE, state="draining")
+    previous = world.upstreams["p1"]
+    await _restart(world, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
+    world.register(previous, PLAIN_SERVICE, state="draining")
     known = world.hosts["h1"].known_upstreams
-    await world.add_upstream("p2", PLAIN_SERVICE, born=STARTS[0])
+    await world.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
     await world.wait_until(lambda: world.hosts["h1"].known_upstreams > known)
     assert world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 2
 
 
 @pytest.mark.asyncio
-async def test_request_that_crashes_each_start_of_one_engine_is_refused_in_the_end(
+async def test_request_that_crashes_each_incarnation_of_an_engine_is_finally_refused(
     world: PlatformWorld,
 ) -> None:
     engine = world.upstreams["e1"]
-    for born in STARTS[1 : MAX_CRASHES + 1]:
+    for born in START_TIMES_MS[1 : MAX_CRASHES + 1]:
         engine.mood = UpstreamMood.HANGS
         call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
         await world.wait_until(lambda engine=engine: len(engine.running) == 1)
@@ -96,8 +96,8 @@
 
 
 @pytest.mark.asyncio
-async def test_nothing_is_counted_on_a_start_that_is_over(world: PlatformWorld) -> None:
-    await _restart(world, "e1", MODEL_SERVICE, STARTS[1])
+async def test_no_runs_are_counted_for_an_ended_incarnation(world: PlatformWorld) -> None:
+    await _restart(world, "e1", MODEL_SERVICE, START_TIMES_MS[1])
     answer = await world.call("h1", "/draft/x", tokens=TOKENS)
     assert (answer.status, answer.whole) == (200, True)
     assert world.hosts["h1"].known_runs == 0
@@ -113,37 +113,39 @@
         {"service": 5, "address": None, "state": "ready", "born": "yesterday"},
     ],
 )
-async def test_entry_of_another_writer_names_no_upstream_and_the_others_serve(
+async def test_invalid_entry_is_ignored_and_other_upstreams_serve(
     world: PlatformWorld, value: object
 ) -> None:
     world.put_entry("made-up", value)
-    await world.add_upstream("p2", PLAIN_SERVICE, born=STARTS[0])
+    await world.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
     await world.wait_until(lambda: world.hosts["h1"].known_upstreams == 3)
     answers = [await world.call("h1", "/book/x") for _ in range(6)]
     assert [answer.status for answer in answers] == [200] * 6
 
 
 @pytest.mark.asyncio
-async def test_report_of_another_start_is_not_taken_for_the_one_asked(
+async def test_report_of_another_incarnation_is_refused(
     world: PlatformWorld,
 ) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=1000)
-    asker = PlatformUpstreams(pool=pool)
-    earlier = _entry_of(world, "e1")
-    assert isinstance(await asker.report(upstream=earlier), Success)
-    await _restart(world, "e1", MODEL_SERVICE, STARTS[1])
-    assert isinstance(await asker.report(upstream=earlier), Failure)
-    assert isinstance(await asker.report(upstream=_entry_of(world, "e1")), Success)
+    client = PlatformUpstreams(pool=pool)
+    previous = _entry_of(world, "e1")
+    assert isinstance(await client.report(upstream=previous), Success)
+    await _restart(world, "e1", MODEL_SERVICE, START_TIMES_MS[1])
+    assert isinstance(await client.report(upstream=previous), Failure)
+    assert isinstance(await client.report(upstream=_entry_of(world, "e1")), Success)
     pool.close()
 
 
 @pytest.mark.asyncio
-async def test_idle_connections_to_a_start_that_is_over_are_not_used(world: PlatformWorld) -> None:
+async def test_idle_connections_to_an_ended_incarnation_are_not_reused(
+    world: PlatformWorld,
+) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=60_000)
-    asker = PlatformUpstreams(pool=pool)
+    client = PlatformUpstreams(pool=pool)
     entry = _entry_of(world, "e1")
-    await asker.report(upstream=entry)
-    asker.forget(upstream=entry)
-    await asker.report(upstream=entry)
+    await client.report(upstream=entry)
+    client.forget(upstream=entry)
+    await client.report(upstream=entry)
     assert (pool.opened, pool.reused) == (2, 0)
     pool.close()
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against the stand-in of it."""
+"""Tests of the client of the platform's store against an emulator of the store."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Pair:
-    """The stand-in and the client of it."""
+    """The store emulator and a client that is connected to it."""
 
     emulator: StoreEmulator
     store: PlatformStore
@@ -47,7 +47,7 @@
 
 @pytest_asyncio.fixture
 async def pair() -> AsyncIterator[Pair]:
-    """Serve a store and connect to it."""
+    """Start a store emulator and create a client for it."""
     emulator = StoreEmulator(page=3)
     address = await emulator.start()
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=2000, idle_ms=60_000)
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.asyncio
-async def test_range_has_all_pages(pair: Pair) -> None:
+async def test_list_returns_all_pages(pair: Pair) -> None:
     for number in range(8):
         pair.emulator.put(f"a/{number}", b"x")
     pair.emulator.put("b/1", b"x")
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.asyncio
-async def test_write_is_refused_when_the_key_is_not_as_expected(pair: Pair) -> None:
+async def test_write_is_refused_when_the_revision_differs(pair: Pair) -> None:
     assert (await _commit(pair.store, _put("k", b"1"))).written
     refused = await _commit(pair.store, _put("k", b"2"))
     assert not refused.written
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.asyncio
-async def test_key_goes_with_its_lease(pair: Pair) -> None:
+async def test_key_is_deleted_with_its_lease(pair: Pair) -> None:
     lease = (await pair.store.grant_lease(ttl_s=60)).unwrap()
     await _commit(pair.store, _put("k", b"1", lease=lease))
     assert (await pair.store.keep_alive(lease=lease)).unwrap() > 0
@@ -118,7 +118,7 @@
         (StoreMood.LOSES_ANSWERS, StoreErrorKind.UNCERTAIN),
     ],
 )
-async def test_failure_tells_whether_a_write_may_have_been_done(
+async def test_error_kind_shows_whether_a_write_may_have_been_applied(
     pair: Pair, mood: StoreMood, kind: StoreErrorKind
 ) -> None:
     pair.emulator.mood = mood
@@ -129,15 +129,15 @@
 
 
 @dataclass(slots=True)
-class Listener:
-    """Keeps what a follower told."""
+class RecordingListener:
+    """Records what a follower reports."""
 
     known: dict[str, bytes] = field(default_factory=dict)
     snapshots: int = 0
     reachable: list[bool] = field(default_factory=list)
 
     def on_snapshot(self, found: StoreRange) -> None:
-        """Replace all."""
+        """Replace all known entries by a snapshot."""
         self.snapshots += 1
         self.known = {entry.key: entry.value for entry in found.entries}
 
@@ -149,74 +149,76 @@
             self.known.pop(key, None)
 
     def on_store(self, *, reachable: bool) -> None:
-        """Keep the news."""
+        """Record whether the store is reachable."""
         self.reachable.append(reachable)
 
 
-async def _until(listener: Listener, expected: dict[str, bytes]) -> None:
+async def _wait_until_known(listener: RecordingListener, expected: dict[str, bytes]) -> None:
     async with asyncio.timeout(20):
         while listener.known != expected:
             await asyncio.sleep(0.005)
 
 
 @pytest_asyncio.fixture
-async def listener(pair: Pair) -> AsyncIterator[Listener]:
-    """Follow a prefix."""
-    kept = Listener()
+async def listener(pair: Pair) -> AsyncIterator[RecordingListener]:
+    """Run a follower that reports to a listener."""
+    recorded = RecordingListener()
     follower = PrefixFollower(
-        store=pair.store, prefix="a/", listener=kept, clock=Clock(), rng=Random(1)
+        store=pair.store, prefix="a/", listener=recorded, clock=Clock(), rng=Random(1)
     )
     pair.emulator.put("a/0", b"0")
     task = asyncio.create_task(follower.run())
-    await _until(kept, {"a/0": b"0"})
-    yield kept
+    await _wait_until_known(recorded, {"a/0": b"0"})
+    yield recorded
     task.cancel()
 
 
 @pytest.mark.asyncio
-async def test_follower_sees_each_change(pair: Pair, listener: Listener) -> None:
+async def test_follower_sees_each_change(pair: Pair, listener: RecordingListener) -> None:
     pair.emulator.put("a/1", b"1")
-    await _until(listener, {"a/0": b"0", "a/1": b"1"})
+    await _wait_until_known(listener, {"a/0": b"0", "a/1": b"1"})
     pair.emulator.delete("a/0")
     pair.emulator.put("b/1", b"1")
-    await _until(listener, {"a/1": b"1"})
+    await _wait_until_known(listener, {"a/1": b"1"})
     assert listener.snapshots == 1
 
 
-async def _until_reads(pair: Pair, count: int) -> None:
+async def _wait_until_reads(pair: Pair, count: int) -> None:
     async with asyncio.timeout(20):
         while len([call for call in pair.emulator.calls if "range" in call]) < count:
             await asyncio.sleep(0.005)
 
 
 @pytest.mark.asyncio
-async def test_changes_that_come_while_a_follower_rests_cost_one_call(pair: Pair) -> None:
-    kept = Listener()
+async def test_changes_during_a_pause_of_the_follower_cost_one_call(pair: Pair) -> None:
+    recorded = RecordingListener()
     follower = PrefixFollower(
         store=pair.store,
         prefix="a/",
-        listener=kept,
+        listener=recorded,
         clock=Clock(),
         rng=Random(1),
         rest_ms=lambda: 300,
     )
     task = asyncio.create_task(follower.run())
-    await _until_reads(pair, 1)
+    await _wait_until_reads(pair, 1)
     pair.emulator.put("a/0", b"0")
-    await _until(kept, {"a/0": b"0"})
+    await _wait_until_known(recorded, {"a/0": b"0"})
     for number in range(1, 6):
         pair.emulator.put(f"a/{number}", b"x")
         await asyncio.sleep(0.005)
-    await _until(kept, {"a/0": b"0", **{f"a/{number}": b"x" for number in range(1, 6)}})
+    await _wait_until_known(
+        recorded, {"a/0": b"0", **{f"a/{number}": b"x" for number in range(1, 6)}}
+    )
     task.cancel()
     watches = [call for call in pair.emulator.calls if "watch" in call]
-    # The one that brought the first change, and the one that brought the other five.
+    # One watch returned the first change, and one returned the other five.
     assert len(watches) == 2
 
 
 @pytest.mark.asyncio
-async def test_follower_reads_everything_once_more_when_the_store_was_away(
-    pair: Pair, listener: Listener
+async def test_follower_reads_a_snapshot_again_after_the_store_was_unreachable(
+    pair: Pair, listener: RecordingListener
 ) -> None:
     pair.emulator.mood = StoreMood.RESET
     pair.emulator.put("a/1", b"1")
@@ -225,14 +227,14 @@
         await asyncio.sleep(0.01)
     pair.emulator.delete("a/0")
     pair.emulator.mood = StoreMood.WELL
-    await _until(listener, {"a/1": b"1"})
+    await _wait_until_known(listener, {"a/1": b"1"})
     assert listener.reachable[:3] == [True, False, True]
     assert listener.snapshots == 2
 
 
 @pytest.mark.asyncio
-async def test_follower_knows_that_the_store_answers_again_though_nothing_changes(
-    pair: Pair, listener: Listener
+async def test_follower_reports_that_the_store_answers_again_without_any_change(
+    pair: Pair, listener: RecordingListener
 ) -> None:
     pair.emulator.mood = StoreMood.RESET
     while False not in listener.reachable:
@@ -245,15 +247,15 @@
 
 
 @pytest.mark.asyncio
-async def test_follower_reads_everything_again_when_history_is_gone(
-    pair: Pair, listener: Listener
+async def test_follower_reads_a_snapshot_again_after_compaction(
+    pair: Pair, listener: RecordingListener
 ) -> None:
     pair.emulator.delete("a/0")
     pair.emulator.put("a/2", b"2")
     pair.emulator.compact()
-    await _until(listener, {"a/2": b"2"})
+    await _wait_until_known(listener, {"a/2": b"2"})
     pair.emulator.put("a/3", b"3")
-    await _until(listener, {"a/2": b"2", "a/3": b"3"})
+    await _wait_until_known(listener, {"a/2": b"2", "a/3": b"3"})
 
 
 @cases(examples=300)
--- a/testing/test_regions.py
+++ b/testing/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests run only in the regions that their route and their account name."""
+"""Tests that requests run only in the regions allowed by their route and their account."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     FailureDomainId("b"): EAST,
     FailureDomainId("c"): WEST,
 }
-SOON_S = 1
+MOVE_TIME_S = 1
 
 
 def _domains(route: set[str], account: set[str]) -> frozenset[FailureDomainId] | None:
@@ -70,7 +70,7 @@
         ({"north"}, set(), None),
     ],
 )
-def test_both_route_and_account_bind(
+def test_regions_of_route_and_account_are_intersected(
     route: set[str], account: set[str], domains: set[str] | None
 ) -> None:
     assert _domains(route, account) == domains
@@ -106,15 +106,15 @@
     assert regions_of(read.unwrap()) == REGIONS
 
 
-def test_settings_that_name_no_region_are_refused(tmp_path: Path) -> None:
+def test_settings_without_a_region_are_refused(tmp_path: Path) -> None:
     read = read_gateway_settings(path=_settings(tmp_path, "a,b:east"))
     assert isinstance(read, Failure)
     (error,) = read.failure()
     assert "pairs of a failure domain and its region" in str(error)
 
 
-class _Host:
-    """A dispatcher before upstreams of two regions."""
+class _DispatcherHarness:
+    """A dispatcher with upstreams in the given failure domains."""
 
     def __init__(self, route: Route, *domains: str) -> None:
         entries = [make_entry(f"x{domain}", domain=domain) for domain in domains]
@@ -129,8 +129,8 @@
             is_stopping=lambda: False,
         )
 
-    async def ask(self, *, prompt: int | None = None) -> FakeResponder:
-        """Return what a caller gets."""
+    async def request(self, *, prompt: int | None = None) -> FakeResponder:
+        """Dispatch a request and return the response that the caller receives."""
         responder = FakeResponder()
         await self.dispatcher.serve(make_request(prompt=prompt), responder)
         return responder
@@ -150,36 +150,39 @@
 def test_request_reaches_only_upstreams_of_its_regions(
     make: Callable[..., Route], region: RegionId
 ) -> None:
-    async def play() -> None:
-        host = _Host(make(region), "a", "b", "c")
+    async def scenario() -> None:
+        host = _DispatcherHarness(make(region), "a", "b", "c")
         prompt = None if make is _plain else 100
         for _ in range(20):
-            await host.ask(prompt=prompt)
+            await host.request(prompt=prompt)
         wanted = {f"x{domain}" for domain, one in REGIONS.items() if one == region}
         assert set(host.bench.caller.asked) <= wanted
         assert len(host.bench.caller.asked) == 20
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
 @pytest.mark.parametrize("make", [_plain, _stream])
 def test_request_is_refused_at_once_when_no_upstream_is_in_its_regions(
     make: Callable[..., Route],
 ) -> None:
-    async def play() -> None:
-        for host in (_Host(make(WEST), "a", "b"), _Host(make(RegionId("north")), "a", "c")):
+    async def scenario() -> None:
+        for host in (
+            _DispatcherHarness(make(WEST), "a", "b"),
+            _DispatcherHarness(make(RegionId("north")), "a", "c"),
+        ):
             began = host.bench.parts.clock.now()
-            responder = await host.ask(prompt=None if make is _plain else 100)
+            responder = await host.request(prompt=None if make is _plain else 100)
             assert responder.refusal is not None
             assert responder.refusal.kind is RefusalKind.OVERLOADED
             assert host.bench.caller.asked == []
             assert host.bench.parts.clock.now() == began
 
-    run_virtually(play())
+    run_virtually(scenario())
 
 
-def test_run_leaves_its_engine_only_for_one_of_its_regions() -> None:
-    async def play() -> None:
+def test_run_moves_only_to_an_engine_in_its_regions() -> None:
+    async def scenario() -> None:
         scene = Scene("xa", "xb", "xc")
         scene.bench.upstreams.entries = [
             make_entry(f"x{domain}", domain=domain) for domain in ("a", "c", "b")
@@ -196,7 +199,7 @@
         )
         scene.begin(run)
         scene.leave("xa")
-        await asyncio.sleep(SOON_S)
+        await asyncio.sleep(MOVE_TIME_S)
         assert {target for _, _, target, _ in scene.bench.engines.copies} == {"xb"}
 
-    run_virtually(play())
+    run_virtually(scenario())
--- a/testing/test_routes.py
+++ b/testing/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix, callers by their keys."""
+"""Tests of the lookup of routes by host and longest prefix, and of callers by key."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from testing._random_cases import cases
 
 
-def test_route_is_the_one_with_the_longest_prefix() -> None:
+def test_route_with_the_longest_prefix_is_found() -> None:
     table = make_table(
         make_route(prefix="/", name="all"),
         make_route(prefix="/a/", name="short"),
@@ -63,7 +63,7 @@
         lambda parts: "/" + "/".join(parts)
     ),
 )
-def test_route_agrees_with_a_search_through_all(prefixes: set[str], path: str) -> None:
+def test_route_agrees_with_a_linear_search(prefixes: set[str], path: str) -> None:
     table = make_table(*(make_route(prefix=prefix, name=prefix) for prefix in prefixes))
     expected = max(
         (prefix for prefix in prefixes if path.startswith(prefix)), key=len, default=None
@@ -108,12 +108,12 @@
     assert make_table(route).caller(route=route, key=None) is not None
 
 
-def test_targets_are_drawn_by_weight() -> None:
+def test_targets_are_chosen_by_weight() -> None:
     split = (Target(service=ServiceId("x"), weight=9), Target(service=ServiceId("y"), weight=1))
     route = make_route()
-    drawn_from = Route(
+    split_route = Route(
         **{name: getattr(route, name) for name in Route.__struct_fields__} | {"targets": split}
     )
     rng = Random(5)
-    drawn = [choose_target(route=drawn_from, rng=rng) for _ in range(1000)]
-    assert 850 < drawn.count(ServiceId("x")) < 950
+    chosen = [choose_target(route=split_route, rng=rng) for _ in range(1000)]
+    assert 850 < chosen.count(ServiceId("x")) < 950
