--- a/testing/test_regions.py
+++ b/testing/test_regions.py
@@ -114,7 +114,7 @@
 
 
 class _DispatcherHarness:
-    """A dispatcher with upstreams in the given failure domains."""
+    """A dispatcher with upstreams in failure domains of at most two regions."""
 
     def __init__(self, route: Route, *domains: str) -> None:
         entries = [make_entry(f"x{domain}", domain=domain) for domain in domains]
