--- a/src/tanagerscale/gateway/_platform.py
+++ b/src/tanagerscale/gateway/_platform.py
@@ -27,7 +27,7 @@
 RequestHandler = Callable[[CallerRequest, Responder], Awaitable[None]]
 
 
-class UpstreamClient(UpstreamCaller, EngineControl, Protocol):
+class PlatformUpstreamClient(UpstreamCaller, EngineControl, Protocol):
     """Client that sends requests to upstreams and controls the runs on engines."""
 
     def forget(self, *, upstream: UpstreamEntry) -> None:
@@ -74,7 +74,7 @@
     """
 
     store: Store
-    upstreams: UpstreamClient
+    upstreams: PlatformUpstreamClient
     operator_prefix: str
     configuration_key: str
     decode_configuration: Callable[[bytes], Result[Configuration, str]]
