--- a/testing/_simulation.py
+++ b/testing/_simulation.py
@@ -35,7 +35,7 @@
 from tanagerscale.daemon._host import RETRY_RESERVE
 from tanagerscale.daemon._notes import GateNotes
 from tanagerscale.declarations import Declarations
-from tanagerscale.delivery import WholeSink
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchContext
 from tanagerscale.dispatch import Generation
@@ -418,7 +418,9 @@
             arrived_at = self.clock.now()
             host = self._rng.choice(self.hosts)
             request = generation_request(name, f"{name}.{attempt}")
-            result = await Generation(request=request, sink=WholeSink(), context=host.context).run()
+            result = await Generation(
+                request=request, sink=BufferedSink(), context=host.context
+            ).run()
             if isinstance(result, Success):
                 self.completed_at.append(self.clock.now())
                 return
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -235,7 +235,7 @@
         await asyncio.sleep(1)
         assert cut.control.roster.known_count == 3
         assert cut.control.roster.is_current
-        assert {host.control.keeper.head_revision for host in fleet.hosts} == {5}
+        assert {host.control.configuration.head_revision for host in fleet.hosts} == {5}
 
     _run(scenario)
 
@@ -304,7 +304,7 @@
         await host.control.start()
         fleet.hosts.append(host)
         await asyncio.sleep(4)
-        assert host.control.keeper.head_revision == 1
+        assert host.control.configuration.head_revision == 1
         assert host.control.roster.known_count == 2
         assert host.decider == fleet.coordinators[0].name
 
--- a/testing/test_engine_losses.py
+++ b/testing/test_engine_losses.py
@@ -10,7 +10,7 @@
 
 from tanagerscale.core import Clock
 from tanagerscale.core import UpstreamId
-from tanagerscale.delivery import WholeSink
+from tanagerscale.delivery import BufferedSink
 from tanagerscale.dispatch import Generation
 from testing._routing_fakes import MODEL
 from testing._simulation import POISON_PREFIX
@@ -86,7 +86,7 @@
 
 async def _call(host: SimulatedHost, fingerprint: str, number: int) -> None:
     request = generation_request(fingerprint, f"{fingerprint}.{number}")
-    generation = Generation(request=request, sink=WholeSink(), context=host.context)
+    generation = Generation(request=request, sink=BufferedSink(), context=host.context)
     async with asyncio.timeout(CALL_TIMEOUT_S):
         await generation.run()
 
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -20,7 +20,7 @@
 from tanagerscale.forwarding._segments import RunProgress
 from tanagerscale.forwarding._segments import SegmentSender
 from tanagerscale.forwarding._snapshots import ResumeTarget
-from tanagerscale.gateway._operator_keys import OperatorKeys
+from tanagerscale.gateway._operator_keys import OperatorKeyListener
 from tanagerscale.generated.messages import PlaceAnswer
 from tanagerscale.generated.messages import PlaceKind
 from tanagerscale.membership import Evacuations
@@ -137,7 +137,7 @@
 
 def test_one_watch_delivers_configuration_and_evacuations() -> None:
     configuration, evacuations = _RecordingListener(), _RecordingListener()
-    keys = OperatorKeys(
+    keys = OperatorKeyListener(
         configuration_key="op/config",
         configuration=configuration,
         evacuated_domain=evacuated_domain,
--- a/testing/test_many_hosts.py
+++ b/testing/test_many_hosts.py
@@ -207,7 +207,7 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.write("op/config", "7")
         await asyncio.sleep(0.5)
-        assert {host.control.keeper.head_revision for host in fleet.hosts} == {7}
+        assert {host.control.configuration.head_revision for host in fleet.hosts} == {7}
 
     _run(scenario)
 
