--- a/src/tanagerscale/accounts/__init__.py
+++ b/src/tanagerscale/accounts/__init__.py
@@ -1,10 +1,10 @@
-"""Keys of client accounts: making, hashing and checking them."""
+"""Generates, hashes and verifies the keys of client accounts."""
 
 from __future__ import annotations
 
 from tanagerscale.accounts._checker import KeyChecker
-from tanagerscale.accounts._hashes import NewKey
-from tanagerscale.accounts._hashes import hash_problem
-from tanagerscale.accounts._hashes import make_key
+from tanagerscale.accounts._hashes import GeneratedKey
+from tanagerscale.accounts._hashes import check_hash
+from tanagerscale.accounts._hashes import generate_key
 
-__all__ = ["KeyChecker", "NewKey", "hash_problem", "make_key"]
+__all__ = ["GeneratedKey", "KeyChecker", "check_hash", "generate_key"]
--- a/src/tanagerscale/accounts/_checker.py
+++ b/src/tanagerscale/accounts/_checker.py
@@ -1,4 +1,4 @@
-"""Checks of callers' keys that cost microseconds once a key is known."""
+"""Authentication of callers by key; checking a cached key takes microseconds."""
 
 from __future__ import annotations
 
@@ -12,89 +12,95 @@
 
 from msgspec import Struct
 
-from tanagerscale.accounts._hashes import account_of
-from tanagerscale.accounts._hashes import matches
+from tanagerscale.accounts._hashes import parse_account_name
+from tanagerscale.accounts._hashes import verify_key
 from tanagerscale.core import ClientAccountId
 from tanagerscale.generated.declarations import ClientAccount
 
 MAX_KEY_LENGTH = 512
-CACHED_KEYS = 20_000
-CACHED_REFUSALS = 4_096
-CONCURRENT_CHECKS = 2
+MAX_CACHED_KEYS = 20_000
+MAX_CACHED_REJECTIONS = 4_096
+MAX_CONCURRENT_HASHES = 2
 DIGEST_BYTES = 16
 
 
-class _Verdict(Struct, frozen=True, kw_only=True):
+class _CachedResult(Struct, frozen=True, kw_only=True):
     account: ClientAccountId
     key_hash: str
 
 
 @final
 class KeyChecker:
-    """Finds the account that a bearer token belongs to.
+    """Authenticates client accounts by bearer token and caches the results.
 
-    Results are remembered under a digest keyed with a secret of this process, never under the
-    token itself, and hold only as long as the account's hash stays the same.
+    Results are cached under a digest keyed with a secret of this process, never under the token
+    itself, and are valid only while the account's hash is unchanged.
 
-    :param concurrent_checks: How many hashes may be computed at once.
+    :param max_concurrent_hashes: Maximum number of hashes computed concurrently.
     """
 
-    def __init__(self, *, concurrent_checks: int = CONCURRENT_CHECKS) -> None:
+    def __init__(self, *, max_concurrent_hashes: int = MAX_CONCURRENT_HASHES) -> None:
         self._accounts: Mapping[ClientAccountId, ClientAccount] = {}
         self._digest_key = secrets.token_bytes(DIGEST_BYTES)
-        self._accepted: OrderedDict[bytes, _Verdict] = OrderedDict()
-        self._refused: OrderedDict[bytes, _Verdict] = OrderedDict()
-        self._slots = asyncio.Semaphore(concurrent_checks)
-        # One check at a time for each account, so that wrong keys for one hold up no other.
-        self._turns: WeakValueDictionary[ClientAccountId, asyncio.Lock] = WeakValueDictionary()
+        self._accepted: OrderedDict[bytes, _CachedResult] = OrderedDict()
+        self._rejected: OrderedDict[bytes, _CachedResult] = OrderedDict()
+        self._hash_slots = asyncio.Semaphore(max_concurrent_hashes)
+        # One hash at a time per account, so that wrong keys for one account don't delay others.
+        self._account_locks: WeakValueDictionary[ClientAccountId, asyncio.Lock] = (
+            WeakValueDictionary()
+        )
 
     def set_accounts(self, *, accounts: Mapping[ClientAccountId, ClientAccount]) -> None:
-        """Check against these accounts from now on.
+        """Replace the accounts that tokens are checked against.
 
-        :param accounts: The accounts of the declarations in force, by id.
+        :param accounts: Accounts of the declarations in force, by id.
         """
         self._accounts = accounts
 
     async def check(self, *, bearer: str) -> ClientAccountId | None:
-        """Find the account of a token.
+        """Return the account that a token authenticates.
 
-        :param bearer: What stands after ``Bearer`` in the ``Authorization`` header.
-        :returns: The account, or ``None`` when the token is nobody's.
+        :param bearer: Token that follows ``Bearer`` in the ``Authorization`` header.
+        :returns: Id of the account, or ``None`` if the token is invalid.
         """
-        account_id = ClientAccountId(account_of(key=bearer))
+        account_id = ClientAccountId(parse_account_name(key=bearer))
         account = self._accounts.get(account_id)
         if account is None or len(bearer) > MAX_KEY_LENGTH:
             return None
         digest = self._digest(bearer)
-        known = self._remembered(digest=digest, account=account)
-        if known is not None:
-            return account_id if known else None
-        turn = self._turns.setdefault(account_id, asyncio.Lock())
-        async with turn:
-            # The same token may have been checked while this one waited for its turn.
-            known = self._remembered(digest=digest, account=account)
-            if known is None:
-                known = await self._verify(bearer=bearer, digest=digest, account=account)
-        return account_id if known else None
+        cached = self._get_cached(digest=digest, account=account)
+        if cached is not None:
+            return account_id if cached else None
+        lock = self._account_locks.setdefault(account_id, asyncio.Lock())
+        async with lock:
+            # Another request may have checked the same token while this one waited for the lock.
+            cached = self._get_cached(digest=digest, account=account)
+            if cached is None:
+                cached = await self._verify(bearer=bearer, digest=digest, account=account)
+        return account_id if cached else None
 
     async def _verify(self, *, bearer: str, digest: bytes, account: ClientAccount) -> bool:
-        async with self._slots:
-            accepted = await asyncio.to_thread(matches, key=bearer, key_hash=account.key_hash)
-        verdict = _Verdict(account=ClientAccountId(account.name), key_hash=account.key_hash)
+        async with self._hash_slots:
+            accepted = await asyncio.to_thread(verify_key, key=bearer, key_hash=account.key_hash)
+        cached_result = _CachedResult(
+            account=ClientAccountId(account.name), key_hash=account.key_hash
+        )
         cache, size = (
-            (self._accepted, CACHED_KEYS) if accepted else (self._refused, CACHED_REFUSALS)
+            (self._accepted, MAX_CACHED_KEYS)
+            if accepted
+            else (self._rejected, MAX_CACHED_REJECTIONS)
         )
-        cache[digest] = verdict
+        cache[digest] = cached_result
         if len(cache) > size:
             cache.popitem(last=False)
         return accepted
 
-    def _remembered(self, *, digest: bytes, account: ClientAccount) -> bool | None:
-        for cache, accepted in ((self._accepted, True), (self._refused, False)):
-            verdict = cache.get(digest)
-            if verdict is None:
+    def _get_cached(self, *, digest: bytes, account: ClientAccount) -> bool | None:
+        for cache, accepted in ((self._accepted, True), (self._rejected, False)):
+            cached_result = cache.get(digest)
+            if cached_result is None:
                 continue
-            if verdict.key_hash == account.key_hash:
+            if cached_result.key_hash == account.key_hash:
                 cache.move_to_end(digest)
                 return accepted
             del cache[digest]
--- a/src/tanagerscale/audit/__init__.py
+++ b/src/tanagerscale/audit/__init__.py
@@ -1,4 +1,4 @@
-"""The audit trail: who applied what, when, from which revision, and what it changed."""
+"""Audit trail of applied revisions: author, time, base revision and changes."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/audit/_trail.py
+++ b/src/tanagerscale/audit/_trail.py
@@ -1,4 +1,4 @@
-"""Audit records in the store, one key for each revision."""
+"""Reads and encodes audit records, which are stored under one key for each revision."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tanagerscale.store import StoreError
 
 MAX_CHANGES = 500
-MAX_SEARCHED = 200
+MAX_SEARCHED_RECORDS = 200
 REVISION_DIGITS = 12
 
 
 def audit_key(*, prefix: str, revision: Revision) -> str:
-    """Return the store key of one revision's record.
+    """Return the store key of a revision's audit record.
 
-    :param prefix: What all keys of the installation start with.
-    :param revision: The revision that was accepted.
+    :param prefix: Prefix of all store keys of the installation.
+    :param revision: The accepted revision.
     """
     return f"{prefix}/audit/{revision:0{REVISION_DIGITS}d}"
 
 
 def encode_audit(*, record: AuditRecord) -> bytes:
-    """Return a record as it stands in the store; a very long list of changes is cut short."""
+    """Encode a record for the store; its changes are truncated to ``MAX_CHANGES``."""
     if len(record.changes) > MAX_CHANGES:
         left_out = len(record.changes) - MAX_CHANGES
         changes = [*record.changes[:MAX_CHANGES], f"and {left_out} more"]
@@ -36,7 +36,7 @@
 
 
 def decode_audit(*, value: bytes) -> AuditRecord | None:
-    """Return the record that stands in a value, or ``None`` when the value is none."""
+    """Decode a stored record; return ``None`` if the value is not a valid record."""
     try:
         return msgspec.json.decode(value, type=AuditRecord)
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -46,33 +46,33 @@
 async def find_audit(
     *, store: Store, prefix: str, newest: Revision, apply_id: str
 ) -> Result[AuditRecord | None, StoreError]:
-    """Find what one apply had accepted, however many others went on from it.
+    """Find the audit record of an apply.
 
     :param store: The platform's key-value service.
-    :param prefix: What all keys of the installation start with.
-    :param newest: Revision to begin with.
-    :param apply_id: The id of the apply.
-    :returns: Its record, or ``None`` when it isn't among the newest ``MAX_SEARCHED``.
+    :param prefix: Prefix of all store keys of the installation.
+    :param newest: Highest revision to search; older ones are searched in descending order.
+    :param apply_id: Id of the apply.
+    :returns: The record; ``None`` if it isn't among the newest ``MAX_SEARCHED_RECORDS``.
     """
-    found = await read_audit(store=store, prefix=prefix, newest=newest, last=MAX_SEARCHED)
+    found = await read_audit(store=store, prefix=prefix, newest=newest, limit=MAX_SEARCHED_RECORDS)
     return found.map(
         lambda records: next((record for record in records if record.apply_id == apply_id), None)
     )
 
 
 async def read_audit(
-    *, store: Store, prefix: str, newest: Revision, last: int
+    *, store: Store, prefix: str, newest: Revision, limit: int
 ) -> Result[tuple[AuditRecord, ...], StoreError]:
-    """Read the most recent records, newest first.
+    """Read the most recent audit records, newest first.
 
     :param store: The platform's key-value service.
-    :param prefix: What all keys of the installation start with.
-    :param newest: Revision to begin with.
-    :param last: How many records to read at most.
-    :returns: The records; unreadable or missing ones are left out.
+    :param prefix: Prefix of all store keys of the installation.
+    :param newest: Revision of the first record to read.
+    :param limit: Maximum number of revisions to read.
+    :returns: The records, without missing or undecodable ones.
     """
     records = []
-    for number in range(newest, max(newest - last, 0), -1):
+    for number in range(newest, max(newest - limit, 0), -1):
         result = await store.get(key=audit_key(prefix=prefix, revision=Revision(number)))
         if isinstance(result, Failure):
             return Failure(result.failure())
--- a/src/tanagerscale/cli/_apply.py
+++ b/src/tanagerscale/cli/_apply.py
@@ -19,12 +19,12 @@
 from tanagerscale.core import Clock
 from tanagerscale.core import Revision
 from tanagerscale.core import new_id
-from tanagerscale.declarations import Accepted
+from tanagerscale.declarations import AcceptedRevision
 from tanagerscale.declarations import Change
 from tanagerscale.declarations import diff_sections
+from tanagerscale.declarations import encode_sections
 from tanagerscale.declarations import publish
-from tanagerscale.declarations import read_accepted
-from tanagerscale.declarations import to_sections
+from tanagerscale.declarations import read_accepted_revision
 from tanagerscale.generated.declarations import DeclarationSet
 from tanagerscale.store import Store
 
@@ -74,8 +74,8 @@
             apply_id=apply_id,
             clock=clock,
             # What was shown is what is applied, so others' changes in between refuse it.
-            expected=Revision(expected) if expected is not None else base.revision,
-            repeated=repeated,
+            expected_revision=Revision(expected) if expected is not None else base.revision,
+            is_retry=repeated,
         )
     if isinstance(result, Failure):
         raise command_error(error=result.failure())
@@ -102,7 +102,7 @@
     """Print the newest records of the audit trail."""
     async with open_store(endpoints=endpoints, clock=Clock()) as store:
         accepted = await _read(store=store, prefix=prefix)
-        result = await read_audit(store=store, prefix=prefix, newest=accepted.revision, last=last)
+        result = await read_audit(store=store, prefix=prefix, newest=accepted.revision, limit=last)
     if isinstance(result, Failure):
         message = f"The store can't be reached; try again: {result.failure().detail}"
         fail(code=ExitCode.STORE_UNREACHABLE, message=message)
@@ -121,15 +121,15 @@
     output.document(list(records))
 
 
-async def _read(*, store: Store, prefix: str) -> Accepted:
-    result = await read_accepted(store=store, prefix=prefix)
+async def _read(*, store: Store, prefix: str) -> AcceptedRevision:
+    result = await read_accepted_revision(store=store, prefix=prefix)
     if isinstance(result, Failure):
         raise command_error(error=result.failure())
     return result.unwrap()
 
 
 def _changes(
-    *, accepted: Accepted, declarations: DeclarationSet, output: Output
+    *, accepted: AcceptedRevision, declarations: DeclarationSet, output: Output
 ) -> tuple[Change, ...]:
     if accepted.chunked is None:
         output.progress(
@@ -137,7 +137,7 @@
             "applying writes it anew."
         )
     old = accepted.chunked.sections() if accepted.chunked is not None else {}
-    changes, _ = diff_sections(old=old, new=to_sections(declarations=declarations))
+    changes, _ = diff_sections(old=old, new=encode_sections(declarations=declarations))
     return changes
 
 
--- a/src/tanagerscale/cli/_arguments.py
+++ b/src/tanagerscale/cli/_arguments.py
@@ -15,7 +15,7 @@
 from tanagerscale.cli._exit import fail
 from tanagerscale.declarations import read_declarations
 from tanagerscale.generated.declarations import DeclarationSet
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 
 MAX_AUTHOR_LENGTH: Final = 100
 PREFIX_PATTERN: Final = re.compile(r"[!-~]{0,200}")
@@ -58,7 +58,7 @@
     addresses = tuple(part.strip() for part in hosts.split(",") if part.strip())
     for address in addresses:
         bare = address.removeprefix("https://").removeprefix("http://")
-        problem = address_problem(address=bare)
+        problem = check_address(address=bare)
         if problem:
             message = f"--hosts takes {problem}, separated by commas; found {address!r}."
             fail(code=ExitCode.BAD_INPUT, message=message)
--- a/src/tanagerscale/cli/_local.py
+++ b/src/tanagerscale/cli/_local.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from tanagerscale.accounts import make_key
+from tanagerscale.accounts import generate_key
 from tanagerscale.cli._arguments import load_declarations
 from tanagerscale.cli._exit import ExitCode
 from tanagerscale.cli._exit import fail
 from tanagerscale.cli._output import Output
-from tanagerscale.declarations import name_problem
-from tanagerscale.declarations import to_sections
+from tanagerscale.declarations import check_name
+from tanagerscale.declarations import encode_sections
 
 
 async def run_validate(*, files: tuple[str, ...], output: Output) -> None:
     """Check files and print how many sections of each kind they declare."""
     declarations = load_declarations(files=files)
     counts: dict[str, int] = {}
-    for title in to_sections(declarations=declarations):
+    for title in encode_sections(declarations=declarations):
         word = title.partition(" ")[0]
         counts[word] = counts.get(word, 0) + 1
     output.table(columns=("section", "count"), rows=list(counts.items()))
@@ -25,10 +25,10 @@
 
 async def run_key(*, account: str, output: Output) -> None:
     """Make a key and print it with its hash."""
-    problem = name_problem(name=account)
+    problem = check_name(name=account)
     if problem:
         fail(code=ExitCode.BAD_INPUT, message=f"ACCOUNT takes {problem}; found {account!r}.")
-    made = make_key(account=account)
+    made = generate_key(account=account)
     output.line(f"Key for the caller, kept nowhere else:\n{made.key}\n")
     output.line(f"For the declarations:\n[account {account}]\nkey_hash = {made.key_hash}")
     output.document({"account": account, "key": made.key, "key_hash": made.key_hash})
--- a/src/tanagerscale/declarations/__init__.py
+++ b/src/tanagerscale/declarations/__init__.py
@@ -1,8 +1,8 @@
-"""Declarations: read from files, accepted as one set, followed by every host."""
+"""Declarations: read from files, published to the store as one set and followed by each host."""
 
 from __future__ import annotations
 
-from tanagerscale.declarations._checks import name_problem
+from tanagerscale.declarations._checks import check_name
 from tanagerscale.declarations._declarations import Declarations
 from tanagerscale.declarations._diff import Change
 from tanagerscale.declarations._diff import ChangeKind
@@ -11,15 +11,15 @@
 from tanagerscale.declarations._errors import ApplyErrorKind
 from tanagerscale.declarations._errors import FollowError
 from tanagerscale.declarations._errors import FollowErrorKind
-from tanagerscale.declarations._fetch import Accepted
-from tanagerscale.declarations._fetch import read_accepted
+from tanagerscale.declarations._fetch import AcceptedRevision
+from tanagerscale.declarations._fetch import read_accepted_revision
 from tanagerscale.declarations._follower import Follower
 from tanagerscale.declarations._publish import publish
 from tanagerscale.declarations._reader import read_declarations
-from tanagerscale.declarations._sections import to_sections
+from tanagerscale.declarations._sections import encode_sections
 
 __all__ = [
-    "Accepted",
+    "AcceptedRevision",
     "ApplyError",
     "ApplyErrorKind",
     "Change",
@@ -28,10 +28,10 @@
     "FollowError",
     "FollowErrorKind",
     "Follower",
+    "check_name",
     "diff_sections",
-    "name_problem",
+    "encode_sections",
     "publish",
-    "read_accepted",
+    "read_accepted_revision",
     "read_declarations",
-    "to_sections",
 ]
--- a/src/tanagerscale/declarations/_checks.py
+++ b/src/tanagerscale/declarations/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a set of declarations as a whole: names, references, addresses."""
+"""Validation across the sections of a set: names, references and addresses."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 from msgspec import Struct
 
-from tanagerscale.accounts import hash_problem
+from tanagerscale.accounts import check_hash
 from tanagerscale.generated.declarations import Adapter
 from tanagerscale.generated.declarations import ClientAccount
 from tanagerscale.generated.declarations import Engine
 from tanagerscale.generated.declarations import Model
 from tanagerscale.generated.declarations import Service
-from tanagerscale.ini import address_problem
-from tanagerscale.ini import nearest
+from tanagerscale.ini import check_address
+from tanagerscale.ini import find_closest
 
-CALL_PATTERN = re.compile(r"[A-Z]+ /\S*")
+METHOD_AND_PATH_PATTERN = re.compile(r"[A-Z]+ /\S*")
 MAX_NAME_LENGTH = 128
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._/@:-]*")
 
 
 @final
-class Mistake(Struct, frozen=True, kw_only=True):
-    """Something wrong with one section.
-
-    :param title: The section's title.
-    :param key: The key at fault, or the empty string.
-    :param found: What stands there.
-    :param allowed: What may stand there.
-    :param suggestion: The nearest known name, or the empty string.
+class SectionError(Struct, frozen=True, kw_only=True):
+    """A validation error in one section.
+
+    :param title: Title of the section.
+    :param key: Key with the invalid value; empty if the error concerns the whole section.
+    :param found: The invalid value; empty if there is none or it may be a secret.
+    :param allowed: Description of valid values.
+    :param suggestion: Closest known name; empty if no name is similar.
     """
 
     title: str
@@ -44,61 +44,63 @@
 
 
 @final
-class Candidates(Struct, frozen=True, kw_only=True):
-    """Sections to check; some others may have been refused already.
+class ParsedSections(Struct, frozen=True, kw_only=True):
+    """Sections that were converted to their types, and the names of all sections.
 
-    :param values: Typed sections by kind and name.
-    :param names: All names by kind, those of refused sections included.
-    :param complete: Whether no section has been refused.
+    :param values: Typed sections by kind and name, without those that failed conversion.
+    :param names: All names by kind, including those of sections that failed conversion.
+    :param complete: Whether no error has been found so far.
     """
 
     values: Mapping[str, Mapping[str, Any]]
     names: Mapping[str, frozenset[str]]
     complete: bool
 
-    def of(self, kind: str) -> Mapping[str, Any]:
-        """Return the typed sections of one kind, by name."""
+    def get_sections(self, kind: str) -> Mapping[str, Any]:
+        """Return the typed sections of a kind, by name."""
         return self.values.get(kind, {})
 
-    def named(self, kind: str) -> frozenset[str]:
-        """Return the names of one kind."""
+    def get_names(self, kind: str) -> frozenset[str]:
+        """Return all section names of a kind."""
         return self.names.get(kind, frozenset())
 
 
-def name_problem(*, name: str) -> str:
-    """Say what is wrong with the name of a section; empty when nothing is."""
+def check_name(*, name: str) -> str:
+    """Return a description of valid names if a section's name is invalid, else an empty string."""
     if NAME_PATTERN.fullmatch(name) and len(name) <= MAX_NAME_LENGTH:
         return ""
     return (
-        "a name after the kind, of letters, digits and . _ / @ : -, beginning with a letter or "
-        f"digit, at most {MAX_NAME_LENGTH} characters"
+        "a name of letters, digits and . _ / @ : - that starts with a letter or digit and has "
+        f"at most {MAX_NAME_LENGTH} characters"
     )
 
 
-def find_mistakes(*, candidates: Candidates) -> list[Mistake]:
-    """Return everything that is wrong between the sections of a set."""
+def validate_sections(*, parsed: ParsedSections) -> list[SectionError]:
+    """Return all errors found when the sections of a set are checked against each other."""
     return [
-        *_check_models(candidates),
-        *_check_adapters(candidates),
-        *_check_accounts(candidates),
-        *_check_engines(candidates),
-        *_check_services(candidates),
-        *_check_addresses(candidates),
+        *_check_models(parsed),
+        *_check_adapters(parsed),
+        *_check_accounts(parsed),
+        *_check_engines(parsed),
+        *_check_services(parsed),
+        *_check_addresses(parsed),
     ]
 
 
-def _check_models(candidates: Candidates) -> Iterator[Mistake]:
-    held = {name for engine in candidates.of("engine").values() for name in engine.models}
-    for name, model in candidates.of("model").items():
+def _check_models(parsed: ParsedSections) -> Iterator[SectionError]:
+    served_models = {
+        name for engine in parsed.get_sections("engine").values() for name in engine.models
+    }
+    for name, model in parsed.get_sections("model").items():
         yield from _check_model(name=name, model=model)
-        if candidates.complete and name not in held:
-            allowed = "a model that at least one [engine …] holds in its key models"
-            yield Mistake(title=f"model {name}", allowed=allowed)
+        if parsed.complete and name not in served_models:
+            allowed = "a model listed in the key models of at least one [engine …]"
+            yield SectionError(title=f"model {name}", allowed=allowed)
 
 
-def _check_model(*, name: str, model: Model) -> Iterator[Mistake]:
+def _check_model(*, name: str, model: Model) -> Iterator[SectionError]:
     if model.max_output_tokens > model.context_tokens:
-        yield Mistake(
+        yield SectionError(
             title=f"model {name}",
             key="max_output_tokens",
             found=str(model.max_output_tokens),
@@ -106,97 +108,104 @@
         )
 
 
-def _check_adapters(candidates: Candidates) -> Iterator[Mistake]:
-    models = candidates.named("model")
-    for name, adapter in candidates.of("adapter").items():
+def _check_adapters(parsed: ParsedSections) -> Iterator[SectionError]:
+    models = parsed.get_names("model")
+    for name, adapter in parsed.get_sections("adapter").items():
         title = f"adapter {name}"
-        yield from _unknown(title=title, key="model", names=[adapter.model], known=models)
+        yield from _check_references(title=title, key="model", names=[adapter.model], known=models)
         if name in models:
-            yield Mistake(title=title, allowed="a name that no model has, since callers ask by it")
+            yield SectionError(
+                title=title,
+                allowed="a name that no model has, because callers request adapters by name",
+            )
 
 
-def _check_accounts(candidates: Candidates) -> Iterator[Mistake]:
+def _check_accounts(parsed: ParsedSections) -> Iterator[SectionError]:
     owners: dict[str, str] = {}
-    for name, account in candidates.of("account").items():
-        yield from _check_account(name=name, account=account, candidates=candidates)
+    for name, account in parsed.get_sections("account").items():
+        yield from _check_account(name=name, account=account, parsed=parsed)
         owner = owners.setdefault(account.key_hash, name)
         if owner != name:
-            allowed = f"a hash of its own; account {owner} has the same"
-            yield Mistake(title=f"account {name}", key="key_hash", allowed=allowed)
+            allowed = f"a unique hash; account {owner} has the same hash"
+            yield SectionError(title=f"account {name}", key="key_hash", allowed=allowed)
 
 
 def _check_account(
-    *, name: str, account: ClientAccount, candidates: Candidates
-) -> Iterator[Mistake]:
+    *, name: str, account: ClientAccount, parsed: ParsedSections
+) -> Iterator[SectionError]:
     title = f"account {name}"
-    problem = hash_problem(key_hash=account.key_hash)
+    problem = check_hash(key_hash=account.key_hash)
     if problem:
-        # What stands there may be the key itself, so it isn't shown.
-        yield Mistake(title=title, key="key_hash", allowed=problem)
-    models, services = candidates.named("model"), candidates.named("service")
-    yield from _unknown(title=title, key="models", names=account.models, known=models)
-    yield from _unknown(title=title, key="services", names=account.services, known=services)
+        # The value may be the key itself, so it is left out of the error.
+        yield SectionError(title=title, key="key_hash", allowed=problem)
+    models, services = parsed.get_names("model"), parsed.get_names("service")
+    yield from _check_references(title=title, key="models", names=account.models, known=models)
+    yield from _check_references(
+        title=title, key="services", names=account.services, known=services
+    )
 
 
-def _check_engines(candidates: Candidates) -> Iterator[Mistake]:
-    adapters: Mapping[str, Adapter] = candidates.of("adapter")
+def _check_engines(parsed: ParsedSections) -> Iterator[SectionError]:
+    adapters: Mapping[str, Adapter] = parsed.get_sections("adapter")
     engine: Engine
-    for name, engine in candidates.of("engine").items():
+    for name, engine in parsed.get_sections("engine").items():
         title = f"engine {name}"
-        known = candidates.named("model")
-        yield from _unknown(title=title, key="models", names=engine.models, known=known)
-        known = candidates.named("adapter")
-        yield from _unknown(title=title, key="adapters", names=engine.adapters, known=known)
+        known = parsed.get_names("model")
+        yield from _check_references(title=title, key="models", names=engine.models, known=known)
+        known = parsed.get_names("adapter")
+        yield from _check_references(
+            title=title, key="adapters", names=engine.adapters, known=known
+        )
         for adapter in engine.adapters:
             base = adapters[adapter].model if adapter in adapters else ""
-            if base in candidates.named("model") and base not in engine.models:
-                allowed = f"adapters of the engine's models; this one belongs to {base}"
-                yield Mistake(title=title, key="adapters", found=adapter, allowed=allowed)
+            if base in parsed.get_names("model") and base not in engine.models:
+                allowed = f"adapters of the engine's models; this adapter belongs to {base}"
+                yield SectionError(title=title, key="adapters", found=adapter, allowed=allowed)
 
 
-def _check_services(candidates: Candidates) -> Iterator[Mistake]:
+def _check_services(parsed: ParsedSections) -> Iterator[SectionError]:
     service: Service
-    for name, service in candidates.of("service").items():
+    for name, service in parsed.get_sections("service").items():
         for call in service.not_idempotent:
-            if not CALL_PATTERN.fullmatch(call):
-                yield Mistake(
+            if not METHOD_AND_PATH_PATTERN.fullmatch(call):
+                yield SectionError(
                     title=f"service {name}",
                     key="not_idempotent",
                     found=call,
-                    allowed="a method in capitals and a path pattern, as in POST /bookings/*",
+                    allowed="an upper-case method and a path pattern, such as POST /bookings/*",
                 )
 
 
-def _check_addresses(candidates: Candidates) -> Iterator[Mistake]:
+def _check_addresses(parsed: ParsedSections) -> Iterator[SectionError]:
     owners: dict[str, str] = {}
-    for title, key, address in _all_addresses(candidates):
-        problem = address_problem(address=address)
+    for title, key, address in _iter_addresses(parsed):
+        problem = check_address(address=address)
         if problem:
-            yield Mistake(title=title, key=key, found=address, allowed=problem)
+            yield SectionError(title=title, key=key, found=address, allowed=problem)
             continue
         if address in owners:
-            allowed = f"an address of its own; [{owners[address]}] has the same"
-            yield Mistake(title=title, key=key, found=address, allowed=allowed)
+            allowed = f"a unique address; [{owners[address]}] has the same address"
+            yield SectionError(title=title, key=key, found=address, allowed=allowed)
         owners.setdefault(address, title)
 
 
-def _all_addresses(candidates: Candidates) -> Iterator[tuple[str, str, str]]:
-    for name, engine in candidates.of("engine").items():
+def _iter_addresses(parsed: ParsedSections) -> Iterator[tuple[str, str, str]]:
+    for name, engine in parsed.get_sections("engine").items():
         yield f"engine {name}", "address", engine.address
-    for name, service in candidates.of("service").items():
+    for name, service in parsed.get_sections("service").items():
         for entry in service.addresses:
             yield f"service {name}", "addresses", entry.partition("@")[0]
 
 
-def _unknown(
+def _check_references(
     *, title: str, key: str, names: Sequence[str], known: frozenset[str]
-) -> Iterator[Mistake]:
+) -> Iterator[SectionError]:
     for name in names:
         if name not in known:
-            yield Mistake(
+            yield SectionError(
                 title=title,
                 key=key,
                 found=name,
-                allowed="a name that has a section of its own",
-                suggestion=nearest(name=name, known=known),
+                allowed="a name that is declared in a section",
+                suggestion=find_closest(name=name, candidates=known),
             )
--- a/src/tanagerscale/declarations/_chunk_store.py
+++ b/src/tanagerscale/declarations/_chunk_store.py
@@ -1,10 +1,10 @@
-"""Writing chunks and deleting those that no revision needs any more.
+"""Writes chunks and deletes those that the accepted revision no longer references.
 
-A chunk may be deleted while another operator is about to refer to it. So an operator writes each
-chunk that the accepted revision lacks anew, even when it stands there already, after having read
-the head; and only chunks older than the head are deleted, on condition that nobody wrote them
-since. Either the other's head was read later than ours was accepted, then its chunks are newer
-than our head; or it was read earlier, then its compare-and-swap fails.
+Garbage collection may run while another operator is about to reference a chunk. After reading the
+head, an operator therefore rewrites each chunk that the accepted revision lacks, even if the chunk
+exists already. Garbage collection deletes only chunks older than its own head, on condition that
+they have not been written since. If the other operator read the head after ours was accepted, its
+chunks are newer than our head and are kept; if it read the head before, its compare-and-swap fails.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 
-BATCH_BYTES = 512 * 1024
-BATCH_KEYS = 32
-WRITE_TRIES = 6
-BACKOFF_MS = 100
-# Chunks of operators who gave up half way are found by reading all, which is done seldom.
-SWEEP_EVERY = 256
-# At 34,000 changes a day these are the records of three days.
-AUDIT_KEPT = 100_000
+MAX_BATCH_BYTES = 512 * 1024
+MAX_BATCH_KEYS = 32
+MAX_WRITE_ATTEMPTS = 6
+RETRY_DELAY_MS = 100
+# Chunks left by interrupted applies are found only by listing all chunks, which is expensive.
+FULL_SCAN_INTERVAL_REVISIONS = 256
+# Three days of records at 34,000 changes per day.
+MAX_AUDIT_RECORDS = 100_000
 
 
 async def write_chunks(
@@ -46,35 +46,40 @@
     store: Store,
     prefix: str,
     chunked: ChunkedSections,
-    sound: Collection[str],
+    valid_digests: Collection[str],
     clock: Clock,
 ) -> Result[None, StoreError]:
     """Write the chunks that the accepted revision lacks.
 
-    :param sound: Digests of the accepted revision's chunks that could be read.
+    :param store: The platform's key-value service.
+    :param prefix: Prefix of all store keys of the installation.
+    :param chunked: Sections of the revision to publish.
+    :param valid_digests: Digests of the accepted revision's chunks that were read intact.
+    :param clock: Clock used for the delays between attempts.
+    :returns: An error if the store fails or if ``MAX_WRITE_ATTEMPTS`` attempts were not enough.
     """
-    wanted = [digest for digest in dict.fromkeys(chunked.digests) if digest not in sound]
+    missing = [digest for digest in dict.fromkeys(chunked.digests) if digest not in valid_digests]
     puts = [
         PutIf(
             key=chunk_key(prefix=prefix, digest=digest),
             value=chunked.chunk(digest=digest),
             expected_mod_revision=StoreRevision(0),
         )
-        for digest in wanted
+        for digest in missing
     ]
-    for batch in _batches(puts):
+    for batch in _split_into_batches(puts):
         written = await _write_batch(store=store, puts=batch, clock=clock)
         if isinstance(written, Failure):
             return written
     return Success(None)
 
 
-def _batches(puts: Sequence[PutIf]) -> Iterator[list[PutIf]]:
+def _split_into_batches(puts: Sequence[PutIf]) -> Iterator[list[PutIf]]:
     batch: list[PutIf] = []
     size = 0
     for put in puts:
         length = len(put.value or b"")
-        if batch and (size + length > BATCH_BYTES or len(batch) == BATCH_KEYS):
+        if batch and (size + length > MAX_BATCH_BYTES or len(batch) == MAX_BATCH_KEYS):
             yield batch
             batch, size = [], 0
         batch.append(put)
@@ -86,29 +91,31 @@
 async def _write_batch(
     *, store: Store, puts: list[PutIf], clock: Clock
 ) -> Result[None, StoreError]:
-    failure = StoreError(kind=StoreErrorKind.REFUSED, detail="Others keep writing the same chunks.")
-    for _ in range(WRITE_TRIES):
+    failure = StoreError(
+        kind=StoreErrorKind.REFUSED, detail="Other operators keep writing the same chunks."
+    )
+    for _ in range(MAX_WRITE_ATTEMPTS):
         result = await store.commit(puts=puts)
         if isinstance(result, Failure):
             failure = result.failure()
             if failure.kind is not StoreErrorKind.UNCERTAIN:
                 return Failure(failure)
-            # Writing a chunk twice does no harm: its key is the digest of its content.
-            await clock.sleep(BACKOFF_MS)
+            # Writing a chunk twice is safe because its key is the digest of its content.
+            await clock.sleep(RETRY_DELAY_MS)
             continue
         outcomes = result.unwrap()
-        left = [
-            _put_over(put=put, present=outcome.present)
+        remaining = [
+            _build_overwrite(put=put, present=outcome.present)
             for put, outcome in zip(puts, outcomes, strict=True)
             if not outcome.written
         ]
-        if not left:
+        if not remaining:
             return Success(None)
-        puts = left
+        puts = remaining
     return Failure(failure)
 
 
-def _put_over(*, put: PutIf, present: StoreEntry | None) -> PutIf:
+def _build_overwrite(*, put: PutIf, present: StoreEntry | None) -> PutIf:
     revision = present.mod_revision if present is not None else StoreRevision(0)
     return PutIf(key=put.key, value=put.value, expected_mod_revision=revision)
 
@@ -121,41 +128,46 @@
     head_mod_revision: StoreRevision,
     previous: Head | None,
 ) -> None:
-    """Delete what the accepted revision makes superfluous; failures leave it for a sweep.
+    """Delete chunks that the accepted revision doesn't reference, and one expired audit record.
 
-    That is chunks that it doesn't need, and the oldest audit record beyond ``AUDIT_KEPT``.
+    The audit record is the one that exceeds ``MAX_AUDIT_RECORDS``. Errors are ignored: chunks that
+    are not deleted are found by the full scan every ``FULL_SCAN_INTERVAL_REVISIONS`` revisions.
 
-    :param head: The head just accepted.
-    :param head_mod_revision: The store revision that made it.
-    :param previous: The head before.
+    :param store: The platform's key-value service.
+    :param prefix: Prefix of all store keys of the installation.
+    :param head: The head that was just accepted.
+    :param head_mod_revision: Store revision at which ``head`` was written.
+    :param previous: The head it replaced; ``None`` if there was none.
     """
-    if head.revision % SWEEP_EVERY == 0:
+    if head.revision % FULL_SCAN_INTERVAL_REVISIONS == 0:
         found = await store.list(prefix=chunk_prefix(prefix=prefix))
         entries = list(found.unwrap().entries) if isinstance(found, Success) else []
     else:
-        entries = await _read_obsolete(store=store, prefix=prefix, head=head, previous=previous)
+        entries = await _read_obsolete_chunks(
+            store=store, prefix=prefix, head=head, previous=previous
+        )
     needed = {chunk_key(prefix=prefix, digest=digest) for digest in head.chunks}
     deletions = [
         PutIf(key=entry.key, value=None, expected_mod_revision=entry.mod_revision)
         for entry in entries
         if entry.key not in needed and entry.mod_revision < head_mod_revision
     ]
-    deletions += await _old_audit(store=store, prefix=prefix, revision=head.revision)
-    for batch in _batches(deletions):
+    deletions += await _find_expired_audit(store=store, prefix=prefix, revision=head.revision)
+    for batch in _split_into_batches(deletions):
         await store.commit(puts=batch)
 
 
-async def _old_audit(*, store: Store, prefix: str, revision: int) -> list[PutIf]:
-    if revision <= AUDIT_KEPT:
+async def _find_expired_audit(*, store: Store, prefix: str, revision: int) -> list[PutIf]:
+    if revision <= MAX_AUDIT_RECORDS:
         return []
-    key = audit_key(prefix=prefix, revision=Revision(revision - AUDIT_KEPT))
+    key = audit_key(prefix=prefix, revision=Revision(revision - MAX_AUDIT_RECORDS))
     entry = (await store.get(key=key)).value_or(None)
     if entry is None:
         return []
     return [PutIf(key=key, value=None, expected_mod_revision=entry.mod_revision)]
 
 
-async def _read_obsolete(
+async def _read_obsolete_chunks(
     *, store: Store, prefix: str, head: Head, previous: Head | None
 ) -> list[StoreEntry]:
     obsolete = set(previous.chunks if previous is not None else ()) - set(head.chunks)
--- a/src/tanagerscale/declarations/_diff.py
+++ b/src/tanagerscale/declarations/_diff.py
@@ -1,4 +1,4 @@
-"""What changed between two sets of sections."""
+"""Differences between two sets of sections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @unique
 class ChangeKind(Enum):
-    """What became of a section."""
+    """How a section changed."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -28,11 +28,11 @@
 
 @final
 class Change(Struct, frozen=True, kw_only=True):
-    """One section that differs.
+    """A difference in one section.
 
-    :param kind: What became of it.
-    :param title: Its title.
-    :param details: For a changed section, one phrase for each key.
+    :param kind: How the section changed.
+    :param title: Title of the section.
+    :param details: For a changed section, a description of each key that differs; else empty.
     """
 
     kind: ChangeKind
@@ -40,7 +40,7 @@
     details: tuple[str, ...] = ()
 
     def __str__(self) -> str:
-        """Return the change as one line, without secrets."""
+        """Return a one-line description that contains no secrets."""
         if self.details:
             return f"[{self.title}] {self.kind.value}: {'; '.join(self.details)}"
         return f"[{self.title}] {self.kind.value}"
@@ -51,7 +51,9 @@
 ) -> tuple[tuple[Change, ...], SectionDelta]:
     """Compare two sets of sections.
 
-    :returns: The changes in order of their titles, and the delta that leads from old to new.
+    :param old: JSON of the old sections by title.
+    :param new: JSON of the new sections by title.
+    :returns: The changes sorted by title, and the delta that turns ``old`` into ``new``.
     """
     changes = []
     put = {}
@@ -68,12 +70,12 @@
         if before is None:
             changes.append(Change(kind=ChangeKind.ADDED, title=title))
             continue
-        details = _details(before=msgspec.json.decode(before), after=put[title])
+        details = _describe_changed_keys(before=msgspec.json.decode(before), after=put[title])
         changes.append(Change(kind=ChangeKind.CHANGED, title=title, details=details))
     return tuple(changes), SectionDelta(put=put, removed=removed)
 
 
-def _details(*, before: dict[str, Any], after: dict[str, Any]) -> tuple[str, ...]:
+def _describe_changed_keys(*, before: dict[str, Any], after: dict[str, Any]) -> tuple[str, ...]:
     details = []
     for key in dict.fromkeys((*before, *after)):
         if before.get(key) == after.get(key):
@@ -81,11 +83,11 @@
         if key in SECRET_KEYS:
             details.append(f"{key} replaced")
             continue
-        details.append(f"{key} {_show(before.get(key))} -> {_show(after.get(key))}")
+        details.append(f"{key} {_format_value(before.get(key))} -> {_format_value(after.get(key))}")
     return tuple(details)
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
         return "default"
     text = ", ".join(map(str, value)) if isinstance(value, list) else str(value)
--- a/src/tanagerscale/declarations/_errors.py
+++ b/src/tanagerscale/declarations/_errors.py
@@ -1,4 +1,4 @@
-"""Why a set could not be applied, or a revision not be put in force."""
+"""Errors of applying a set and of putting a revision in force."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @unique
 class ApplyErrorKind(Enum):
-    """Why a set was not accepted, or may not have been."""
+    """Reason why a set was not accepted, or may not have been accepted."""
 
     CONFLICT = "conflict"
-    """Another revision was accepted first; nothing of this one was."""
+    """Another revision was accepted first; this set was not accepted."""
     STORE_UNREACHABLE = "store-unreachable"
-    """The store could not be reached; nothing was accepted."""
+    """The store is unreachable; nothing was accepted."""
     REFUSED = "refused"
-    """The store refused a call; nothing was accepted."""
+    """The store rejected a call; nothing was accepted."""
     UNCERTAIN = "uncertain"
-    """The reply was lost and reading back failed too; the same apply id settles it."""
+    """The reply was lost and all retries failed; the same apply id gets the outcome later."""
     TOO_LARGE = "too-large"
-    """A section or the whole is too large for the store; nothing was accepted."""
+    """A section is too large for the store; nothing was accepted."""
     DAMAGED = "damaged"
-    """What stands in the store can't be read."""
+    """The head record in the store can't be decoded."""
 
 
 @final
 class ApplyError(Struct, frozen=True, kw_only=True):
-    """A set that was not accepted, or perhaps not.
+    """Error returned when a set was not accepted or its outcome is unknown.
 
-    :param kind: Why.
-    :param detail: One sentence that names the remedy.
-    :param in_force: The revision that is accepted now, 0 when it isn't known.
-    :param author: On a conflict, who had the other revision accepted.
-    :param changes: On a conflict, what the other revisions changed, one line each.
+    :param kind: Reason of the error.
+    :param detail: Sentence that describes the error and what the operator can do.
+    :param in_force: The accepted revision; 0 if it is unknown.
+    :param author: On a conflict, author of the accepted revision; empty if unknown.
+    :param changes: On a conflict, the changes made by other revisions, one line each.
     """
 
     kind: ApplyErrorKind
@@ -51,7 +51,7 @@
 
 @unique
 class FollowErrorKind(Enum):
-    """Why a host keeps the revision that it has."""
+    """Reason why a host could not put a newer revision in force."""
 
     STORE_FAILED = "store-failed"
     BAD_HEAD = "bad-head"
@@ -59,16 +59,16 @@
     CHUNK_CORRUPT = "chunk-corrupt"
     BAD_SECTION = "bad-section"
     CONFLICTING_HEAD = "conflicting-head"
-    """The same or a lower revision with other content, as after a restored backup."""
+    """The revision in force was received with other content, as after a restored backup."""
 
 
 @final
 class FollowError(Struct, frozen=True, kw_only=True):
-    """A revision that a host could not put in force; it keeps the one it has and tries again.
+    """Error returned when a revision can't be put in force; the host keeps its own and retries.
 
-    :param kind: Why.
-    :param detail: One sentence that names the remedy.
-    :param revision: The revision concerned, 0 when it isn't known.
+    :param kind: Reason of the error.
+    :param detail: Sentence that describes the error and what the operator can do.
+    :param revision: The revision that failed; 0 if it is unknown.
     """
 
     kind: FollowErrorKind
--- a/src/tanagerscale/declarations/_fetch.py
+++ b/src/tanagerscale/declarations/_fetch.py
@@ -1,4 +1,4 @@
-"""Reading chunks and the accepted declarations from the store."""
+"""Reads chunks and the accepted revision from the store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tanagerscale.core import Revision
 from tanagerscale.declarations._chunks import ChunkedSections
 from tanagerscale.declarations._chunks import ChunkError
-from tanagerscale.declarations._chunks import digest_of
+from tanagerscale.declarations._chunks import compute_digest
 from tanagerscale.declarations._errors import ApplyError
 from tanagerscale.declarations._errors import ApplyErrorKind
 from tanagerscale.declarations._head import decode_head
@@ -27,39 +27,42 @@
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 
-CONCURRENT_READS = 8
-MAX_REREADS = 5
+MAX_CONCURRENT_READS = 8
+MAX_READ_RETRIES = 5
 
 
 @final
-class Accepted(Struct, frozen=True, kw_only=True):
-    """What the store says is accepted.
+class AcceptedRevision(Struct, frozen=True, kw_only=True):
+    """The revision that is accepted according to the store.
 
-    :param head: The head record, or ``None`` before the first one.
-    :param mod_revision: The store revision that made it; 0 before the first one.
-    :param chunked: Its sections; ``None`` when chunks are missing or corrupt.
-    :param sound: Digests of the chunks that could be read.
+    :param head: The head record; ``None`` if no revision has been accepted yet.
+    :param mod_revision: Store revision at which the head was written; 0 if there is no head.
+    :param chunked: Sections of the revision; ``None`` if chunks are missing or corrupt.
+    :param valid_digests: Digests of the chunks that were read intact.
     """
 
     head: Head | None
     mod_revision: StoreRevision
     chunked: ChunkedSections | None
-    sound: frozenset[str]
+    valid_digests: frozenset[str]
 
     @property
     def revision(self) -> Revision:
-        """The accepted revision; 0 before the first one."""
+        """Number of the accepted revision; 0 if there is none."""
         return Revision(self.head.revision if self.head is not None else 0)
 
 
 async def read_chunks(
     *, store: Store, prefix: str, digests: Sequence[str]
 ) -> Result[Mapping[str, bytes], StoreError]:
-    """Read chunks, a few at a time.
+    """Read chunks, at most ``MAX_CONCURRENT_READS`` at a time.
 
-    :returns: Content by digest; chunks that are missing are left out.
+    :param store: The platform's key-value service.
+    :param prefix: Prefix of all store keys of the installation.
+    :param digests: Digests of the chunks to read.
+    :returns: Content by digest, without the chunks that don't exist.
     """
-    slots = asyncio.Semaphore(CONCURRENT_READS)
+    slots = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
     async def read(digest: str) -> Result[bytes | None, StoreError]:
         async with slots:
@@ -77,63 +80,75 @@
     return Success(chunks)
 
 
-async def read_accepted(*, store: Store, prefix: str) -> Result[Accepted, ApplyError]:
-    """Read what is accepted, with all its sections where they can be read.
+async def read_accepted_revision(
+    *, store: Store, prefix: str
+) -> Result[AcceptedRevision, ApplyError]:
+    """Read the accepted revision and its sections.
 
-    Chunks of a revision are deleted once a later one is accepted, so a missing chunk is only
-    believed when the head is still the same.
+    Chunks of a revision are deleted once a later one is accepted, so a chunk is reported as missing
+    only if the head is unchanged on a second read.
+
+    :param store: The platform's key-value service.
+    :param prefix: Prefix of all store keys of the installation.
     """
     result = await _read_once(store=store, prefix=prefix)
-    for _ in range(MAX_REREADS):
+    for _ in range(MAX_READ_RETRIES):
         if isinstance(result, Failure) or result.unwrap().chunked is not None:
             return result
-        again = await _read_once(store=store, prefix=prefix)
-        if isinstance(again, Success) and again.unwrap().revision == result.unwrap().revision:
-            return again
-        result = again
+        retried = await _read_once(store=store, prefix=prefix)
+        if isinstance(retried, Success) and retried.unwrap().revision == result.unwrap().revision:
+            return retried
+        result = retried
     return result
 
 
-async def _read_once(*, store: Store, prefix: str) -> Result[Accepted, ApplyError]:
+async def _read_once(*, store: Store, prefix: str) -> Result[AcceptedRevision, ApplyError]:
     result = await store.get(key=head_key(prefix=prefix))
     if isinstance(result, Failure):
-        return Failure(apply_error(error=result.failure()))
+        return Failure(to_apply_error(error=result.failure()))
     entry = result.unwrap()
-    nothing = ChunkedSections.build(sections={})
+    empty = ChunkedSections.build(sections={})
     if entry is None:
-        accepted = Accepted(
-            head=None, mod_revision=StoreRevision(0), chunked=nothing, sound=frozenset()
+        accepted = AcceptedRevision(
+            head=None, mod_revision=StoreRevision(0), chunked=empty, valid_digests=frozenset()
         )
         return Success(accepted)
     decoded = decode_head(value=entry.value)
     if isinstance(decoded, Failure):
-        detail = "The head record in the store can't be read; restore it from the store's backup."
+        detail = (
+            "The head record in the store can't be decoded; restore it from the store's backup."
+        )
         return Failure(ApplyError(kind=ApplyErrorKind.DAMAGED, detail=detail))
     head = decoded.unwrap()
     chunks = await read_chunks(store=store, prefix=prefix, digests=head.chunks)
     if isinstance(chunks, Failure):
-        return Failure(apply_error(error=chunks.failure()))
+        return Failure(to_apply_error(error=chunks.failure()))
     contents = chunks.unwrap()
-    sound = {digest for digest, content in contents.items() if digest_of(content) == digest}
+    valid_digests = {
+        digest for digest, content in contents.items() if compute_digest(content) == digest
+    }
     chunked: ChunkedSections | None
     try:
-        chunked = ChunkedSections.decode(digests=head.chunks, chunks=contents, present=nothing)
+        chunked = ChunkedSections.decode(digests=head.chunks, chunks=contents, current=empty)
     except (ChunkError, KeyError):
         chunked = None
-    accepted = Accepted(
-        head=head, mod_revision=entry.mod_revision, chunked=chunked, sound=frozenset(sound)
+    accepted = AcceptedRevision(
+        head=head,
+        mod_revision=entry.mod_revision,
+        chunked=chunked,
+        valid_digests=frozenset(valid_digests),
     )
     return Success(accepted)
 
 
-def apply_error(*, error: StoreError) -> ApplyError:
-    """Return the error of a call before anything could have been accepted."""
+def to_apply_error(*, error: StoreError) -> ApplyError:
+    """Convert the error of a store call that can't have accepted a revision."""
     if error.kind is StoreErrorKind.REFUSED:
         return ApplyError(
             kind=ApplyErrorKind.REFUSED,
-            detail=f"The store refused a call, so nothing was accepted: {error.detail}",
+            detail=f"The store rejected a call, so nothing was accepted: {error.detail}",
         )
     return ApplyError(
         kind=ApplyErrorKind.STORE_UNREACHABLE,
-        detail=f"The store can't be reached, so nothing was accepted; try again: {error.detail}",
+        detail=f"The store is unreachable, so nothing was accepted; try again: {error.detail}",
     )
--- a/src/tanagerscale/declarations/_head.py
+++ b/src/tanagerscale/declarations/_head.py
@@ -1,4 +1,4 @@
-"""The head record: which revision is accepted."""
+"""The head record, which names the accepted revision and its chunks."""
 
 from __future__ import annotations
 
@@ -17,18 +17,21 @@
 
 
 def decode_head(*, value: bytes) -> Result[Head, FollowError]:
-    """Decode a head record from the store or from a peer."""
+    """Decode and validate a head record.
+
+    :param value: JSON from the store or from a peer.
+    """
     try:
         head = msgspec.json.decode(value, type=Head)
     except DECODE_ERRORS as error:
         return Failure(_bad_head(reason=str(error)))
     if head.revision < 1 or not 0 < len(head.chunks) <= MAX_CHUNKS:
-        return Failure(_bad_head(reason="its revision or its list of chunks is out of range"))
+        return Failure(_bad_head(reason="its revision or its number of chunks is out of range"))
     return Success(head)
 
 
 def _bad_head(*, reason: str) -> FollowError:
     return FollowError(
         kind=FollowErrorKind.BAD_HEAD,
-        detail=f"The head record can't be read ({reason}); apply the declarations again.",
+        detail=f"The head record can't be decoded ({reason}); apply the declarations again.",
     )
--- a/src/tanagerscale/declarations/_publish.py
+++ b/src/tanagerscale/declarations/_publish.py
@@ -1,4 +1,4 @@
-"""Having a set accepted: chunks first, then one compare-and-swap of the head."""
+"""Publishes a set: writes its chunks, then replaces the head with one compare-and-swap."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from tanagerscale.declarations._diff import diff_sections
 from tanagerscale.declarations._errors import ApplyError
 from tanagerscale.declarations._errors import ApplyErrorKind
-from tanagerscale.declarations._fetch import Accepted
-from tanagerscale.declarations._fetch import apply_error
-from tanagerscale.declarations._fetch import read_accepted
+from tanagerscale.declarations._fetch import AcceptedRevision
+from tanagerscale.declarations._fetch import read_accepted_revision
+from tanagerscale.declarations._fetch import to_apply_error
 from tanagerscale.declarations._head import decode_head
 from tanagerscale.declarations._keys import head_key
-from tanagerscale.declarations._sections import to_sections
+from tanagerscale.declarations._sections import encode_sections
 from tanagerscale.generated.declarations import DeclarationSet
 from tanagerscale.generated.records import AuditRecord
 from tanagerscale.generated.records import Head
@@ -42,14 +42,14 @@
 
 MAX_INLINE_DELTA_BYTES = 16 * 1024
 MAX_SECTION_BYTES = 256 * 1024
-COMMIT_TRIES = 8
-FIRST_BACKOFF_MS = 100
+MAX_COMMIT_ATTEMPTS = 8
+MIN_BACKOFF_MS = 100
 MAX_BACKOFF_MS = 2000
-OTHERS_SHOWN = 20
+MAX_CONFLICTING_RECORDS = 20
 
 
 @final
-class _Stamp(Struct, frozen=True, kw_only=True):
+class _ApplyMetadata(Struct, frozen=True, kw_only=True):
     author: str
     apply_id: str
     wall_ms: int
@@ -59,7 +59,7 @@
 class _Proposal(Struct, frozen=True, kw_only=True):
     head: Head
     audit: AuditRecord
-    base: Accepted
+    base: AcceptedRevision
 
 
 async def publish(
@@ -70,70 +70,83 @@
     author: str,
     apply_id: str,
     clock: Clock,
-    expected: Revision | None,
-    repeated: bool = False,
+    expected_revision: Revision | None,
+    is_retry: bool = False,
 ) -> Result[Head, ApplyError]:
-    """Have a set accepted as the next revision.
+    """Publish a set as the next revision.
 
     :param store: The platform's key-value service.
-    :param prefix: What all keys of the installation start with.
-    :param declarations: The set, as ``read_declarations`` returned it.
-    :param author: Who applies it.
-    :param apply_id: Unique to this set and attempt of the operator.
-    :param clock: Tells the time that is recorded.
-    :param expected: Revision that the set was made from; ``None`` takes the present one.
-    :param repeated: Whether an earlier call with this ``apply_id`` had an uncertain outcome; if it
-        was accepted after all, that is what is returned, even when others went on from it.
-    :returns: The head record accepted; when nothing differs, the present one. Of a revision that
-        others went on from, digest and chunks are left empty.
+    :param prefix: Prefix of all store keys of the installation.
+    :param declarations: The set, as returned by ``read_declarations``.
+    :param author: Name of the operator, recorded with the revision.
+    :param apply_id: Id of this apply; only retries of the same apply share it.
+    :param clock: Clock used for the recorded time and for backoff.
+    :param expected_revision: Revision that the set is based on; ``None`` for the accepted one.
+    :param is_retry: Whether an earlier call with this ``apply_id`` had an uncertain outcome; if it
+        was accepted, its head is returned, even if later revisions have been accepted since.
+    :returns: The accepted head record; the current one if the set doesn't differ from it. If a
+        retry finds its revision followed by later ones, digest and chunks of the head are empty.
     """
-    read = await read_accepted(store=store, prefix=prefix)
+    read = await read_accepted_revision(store=store, prefix=prefix)
     if isinstance(read, Failure):
         return Failure(read.failure())
     base = read.unwrap()
-    if repeated:
-        earlier = await _accepted_earlier(store=store, prefix=prefix, apply_id=apply_id, base=base)
+    if is_retry:
+        earlier = await _find_earlier_acceptance(
+            store=store, prefix=prefix, apply_id=apply_id, base=base
+        )
         if isinstance(earlier, Failure):
             return Failure(earlier.failure())
         accepted = earlier.unwrap()
         if accepted is not None:
             return Success(accepted)
-    if expected is not None and base.revision != expected:
-        return Failure(await _conflict(store=store, prefix=prefix, since=expected, now=base))
-    stamp = _Stamp(author=author, apply_id=apply_id, wall_ms=clock.wall())
-    return await _accept(
-        store=store, prefix=prefix, declarations=declarations, base=base, stamp=stamp, clock=clock
+    if expected_revision is not None and base.revision != expected_revision:
+        return Failure(
+            await _build_conflict_error(
+                store=store, prefix=prefix, since=expected_revision, current=base
+            )
+        )
+    metadata = _ApplyMetadata(author=author, apply_id=apply_id, wall_ms=clock.wall())
+    return await _publish_on_base(
+        store=store,
+        prefix=prefix,
+        declarations=declarations,
+        base=base,
+        metadata=metadata,
+        clock=clock,
     )
 
 
-async def _accept(
+async def _publish_on_base(
     *,
     store: Store,
     prefix: str,
     declarations: DeclarationSet,
-    base: Accepted,
-    stamp: _Stamp,
+    base: AcceptedRevision,
+    metadata: _ApplyMetadata,
     clock: Clock,
 ) -> Result[Head, ApplyError]:
-    """Have a set accepted on top of a revision, unless it is the same."""
-    sections = to_sections(declarations=declarations)
+    """Publish a set on top of a base revision, unless it is identical."""
+    sections = encode_sections(declarations=declarations)
     too_large = [title for title, text in sections.items() if len(text) > MAX_SECTION_BYTES]
     if too_large:
-        return Failure(_too_large(title=too_large[0]))
-    present_count = len(base.head.chunks) if base.head is not None else 0
-    chunked = ChunkedSections.build(sections=sections, present_count=present_count)
+        return Failure(_build_too_large_error(title=too_large[0]))
+    previous_chunk_count = len(base.head.chunks) if base.head is not None else 0
+    chunked = ChunkedSections.build(sections=sections, previous_chunk_count=previous_chunk_count)
     if base.head is not None and base.chunked is not None and chunked.digest == base.head.digest:
         return Success(base.head)
-    proposal = _propose(base=base, chunked=chunked, stamp=stamp)
+    proposal = _build_proposal(base=base, chunked=chunked, metadata=metadata)
     written = await write_chunks(
-        store=store, prefix=prefix, chunked=chunked, sound=base.sound, clock=clock
+        store=store, prefix=prefix, chunked=chunked, valid_digests=base.valid_digests, clock=clock
     )
     if isinstance(written, Failure):
-        return Failure(apply_error(error=written.failure()))
+        return Failure(to_apply_error(error=written.failure()))
     return await _commit(store=store, prefix=prefix, proposal=proposal, clock=clock)
 
 
-def _propose(*, base: Accepted, chunked: ChunkedSections, stamp: _Stamp) -> _Proposal:
+def _build_proposal(
+    *, base: AcceptedRevision, chunked: ChunkedSections, metadata: _ApplyMetadata
+) -> _Proposal:
     old = base.chunked.sections() if base.chunked is not None else {}
     changes, delta = diff_sections(old=old, new=chunked.sections())
     lines = [str(change) for change in changes]
@@ -145,23 +158,23 @@
         revision=revision,
         digest=chunked.digest,
         chunks=list(chunked.digests),
-        author=stamp.author,
-        apply_id=stamp.apply_id,
-        applied_wall_ms=stamp.wall_ms,
-        delta=_inline(delta) if base.chunked is not None and same_chunks else None,
+        author=metadata.author,
+        apply_id=metadata.apply_id,
+        applied_wall_ms=metadata.wall_ms,
+        delta=_select_inline_delta(delta) if base.chunked is not None and same_chunks else None,
     )
     audit = AuditRecord(
         revision=revision,
         previous_revision=base.revision,
-        author=stamp.author,
-        apply_id=stamp.apply_id,
-        applied_wall_ms=stamp.wall_ms,
+        author=metadata.author,
+        apply_id=metadata.apply_id,
+        applied_wall_ms=metadata.wall_ms,
         changes=lines,
     )
     return _Proposal(head=head, audit=audit, base=base)
 
 
-def _inline(delta: SectionDelta) -> SectionDelta | None:
+def _select_inline_delta(delta: SectionDelta) -> SectionDelta | None:
     return delta if len(msgspec.json.encode(delta)) <= MAX_INLINE_DELTA_BYTES else None
 
 
@@ -171,32 +184,32 @@
     head = proposal.head
     puts = _commit_puts(prefix=prefix, proposal=proposal)
     uncertain = False
-    backoff_ms = FIRST_BACKOFF_MS
-    for _ in range(COMMIT_TRIES):
+    backoff_ms = MIN_BACKOFF_MS
+    for _ in range(MAX_COMMIT_ATTEMPTS):
         result = await store.commit(puts=puts)
         if isinstance(result, Success):
-            return await _settle(
+            return await _resolve_commit(
                 store=store, prefix=prefix, proposal=proposal, outcomes=result.unwrap()
             )
         error = result.failure()
         uncertain = uncertain or error.kind is StoreErrorKind.UNCERTAIN
         if not uncertain:
-            return Failure(apply_error(error=error))
-        # The same conditions and the same apply id, so a repeat can't be accepted twice.
+            return Failure(to_apply_error(error=error))
+        # Retries have the same conditions and apply id, so a set can't be accepted twice.
         await clock.sleep(backoff_ms)
         backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
     detail = (
-        f"The store did not say whether revision {head.revision} was accepted; run the same apply "
-        f"again with --apply-id {head.apply_id}, which settles it."
+        f"The store did not confirm whether revision {head.revision} was accepted; run the same "
+        f"apply again with --apply-id {head.apply_id} to get the outcome."
     )
     return Failure(ApplyError(kind=ApplyErrorKind.UNCERTAIN, detail=detail))
 
 
 def _commit_puts(*, prefix: str, proposal: _Proposal) -> list[PutIf]:
-    """Return the writes that have a revision accepted.
+    """Return the conditional writes that accept a revision.
 
-    The audit key of a revision exists exactly when that revision was accepted, so both conditions
-    hold together or fail together, and no accepted revision lacks its audit record.
+    The audit record of a revision exists if and only if that revision was accepted. Both conditions
+    therefore hold or fail together, and each accepted revision has an audit record.
     """
     head = proposal.head
     return [
@@ -213,7 +226,7 @@
     ]
 
 
-async def _settle(
+async def _resolve_commit(
     *, store: Store, prefix: str, proposal: _Proposal, outcomes: Sequence[PutOutcome]
 ) -> Result[Head, ApplyError]:
     head = proposal.head
@@ -230,25 +243,31 @@
     recorded = audit_outcome.present
     audit = decode_audit(value=recorded.value) if recorded is not None else None
     if audit is not None and audit.apply_id == head.apply_id:
-        # An earlier try was accepted and its reply lost.
+        # An earlier attempt was accepted, but its reply was lost.
         return Success(head)
     present = head_outcome.present
-    now = decode_head(value=present.value) if present is not None else None
+    decoded = decode_head(value=present.value) if present is not None else None
     base = proposal.base
-    accepted = now.unwrap() if isinstance(now, Success) else None
-    after = Accepted(head=accepted, mod_revision=base.mod_revision, chunked=None, sound=frozenset())
-    return Failure(await _conflict(store=store, prefix=prefix, since=base.revision, now=after))
+    accepted = decoded.unwrap() if isinstance(decoded, Success) else None
+    current = AcceptedRevision(
+        head=accepted, mod_revision=base.mod_revision, chunked=None, valid_digests=frozenset()
+    )
+    return Failure(
+        await _build_conflict_error(
+            store=store, prefix=prefix, since=base.revision, current=current
+        )
+    )
 
 
-async def _accepted_earlier(
-    *, store: Store, prefix: str, apply_id: str, base: Accepted
+async def _find_earlier_acceptance(
+    *, store: Store, prefix: str, apply_id: str, base: AcceptedRevision
 ) -> Result[Head | None, ApplyError]:
-    """Return what this very apply had accepted, also when others went on from it."""
+    """Return the head accepted for this apply id, or ``None``; later revisions may exist."""
     if base.head is None or base.head.apply_id == apply_id:
         return Success(base.head)
     found = await find_audit(store=store, prefix=prefix, newest=base.revision, apply_id=apply_id)
     if isinstance(found, Failure):
-        return Failure(apply_error(error=found.failure()))
+        return Failure(to_apply_error(error=found.failure()))
     record = found.unwrap()
     if record is None:
         return Success(None)
@@ -266,29 +285,31 @@
     )
 
 
-async def _conflict(*, store: Store, prefix: str, since: Revision, now: Accepted) -> ApplyError:
-    last = min(max(now.revision - since, 1), OTHERS_SHOWN)
-    records = await read_audit(store=store, prefix=prefix, newest=now.revision, last=last)
+async def _build_conflict_error(
+    *, store: Store, prefix: str, since: Revision, current: AcceptedRevision
+) -> ApplyError:
+    limit = min(max(current.revision - since, 1), MAX_CONFLICTING_RECORDS)
+    records = await read_audit(store=store, prefix=prefix, newest=current.revision, limit=limit)
     others = records.value_or(())
-    author = now.head.author if now.head is not None else ""
+    author = current.head.author if current.head is not None else ""
     changes = tuple(
         f"revision {record.revision} by {record.author}: {line}"
         for record in reversed(others)
         for line in record.changes
     )
     detail = (
-        f"Revision {now.revision} by {author or 'another operator'} was accepted first, so nothing "
-        f"of this set was; take in the changes made since revision {since} and apply again."
+        f"Revision {current.revision} by {author or 'another operator'} was accepted first, so "
+        f"this set was not; merge the changes made since revision {since} and apply again."
     )
     return ApplyError(
         kind=ApplyErrorKind.CONFLICT,
         detail=detail,
-        in_force=now.revision,
+        in_force=current.revision,
         author=author,
         changes=changes,
     )
 
 
-def _too_large(*, title: str) -> ApplyError:
-    detail = f"The section [{title}] is over {MAX_SECTION_BYTES} bytes; shorten its lists."
+def _build_too_large_error(*, title: str) -> ApplyError:
+    detail = f"The section [{title}] is larger than {MAX_SECTION_BYTES} bytes; shorten its lists."
     return ApplyError(kind=ApplyErrorKind.TOO_LARGE, detail=detail)
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -34,7 +34,7 @@
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.routes import CallerLimits
 from tanagerscale.routes import Homes
-from tanagerscale.settings import regions_of
+from tanagerscale.settings import get_regions_by_domain
 
 SWEEP_MS: Final = 1000
 """How often idle connections are looked through; idle times are declared in seconds."""
@@ -242,7 +242,7 @@
             parts=parts,
             admission=Admission(parts=parts, placer=control.client),
             movers=self._movers,
-            homes=Homes(regions=regions_of(self._settings)),
+            homes=Homes(regions=get_regions_by_domain(self._settings)),
             is_stopping=lambda: self._leaving,
         )
 
--- a/src/tanagerscale/ini/__init__.py
+++ b/src/tanagerscale/ini/__init__.py
@@ -1,10 +1,10 @@
-"""INI files read into generated types, with every error placed at its line."""
+"""Reads INI files into generated types and reports each error with its line."""
 
 from __future__ import annotations
 
-from tanagerscale.ini._address import address_problem
+from tanagerscale.ini._address import check_address
 from tanagerscale.ini._convert import convert_section
-from tanagerscale.ini._convert import nearest
+from tanagerscale.ini._convert import find_closest
 from tanagerscale.ini._errors import InputError
 from tanagerscale.ini._sections import IniSection
 from tanagerscale.ini._sections import read_sections
@@ -12,8 +12,8 @@
 __all__ = [
     "IniSection",
     "InputError",
-    "address_problem",
+    "check_address",
     "convert_section",
-    "nearest",
+    "find_closest",
     "read_sections",
 ]
--- a/src/tanagerscale/ini/_address.py
+++ b/src/tanagerscale/ini/_address.py
@@ -1,4 +1,4 @@
-"""Checks of addresses."""
+"""Validation of network addresses."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 MAX_PORT = 65535
 
 
-def address_problem(*, address: str, port_zero: bool = False) -> str:
-    """Say what is wrong with an address.
+def check_address(*, address: str, allow_port_zero: bool = False) -> str:
+    """Check that an address consists of an IP address and a port.
 
-    :param address: IP number and port; an IPv6 number stands in brackets.
-    :param port_zero: Whether port 0, which takes a free one, is allowed.
-    :returns: What is allowed, or the empty string when nothing is wrong.
+    :param address: Address to check; IPv6 addresses are enclosed in brackets.
+    :param allow_port_zero: Whether port 0, which binds to any free port, is allowed.
+    :returns: Description of valid addresses if the address is invalid, else an empty string.
     """
-    lowest = 0 if port_zero else 1
-    allowed = f"an IP number and a port from {lowest} to {MAX_PORT}, as in 127.0.0.1:8080"
+    lowest = 0 if allow_port_zero else 1
+    allowed = f"an IP address and a port from {lowest} to {MAX_PORT}, such as 127.0.0.1:8080"
     host, _, port = address.rpartition(":")
     is_ipv6 = host.startswith("[") and host.endswith("]")
     try:
--- a/src/tanagerscale/ini/_errors.py
+++ b/src/tanagerscale/ini/_errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with an input file, and where."""
+"""Errors in input files, with their location."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 from msgspec import Struct
 
-MAX_SHOWN = 120
+MAX_FOUND_LENGTH = 120
 
 
 @final
 class InputError(Struct, frozen=True, kw_only=True):
-    """One mistake in an input file.
-
-    :param file: The file.
-    :param line: Line, counted from 1; 0 when the mistake has no line.
-    :param section: Section as written between the brackets, or the empty string.
-    :param key: Key, or the empty string.
-    :param found: What stands there.
-    :param allowed: What may stand there.
-    :param suggestion: The nearest known name, or the empty string.
+    """An error in an input file.
+
+    :param file: Path of the file.
+    :param line: Line number, starting at 1; 0 if the error has no line.
+    :param section: Title of the section; empty if the error is outside a section.
+    :param key: Key with the invalid value; empty if the error doesn't concern a key.
+    :param found: The invalid value; empty if there is none or it may be a secret.
+    :param allowed: Description of valid values.
+    :param suggestion: Closest known name; empty if no name is similar.
     """
 
     file: Path
@@ -32,20 +32,20 @@
     suggestion: str = ""
 
     def __str__(self) -> str:
-        """Return the mistake as one line for a person."""
-        place = f"{self.file}:{self.line}" if self.line else str(self.file)
-        parts = [f"{place}:"]
+        """Return a one-line message for the operator."""
+        location = f"{self.file}:{self.line}" if self.line else str(self.file)
+        parts = [f"{location}:"]
         if self.section:
             parts.append(f"[{self.section}]")
         if self.key:
             parts.append(f"{self.key}:")
         if self.found:
-            parts.append(f"found {_shorten(self.found)!r};")
+            parts.append(f"found {_truncate(self.found)!r};")
         parts.append(f"allowed: {self.allowed}.")
         if self.suggestion:
             parts.append(f"Did you mean {self.suggestion!r}?")
         return " ".join(parts)
 
 
-def _shorten(text: str) -> str:
-    return text if len(text) <= MAX_SHOWN else f"{text[:MAX_SHOWN]}…"
+def _truncate(text: str) -> str:
+    return text if len(text) <= MAX_FOUND_LENGTH else f"{text[:MAX_FOUND_LENGTH]}…"
--- a/src/tanagerscale/ini/_sections.py
+++ b/src/tanagerscale/ini/_sections.py
@@ -1,4 +1,4 @@
-"""Sections and keys of INI files, with the line of each."""
+"""Parses INI files into sections and records the line of each section and key."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from tanagerscale.ini._errors import InputError
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
-# configparser gives the keys of its default section to all others, which we don't want.
+# Disables the default section, whose keys configparser adds to all other sections.
 NO_DEFAULT_SECTION = "\0"
 
 
 @final
 class IniSection(Struct, frozen=True, kw_only=True):
-    """One section.
+    """A section of an INI file.
 
-    :param file: File it stands in.
-    :param line: Line of its header.
-    :param title: What stands between the brackets.
-    :param values: Values by key.
-    :param lines: Lines by key.
+    :param file: File that contains the section.
+    :param line: Line number of the section header, starting at 1.
+    :param title: Text between the brackets of the header.
+    :param values: Unconverted values by key.
+    :param lines: Line numbers by key.
     """
 
     file: Path
@@ -36,7 +36,13 @@
     def error(
         self, *, key: str = "", found: str = "", allowed: str, suggestion: str = ""
     ) -> InputError:
-        """Return a mistake in this section, placed at the key where it stands."""
+        """Return an error in this section.
+
+        :param key: Key that the error concerns; empty to report the line of the header.
+        :param found: The invalid value, if it may be shown.
+        :param allowed: Description of valid values.
+        :param suggestion: Closest known name, if there is one.
+        """
         return InputError(
             file=self.file,
             line=self.lines.get(key, self.line),
@@ -49,19 +55,19 @@
 
 
 class _LineIndex(Struct, kw_only=True):
-    """Where sections and keys stand; configparser doesn't tell."""
+    """Line numbers of sections and keys, which configparser doesn't provide."""
 
     sections: dict[str, int] = field(default_factory=dict)
     keys: dict[str, dict[str, int]] = field(default_factory=dict)
     errors: list[InputError] = field(default_factory=list)
-    stray: list[int] = field(default_factory=list)
+    unsectioned_lines: list[int] = field(default_factory=list)
 
 
 def read_sections(*, path: Path) -> tuple[list[IniSection], list[InputError]]:
-    """Read one INI file.
+    """Read an INI file.
 
-    :param path: The file.
-    :returns: Its sections and everything that is wrong with its syntax.
+    :param path: Path of the file.
+    :returns: The sections and all syntax errors of the file.
     """
     text, error = _read_text(path=path)
     if error is not None:
@@ -74,9 +80,9 @@
         default_section=NO_DEFAULT_SECTION,
     )
     parser.optionxform = str  # type: ignore[assignment,method-assign]
-    # configparser stops at a line before the first section; the rest is to be checked too.
+    # configparser stops at a line before the first section; blank it to check the rest as well.
     lines = text.splitlines()
-    for number in index.stray:
+    for number in index.unsectioned_lines:
         lines[number - 1] = ""
     errors = index.errors + _parse(parser=parser, path=path, text="\n".join(lines))
     sections = [
@@ -98,7 +104,7 @@
             return "", InputError(file=path, allowed=f"a file of at most {MAX_FILE_BYTES} bytes")
         return path.read_bytes().decode("utf-8-sig"), None
     except UnicodeDecodeError as error:
-        allowed = f"text in UTF-8; byte {error.start} is not"
+        allowed = f"UTF-8 text; the byte at offset {error.start} is not valid"
         return "", InputError(file=path, allowed=allowed)
     except (OSError, ValueError) as error:
         reason = getattr(error, "strerror", None) or str(error)
@@ -120,7 +126,7 @@
             for number, _ in error.errors
         ]
     except (configparser.Error, AttributeError) as error:
-        # Some malformed continuation lines surface as AttributeError in configparser.
+        # configparser raises AttributeError for some malformed continuation lines.
         return [InputError(file=path, found=str(error), allowed="a well-formed INI file")]
     return []
 
@@ -144,8 +150,8 @@
             continue
         option = configparser.RawConfigParser.OPTCRE.match(content)
         if not title:
-            index.stray.append(number)
-            index.errors.append(_stray_error(path=path, line=number, found=content))
+            index.unsectioned_lines.append(number)
+            index.errors.append(_build_unsectioned_error(path=path, line=number, found=content))
         elif option is not None:
             key = option.group("option").rstrip()
             in_value = True
@@ -153,7 +159,7 @@
     return index
 
 
-def _stray_error(*, path: Path, line: int, found: str) -> InputError:
+def _build_unsectioned_error(*, path: Path, line: int, found: str) -> InputError:
     allowed = "a section header such as [objective] before the first key"
     return InputError(file=path, line=line, found=found, allowed=allowed)
 
@@ -162,14 +168,14 @@
     first = index.sections.setdefault(title, line)
     index.keys.setdefault(title, {})
     if first != line:
-        allowed = f"each section once; it stands on line {first} already"
+        allowed = f"each section only once; it is already defined on line {first}"
         index.errors.append(InputError(file=path, line=line, section=title, allowed=allowed))
 
 
 def _add_key(*, index: _LineIndex, path: Path, title: str, key: str, line: int) -> None:
     first = index.keys[title].setdefault(key, line)
     if first != line:
-        allowed = f"each key once; it stands on line {first} already"
+        allowed = f"each key only once; it is already set on line {first}"
         index.errors.append(
             InputError(file=path, line=line, section=title, key=key, allowed=allowed)
         )
--- a/src/tanagerscale/platform/_registry.py
+++ b/src/tanagerscale/platform/_registry.py
@@ -17,7 +17,7 @@
 from tanagerscale.core import ServiceId
 from tanagerscale.core import UpstreamId
 from tanagerscale.core import UpstreamName
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 from tanagerscale.platform._wire import WireServer
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
@@ -58,7 +58,7 @@
         return _left_out("its name can't be sent")
     if wire.state not in _STATES:
         return _left_out(f"state {wire.state[:20]!r} is unknown")
-    if problem := address_problem(address=wire.address):
+    if problem := check_address(address=wire.address):
         return _left_out(f"the address is not {problem}")
     started_ms = 0 if wire.born is msgspec.UNSET else wire.born
     return Success(
--- a/src/tanagerscale/settings/_gateway.py
+++ b/src/tanagerscale/settings/_gateway.py
@@ -1,4 +1,4 @@
-"""Settings of a host that forwards by routes."""
+"""Settings of a host that forwards requests by routes."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.ini import IniSection
 from tanagerscale.ini import InputError
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 from tanagerscale.settings._sections import read_struct
 
 REGION_SEPARATOR: Final = ":"
 
 
 def read_gateway_settings(*, path: Path) -> Result[GatewaySettings, tuple[InputError, ...]]:
-    """Read the settings of one host that forwards by routes.
+    """Read the settings of a host that forwards requests by routes.
 
-    :param path: INI file; its section names are the properties of ``GatewaySettings``.
-    :returns: The settings, or everything that is wrong with them.
+    :param path: INI file whose sections are the fields of ``GatewaySettings``.
+    :returns: The settings, or all errors in the file.
     """
-    return read_struct(path=path, struct=GatewaySettings, check=_check)
+    return read_struct(path=path, struct=GatewaySettings, check=_check_section)
 
 
-def regions_of(settings: GatewaySettings) -> dict[FailureDomainId, RegionId]:
+def get_regions_by_domain(settings: GatewaySettings) -> dict[FailureDomainId, RegionId]:
     """Return the region of each failure domain.
 
-    :param settings: Checked settings.
+    :param settings: Settings returned by ``read_gateway_settings``.
     """
     pairs = (pair.partition(REGION_SEPARATOR) for pair in settings.host.regions)
     return {
@@ -39,13 +39,13 @@
     }
 
 
-def _check(section: IniSection, values: dict[str, Any]) -> list[InputError]:
+def _check_section(section: IniSection, values: dict[str, Any]) -> list[InputError]:
     match section.title:
         case "host":
             keys = ("callers", "readiness", "peers", "metrics")
             errors = _check_addresses(section, values, keys)
             for seed in values.get("seeds", []):
-                problem = address_problem(address=seed)
+                problem = check_address(address=seed)
                 if problem:
                     errors.append(section.error(key="seeds", found=seed, allowed=problem))
             return errors + _check_regions(section, values)
@@ -55,7 +55,7 @@
 
 
 def _check_regions(section: IniSection, values: dict[str, Any]) -> list[InputError]:
-    allowed = "pairs of a failure domain and its region, as in a:east"
+    allowed = "pairs of a failure domain and its region, such as a:east"
     return [
         section.error(key="regions", found=pair, allowed=allowed)
         for pair in values.get("regions", [])
@@ -69,7 +69,7 @@
     errors = []
     for key in keys:
         address = values.get(key)
-        problem = address and address_problem(address=address, port_zero=True)
+        problem = address and check_address(address=address, allow_port_zero=True)
         if problem:
             errors.append(section.error(key=key, found=address or "", allowed=problem))
     return errors
--- a/src/tanagerscale/settings/_sections.py
+++ b/src/tanagerscale/settings/_sections.py
@@ -1,4 +1,4 @@
-"""INI sections read into a generated type."""
+"""Reads an INI file into a generated type."""
 
 from __future__ import annotations
 
@@ -15,39 +15,41 @@
 from tanagerscale.ini import IniSection
 from tanagerscale.ini import InputError
 from tanagerscale.ini import convert_section
-from tanagerscale.ini import nearest
+from tanagerscale.ini import find_closest
 from tanagerscale.ini import read_sections
 
 _Settings = TypeVar("_Settings", bound=msgspec.Struct)
 
-Check = Callable[[IniSection, dict[str, Any]], list[InputError]]
-"""Looks for mistakes in a section that its types don't show."""
+SectionCheck = Callable[[IniSection, dict[str, Any]], list[InputError]]
+"""Returns the errors in a section that the types of its fields can't express."""
 
 
 def read_struct(
-    *, path: Path, struct: type[_Settings], check: Check
+    *, path: Path, struct: type[_Settings], check: SectionCheck
 ) -> Result[_Settings, tuple[InputError, ...]]:
-    """Read a file whose sections are the fields of a type.
+    """Read an INI file whose sections are the fields of a type.
 
-    :param path: INI file.
-    :param struct: Generated type; each field is a section.
-    :param check: Looks at each section that could be converted.
-    :returns: The settings, or everything that is wrong with them.
+    :param path: INI file to read.
+    :param struct: Generated type whose fields define the allowed sections.
+    :param check: Additional check, called with each known section and its converted values.
+    :returns: The settings, or all errors in the file.
     """
     sections, errors = read_sections(path=path)
-    kinds = {info.name: info for info in msgspec.structs.fields(struct)}
+    section_fields = {info.name: info for info in msgspec.structs.fields(struct)}
     values: dict[str, dict[str, Any]] = {}
     for section in sections:
-        if section.title not in kinds:
-            allowed = f"one of the sections {', '.join(kinds)}"
-            suggestion = nearest(name=section.title, known=list(kinds))
+        if section.title not in section_fields:
+            allowed = f"one of the sections {', '.join(section_fields)}"
+            suggestion = find_closest(name=section.title, candidates=list(section_fields))
             errors.append(section.error(allowed=allowed, suggestion=suggestion))
             continue
-        converted, mistakes = convert_section(section=section, struct=kinds[section.title].type)
+        converted, new_errors = convert_section(
+            section=section, struct=section_fields[section.title].type
+        )
         values[section.title] = converted
-        errors.extend(mistakes)
+        errors.extend(new_errors)
         errors.extend(check(section, converted))
-    for name, info in kinds.items():
+    for name, info in section_fields.items():
         if info.required and name not in values:
             errors.append(InputError(file=path, allowed=f"the section [{name}] is required"))
     if errors:
--- a/testing/_declared.py
+++ b/testing/_declared.py
@@ -1,4 +1,4 @@
-"""Declarations that tests publish."""
+"""Helpers that build, publish and follow declarations in tests."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 KEY_HASH = "$argon2id$v=19$m=8192,t=2,p=1$c2FsdHNhbHRzYWx0$aGFzaGhhc2hoYXNoaGFzaGhhc2hoYXNo"
 
 
-def declare(
+def make_declarations(
     *, accounts: Sequence[str] = ("crews",), engines: int = 1, **engine: Any
 ) -> DeclarationSet:
-    """Return a small set.
+    """Return a set with one model.
 
-    :param accounts: Names of its accounts.
-    :param engines: How many engines it has.
-    :param engine: Further fields of each engine.
+    :param accounts: Names of the accounts.
+    :param engines: Number of engines.
+    :param engine: Additional fields of each engine.
     """
     return DeclarationSet(
         objective=Objective(),
@@ -58,10 +58,10 @@
     declarations: DeclarationSet,
     author: str = "ana",
     apply_id: str = "",
-    expected: int | None = None,
-    repeated: bool = False,
+    expected_revision: int | None = None,
+    is_retry: bool = False,
 ) -> Result[Head, ApplyError]:
-    """Publish a set with a fixed prefix; each call is an apply of its own unless it has an id."""
+    """Publish a set under the test prefix; each call has a new apply id unless one is given."""
     return await publish(
         store=store,
         prefix=PREFIX,
@@ -69,11 +69,11 @@
         author=author,
         apply_id=apply_id or new_id(prefix="apply"),
         clock=Clock(),
-        expected=Revision(expected) if expected is not None else None,
-        repeated=repeated,
+        expected_revision=Revision(expected_revision) if expected_revision is not None else None,
+        is_retry=is_retry,
     )
 
 
-def follow(*, store: Store, seed: int = 1) -> Follower:
-    """Return a follower of the fixed prefix."""
+def make_follower(*, store: Store, seed: int = 1) -> Follower:
+    """Return a follower of the test prefix; the seed is that of its random number generator."""
     return Follower(store=store, prefix=PREFIX, clock=Clock(), random=Random(seed))
--- a/testing/test_accounts.py
+++ b/testing/test_accounts.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts: hashes, the cache, its limits."""
+"""Keys of client accounts: hashes, cached results and cache limits."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from tanagerscale.accounts import KeyChecker
 from tanagerscale.accounts import _checker as checker_module
-from tanagerscale.accounts import hash_problem
-from tanagerscale.accounts import make_key
-from tanagerscale.accounts._hashes import matches
+from tanagerscale.accounts import check_hash
+from tanagerscale.accounts import generate_key
+from tanagerscale.accounts._hashes import verify_key
 from tanagerscale.core import ClientAccountId
 from tanagerscale.generated.declarations import ClientAccount
 
@@ -29,20 +29,20 @@
 
 
 @pytest.fixture
-def hashed(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Keys whose hashes were computed, in order."""
-    seen: list[str] = []
+def hashed_keys(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """Keys whose hashes were computed, in order of computation."""
+    computed: list[str] = []
 
     def counted(*, key: str, key_hash: str) -> bool:
-        seen.append(key)
-        return matches(key=key, key_hash=key_hash)
+        computed.append(key)
+        return verify_key(key=key, key_hash=key_hash)
 
-    monkeypatch.setattr(checker_module, "matches", counted)
-    return seen
+    monkeypatch.setattr(checker_module, "verify_key", counted)
+    return computed
 
 
-async def test_key_is_its_accounts_and_nobody_elses() -> None:
-    crews, chiefs = make_key(account="crews"), make_key(account="chiefs.east")
+async def test_key_authenticates_only_its_own_account() -> None:
+    crews, chiefs = generate_key(account="crews"), generate_key(account="chiefs.east")
     checker = _checker(("crews", crews.key_hash), ("chiefs.east", chiefs.key_hash))
     assert await checker.check(bearer=crews.key) == "crews"
     assert await checker.check(bearer=chiefs.key) == "chiefs.east"
@@ -51,18 +51,18 @@
         assert await checker.check(bearer=wrong) is None
 
 
-async def test_hash_is_computed_once_when_a_key_comes_again(hashed: list[str]) -> None:
-    made = make_key(account="crews")
+async def test_hash_is_computed_once_when_a_key_is_reused(hashed_keys: list[str]) -> None:
+    made = generate_key(account="crews")
     checker = _checker(("crews", made.key_hash))
     results = await asyncio.gather(*(checker.check(bearer=made.key) for _ in range(5)))
     wrong = [await checker.check(bearer="crews.wrong") for _ in range(3)]
     assert results == ["crews"] * 5
     assert wrong == [None] * 3
-    assert hashed == [made.key, "crews.wrong"]
+    assert hashed_keys == [made.key, "crews.wrong"]
 
 
-async def test_old_key_is_refused_at_once_when_the_hash_was_replaced() -> None:
-    old, new = make_key(account="crews"), make_key(account="crews")
+async def test_old_key_is_refused_immediately_after_its_hash_is_replaced() -> None:
+    old, new = generate_key(account="crews"), generate_key(account="crews")
     checker = _checker(("crews", old.key_hash))
     assert await checker.check(bearer=old.key) == CREWS
     assert await checker.check(bearer=new.key) is None
@@ -73,20 +73,20 @@
     assert await checker.check(bearer=new.key) is None
 
 
-async def test_caches_stay_bounded_when_many_wrong_keys_come(
+async def test_cache_size_is_bounded_when_many_wrong_keys_are_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(checker_module, "CACHED_REFUSALS", 3)
-    monkeypatch.setattr(checker_module, "matches", lambda *, key, key_hash: False)
+    monkeypatch.setattr(checker_module, "MAX_CACHED_REJECTIONS", 3)
+    monkeypatch.setattr(checker_module, "verify_key", lambda *, key, key_hash: False)
     checker = _checker(("crews", "any"))
     for number in range(10):
         await checker.check(bearer=f"crews.{number}")
-    assert len(checker._refused) == 3
-    assert not any(b"crews" in digest for digest in checker._refused)
+    assert len(checker._rejected) == 3
+    assert not any(b"crews" in digest for digest in checker._rejected)
 
 
 def test_hash_is_refused_when_it_is_a_key_or_too_costly() -> None:
-    made = make_key(account="crews")
-    assert hash_problem(key_hash=made.key_hash) == ""
-    assert hash_problem(key_hash=made.key)
-    assert hash_problem(key_hash=made.key_hash.replace("m=8192", "m=9999999"))
+    made = generate_key(account="crews")
+    assert check_hash(key_hash=made.key_hash) == ""
+    assert check_hash(key_hash=made.key)
+    assert check_hash(key_hash=made.key_hash.replace("m=8192", "m=9999999"))
--- a/testing/test_cli.py
+++ b/testing/test_cli.py
@@ -14,7 +14,7 @@
 from aiohttp.test_utils import TestServer
 import pytest
 
-from tanagerscale.accounts import make_key
+from tanagerscale.accounts import generate_key
 from tanagerscale.cli import ExitCode
 from tanagerscale.cli import _apply as apply_module
 from tanagerscale.cli import main
@@ -49,7 +49,7 @@
 @pytest.fixture
 def files(tmp_path: Path) -> Path:
     """A valid set of declarations."""
-    key_hash = make_key(account="crews").key_hash
+    key_hash = generate_key(account="crews").key_hash
     (tmp_path / "all.ini").write_text(
         f"[objective]\n[model plan]\nversion = 1\n[account crews]\nkey_hash = {key_hash}\n"
         "[engine e1]\naddress = 127.0.0.1:9001\nfailure_domain = a\nmodels = plan\n"
--- a/testing/test_declarations_processes.py
+++ b/testing/test_declarations_processes.py
@@ -1,4 +1,4 @@
-"""Declarations over real processes: the command line, the store, hosts cut off and started late."""
+"""Declarations with real processes: command line, store, and hosts without a store connection."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from tanagerscale.generated.declarations import DeclarationSet
 from testing.conftest import StartCluster
 
-PAUSE_S = 0.02
-# Only keeps a failing test from hanging.
-GUARD_S = 60
+POLL_INTERVAL_S = 0.02
+# Prevents a failing test from hanging.
+TIMEOUT_S = 60
 PLAN = ClusterPlan(engines=1, services=0)
 
 
@@ -27,11 +27,11 @@
         return msgspec.json.decode(await reply.read(), type=HostStatus)
 
 
-async def _until_in_force(
+async def _wait_until_in_force(
     *, cluster: Cluster, session: aiohttp.ClientSession, revision: int
 ) -> set[str]:
-    """Wait until all hosts have a revision and are ready; return the digests they have."""
-    async with asyncio.timeout(GUARD_S):
+    """Wait until a revision is in force on all hosts and they are ready; return their digests."""
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             statuses = [
                 await _status(session=session, url=cluster.caller_url(host))
@@ -40,15 +40,15 @@
             assert all(status.revision <= revision for status in statuses)
             if all(status.revision == revision and status.ready for status in statuses):
                 return {status.digest for status in statuses}
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _with_stall_weight(declared: DeclarationSet, *, weight: float) -> DeclarationSet:
+def _replace_stall_weight(declared: DeclarationSet, *, weight: float) -> DeclarationSet:
     objective = msgspec.structs.replace(declared.objective, stall_weight=weight)
     return msgspec.structs.replace(declared, objective=objective)
 
 
-async def test_revision_reaches_all_hosts_when_one_has_no_store_and_then_none_has(
+async def test_revision_reaches_all_hosts_when_one_and_then_all_lose_the_store(
     start_cluster: StartCluster, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_cluster(PLAN)
@@ -57,25 +57,25 @@
         await cluster.start_host("host-2")
         await cluster.start_host("host-3", store_url=f"http://{relay.address}")
         assert (await cluster.apply()).returncode == 0
-        await _until_in_force(cluster=cluster, session=session, revision=1)
+        await _wait_until_in_force(cluster=cluster, session=session, revision=1)
         relay.freeze()
-        second = _with_stall_weight(cluster.declarations, weight=5)
+        second = _replace_stall_weight(cluster.declarations, weight=5)
         assert (await cluster.apply(declarations=second)).returncode == 0
         cluster.store.freeze()
-        digests = await _until_in_force(cluster=cluster, session=session, revision=2)
+        digests = await _wait_until_in_force(cluster=cluster, session=session, revision=2)
         assert len(digests) == 1
-        # Started while the store is away, it can know the head from its peers alone.
+        # The store is unavailable, so the new host can receive the head only from its peers.
         await cluster.start_host("host-4")
-        assert await _until_in_force(cluster=cluster, session=session, revision=2) == digests
+        assert await _wait_until_in_force(cluster=cluster, session=session, revision=2) == digests
         cluster.store.thaw()
         cluster.hosts["host-1"].freeze()
-        third = _with_stall_weight(cluster.declarations, weight=7)
+        third = _replace_stall_weight(cluster.declarations, weight=7)
         assert (await cluster.apply(declarations=third)).returncode == 0
         cluster.hosts["host-1"].thaw()
-        assert len(await _until_in_force(cluster=cluster, session=session, revision=3)) == 1
+        assert len(await _wait_until_in_force(cluster=cluster, session=session, revision=3)) == 1
 
 
-async def test_one_of_two_operators_is_refused_when_both_apply_at_once(
+async def test_one_of_two_concurrent_applies_is_refused(
     start_cluster: StartCluster, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_cluster(PLAN)
@@ -83,19 +83,21 @@
     assert (await cluster.apply()).returncode == 0
     results = await asyncio.gather(
         *(
-            _apply_from_first(cluster=cluster, author=author, weight=weight)
+            _apply_to_first_revision(cluster=cluster, author=author, weight=weight)
             for author, weight in (("ana", 5), ("bo", 7))
         )
     )
     assert sorted(result.returncode for result in results) == [0, 1]
     [refused] = [result for result in results if result.returncode == 1]
     assert "[objective] changed: stall_weight" in refused.errors
-    await _until_in_force(cluster=cluster, session=session, revision=2)
+    await _wait_until_in_force(cluster=cluster, session=session, revision=2)
 
 
-async def _apply_from_first(*, cluster: Cluster, author: str, weight: float) -> CommandResult:
+async def _apply_to_first_revision(
+    *, cluster: Cluster, author: str, weight: float
+) -> CommandResult:
     path = cluster.directory / f"{author}.ini"
-    declared = _with_stall_weight(cluster.declarations, weight=weight)
+    declared = _replace_stall_weight(cluster.declarations, weight=weight)
     write_declarations(path=path, declarations=declared)
     store = cluster.store.url
     return await cluster.command(
--- a/testing/test_declarations_read.py
+++ b/testing/test_declarations_read.py
@@ -1,4 +1,4 @@
-"""Reading declarations: every mistake is reported, at its place, and nothing else happens."""
+"""Reading declarations: errors are reported with their location and no input raises."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     assert declared.services[0].not_idempotent == ["POST /bookings", "POST /bookings/*"]
 
 
-def test_all_mistakes_are_reported_with_line_section_and_key(tmp_path: Path) -> None:
+def test_all_errors_are_reported_with_line_section_and_key(tmp_path: Path) -> None:
     text = """stray = 1
 [objective]
 stall_weigth = 2
@@ -81,8 +81,8 @@
 [DEFAULT]
 """
     errors = _read(tmp_path / "bad.ini", text)
-    places = [(error.line, error.section, error.key, error.suggestion) for error in errors]
-    assert places == [
+    locations = [(error.line, error.section, error.key, error.suggestion) for error in errors]
+    assert locations == [
         (0, "", "", ""),
         (1, "", "", ""),
         (3, "objective", "stall_weigth", "stall_weight"),
@@ -121,7 +121,7 @@
         ("[adapter facades]", "[adapter plan]\nmodel = plan\nversion = 1\n[adapter facades]", ""),
     ],
 )
-def test_set_is_refused_when_its_sections_contradict(
+def test_set_is_refused_when_its_sections_are_inconsistent(
     tmp_path: Path, old: str, new: str, key: str
 ) -> None:
     assert old in VALID
@@ -131,7 +131,7 @@
     assert "the-key-itself" not in str(errors[0])
 
 
-def test_section_is_refused_when_another_file_has_it_too(tmp_path: Path) -> None:
+def test_section_is_refused_when_another_file_also_contains_it(tmp_path: Path) -> None:
     (tmp_path / "a.ini").write_text(VALID)
     (tmp_path / "b.ini").write_text("[objective]\n")
     [error] = read_declarations(paths=[tmp_path]).failure()
@@ -175,7 +175,7 @@
 
 @cases(examples=150)
 @given(lines=st.lists(st.one_of(LINES, st.text(max_size=30)), max_size=30))
-def test_reader_answers_when_the_file_is_anything(tmp_path: Path, lines: list[str]) -> None:
+def test_reader_returns_a_result_for_arbitrary_files(tmp_path: Path, lines: list[str]) -> None:
     file = tmp_path / "fuzz.ini"
     file.write_bytes("\n".join(lines).encode("utf-8", "surrogatepass"))
     result = read_declarations(paths=[file])
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("name", ["annexe-technique", "call-sheet-tender"])
-def test_example_is_valid(name: str) -> None:
+def test_example_declarations_are_valid(name: str) -> None:
     declared = read_declarations(paths=[EXAMPLES / name / "declarations"]).unwrap()
     keys = dict(
         line.rpartition(".")[::2]
--- a/testing/test_homes.py
+++ b/testing/test_homes.py
@@ -25,8 +25,8 @@
 from tanagerscale.routes import Route
 from tanagerscale.routes import RouteKind
 from tanagerscale.routes import RouteTable
+from tanagerscale.settings import get_regions_by_domain
 from tanagerscale.settings import read_gateway_settings
-from tanagerscale.settings import regions_of
 from testing._gateway_fakes import Bench
 from testing._gateway_fakes import FakeResponder
 from testing._gateway_fakes import make_bench
@@ -103,7 +103,7 @@
 
 def test_regions_of_failure_domains_are_read_from_the_settings(tmp_path: Path) -> None:
     read = read_gateway_settings(path=_settings(tmp_path, "a:east,b:east, c:west"))
-    assert regions_of(read.unwrap()) == REGIONS
+    assert get_regions_by_domain(read.unwrap()) == REGIONS
 
 
 def test_settings_that_name_no_region_are_refused(tmp_path: Path) -> None:
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -15,7 +15,7 @@
 
 from standins.platform_world import configuration
 from tanagerscale.core import ServiceId
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 from tanagerscale.platform._configuration import decode_configuration
 from tanagerscale.platform._engines import _moved
 from tanagerscale.platform._headers import passed_on
@@ -191,7 +191,7 @@
     assert found.places >= 1
     assert found.cold_ms >= 0
     assert found.started_ms >= 1
-    assert address_problem(address=found.address) == ""
+    assert check_address(address=found.address) == ""
 
 
 JSON = st.recursive(
--- a/testing/test_settings.py
+++ b/testing/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading host settings."""
+"""Reading and validating host settings."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 """
 
 
-def test_settings_have_defaults_when_only_the_required_is_set(tmp_path: Path) -> None:
+def test_settings_have_defaults_when_only_required_keys_are_set(tmp_path: Path) -> None:
     file = tmp_path / "host.ini"
     file.write_text(VALID)
     settings = read_settings(path=file).unwrap()
@@ -62,7 +62,7 @@
     assert "short-secret" not in str(errors[0])
 
 
-def test_section_is_named_when_a_required_one_is_missing(tmp_path: Path) -> None:
+def test_missing_required_sections_are_named_in_errors(tmp_path: Path) -> None:
     file = tmp_path / "host.ini"
     file.write_text("")
     messages = " ".join(str(error) for error in read_settings(path=file).failure())
--- a/tools/bench_apply.py
+++ b/tools/bench_apply.py
@@ -81,7 +81,7 @@
         author="bench",
         apply_id=new_id(prefix="apply"),
         clock=Clock(),
-        expected=None,
+        expected_revision=None,
     )
     assert isinstance(accepted, Success)
     revision = accepted.unwrap().revision
--- a/tools/bench_declarations.py
+++ b/tools/bench_declarations.py
@@ -191,7 +191,7 @@
         author="bench",
         apply_id=new_id(prefix="apply"),
         clock=Clock(),
-        expected=None,
+        expected_revision=None,
     )
     return result.unwrap()
 
