--- a/src/tanagerscale/declarations/_checks.py
+++ b/src/tanagerscale/declarations/_checks.py
@@ -207,5 +207,5 @@
                 key=key,
                 found=name,
                 allowed="a name that is declared in a section",
-                suggestion=find_closest(name=name, candidates=known),
+                suggestion=find_closest(name=name, known_names=known),
             )
--- a/src/tanagerscale/declarations/_follower.py
+++ b/src/tanagerscale/declarations/_follower.py
@@ -162,7 +162,7 @@
         return contents
 
     def _store_offered_chunks(self, *, chunks: Mapping[str, str]) -> Mapping[str, bytes]:
-        """Store intact offered chunks until a revision is in force, and return all of them."""
+        """Store intact chunks until a revision is in force; return stored and offered ones."""
         offered = {digest: content.encode() for digest, content in chunks.items()}
         self._offered.update(
             {
@@ -220,7 +220,8 @@
     async def _read_head(self) -> Result[StoreRevision, StoreError]:
         """Read the head and put it in force; return the store revision of the read."""
         key = head_key(prefix=self._prefix)
-        # A range read returns the current store revision, so a watch from there isn't compacted.
+        # A range read also returns the current store revision, from which the watch can start
+        # without events lost to compaction.
         result = await self._store.list(prefix=key)
         if isinstance(result, Failure):
             self._report_store_error(error=result.failure())
--- a/src/tanagerscale/declarations/_reader.py
+++ b/src/tanagerscale/declarations/_reader.py
@@ -87,7 +87,7 @@
             f"[{k.keyword} NAME]" if k.named else f"[{k.keyword}]"
             for k in get_section_kinds().values()
         ]
-        suggestion = find_closest(name=section.title.partition(" ")[0], candidates=words)
+        suggestion = find_closest(name=section.title.partition(" ")[0], known_names=words)
         return [section.error(allowed=f"one of {', '.join(header_forms)}", suggestion=suggestion)]
     problem = check_name(name=name) if kind.named else _check_unnamed(kind=kind, name=name)
     if problem:
--- a/src/tanagerscale/ini/_convert.py
+++ b/src/tanagerscale/ini/_convert.py
@@ -46,7 +46,7 @@
     for key, text in section.values.items():
         if key not in known:
             allowed = f"one of the keys {', '.join(known)}"
-            suggestion = find_closest(name=key, candidates=known)
+            suggestion = find_closest(name=key, known_names=known)
             misspelled_keys.add(suggestion)
             errors.append(section.error(key=key, allowed=allowed, suggestion=suggestion))
             continue
@@ -64,14 +64,14 @@
     return values, errors
 
 
-def find_closest(*, name: str, candidates: Collection[str]) -> str:
-    """Return the candidate that is most similar to a name.
+def find_closest(*, name: str, known_names: Collection[str]) -> str:
+    """Return the known name that is most similar to a name.
 
     :param name: Name as written in the file.
-    :param candidates: Known names.
-    :returns: The closest candidate; empty if the similarity of all is below ``MIN_SIMILARITY``.
+    :param known_names: Names to choose from.
+    :returns: The closest known name; empty if the similarity of all is below ``MIN_SIMILARITY``.
     """
-    matches = difflib.get_close_matches(name.lower(), candidates, n=1, cutoff=MIN_SIMILARITY)
+    matches = difflib.get_close_matches(name.lower(), known_names, n=1, cutoff=MIN_SIMILARITY)
     return matches[0] if matches else ""
 
 
--- a/src/tanagerscale/settings/_sections.py
+++ b/src/tanagerscale/settings/_sections.py
@@ -40,7 +40,7 @@
     for section in sections:
         if section.title not in section_fields:
             allowed = f"one of the sections {', '.join(section_fields)}"
-            suggestion = find_closest(name=section.title, candidates=list(section_fields))
+            suggestion = find_closest(name=section.title, known_names=list(section_fields))
             errors.append(section.error(allowed=allowed, suggestion=suggestion))
             continue
         converted, new_errors = convert_section(
