--- a/src/tanagerscale/cli/_arguments.py
+++ b/src/tanagerscale/cli/_arguments.py
@@ -15,7 +15,7 @@
 from tanagerscale.cli._exit import fail
 from tanagerscale.declarations import read_declarations
 from tanagerscale.generated.declarations import DeclarationSet
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 
 MAX_AUTHOR_LENGTH: Final = 100
 PREFIX_PATTERN: Final = re.compile(r"[!-~]{0,200}")
@@ -71,7 +71,7 @@
     addresses = tuple(part.strip() for part in hosts.split(",") if part.strip())
     for address in addresses:
         without_scheme = address.removeprefix("https://").removeprefix("http://")
-        problem = address_problem(address=without_scheme)
+        problem = check_address(address=without_scheme)
         if problem:
             message = f"--hosts takes {problem}, separated by commas; found {address!r}."
             fail(code=ExitCode.BAD_INPUT, message=message)
--- a/src/tanagerscale/cli/_local.py
+++ b/src/tanagerscale/cli/_local.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from tanagerscale.accounts import make_key
+from tanagerscale.accounts import generate_key
 from tanagerscale.cli._arguments import load_declarations
 from tanagerscale.cli._exit import ExitCode
 from tanagerscale.cli._exit import fail
 from tanagerscale.cli._output import Output
-from tanagerscale.declarations import name_problem
-from tanagerscale.declarations import to_sections
+from tanagerscale.declarations import check_name
+from tanagerscale.declarations import encode_sections
 
 
 async def run_validate(*, files: tuple[str, ...], output: Output) -> None:
@@ -18,7 +18,7 @@
     """
     declarations = load_declarations(files=files)
     counts: dict[str, int] = {}
-    for title in to_sections(declarations=declarations):
+    for title in encode_sections(declarations=declarations):
         kind = title.partition(" ")[0]
         counts[kind] = counts.get(kind, 0) + 1
     output.table(columns=("section", "count"), rows=list(counts.items()))
@@ -31,10 +31,10 @@
 
     :raises CommandError: When the account's name is invalid.
     """
-    problem = name_problem(name=account)
+    problem = check_name(name=account)
     if problem:
         fail(code=ExitCode.BAD_INPUT, message=f"ACCOUNT takes {problem}; found {account!r}.")
-    generated = make_key(account=account)
+    generated = generate_key(account=account)
     output.line(f"Key for the caller, kept nowhere else:\n{generated.key}\n")
     output.line(f"For the declarations:\n[account {account}]\nkey_hash = {generated.key_hash}")
     output.document({"account": account, "key": generated.key, "key_hash": generated.key_hash})
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -34,7 +34,7 @@
 from tanagerscale.generated.gateway import GatewaySettings
 from tanagerscale.routes import AllowedRegions
 from tanagerscale.routes import CallerLimits
-from tanagerscale.settings import regions_of
+from tanagerscale.settings import get_regions_by_domain
 
 IDLE_CHECK_INTERVAL_MS: Final = 1000
 """How often idle connections are checked; idle timeouts are configured in seconds."""
@@ -242,7 +242,7 @@
             parts=parts,
             admission=Admission(parts=parts, placer=control.client),
             stream_mover=self._movers,
-            homes=AllowedRegions(regions=regions_of(self._settings)),
+            homes=AllowedRegions(regions=get_regions_by_domain(self._settings)),
             is_stopping=lambda: self._leaving,
         )
 
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -15,7 +15,7 @@
 
 from standins.platform_world import configuration
 from tanagerscale.core import ServiceId
-from tanagerscale.ini import address_problem
+from tanagerscale.ini import check_address
 from tanagerscale.platform._configuration import decode_configuration
 from tanagerscale.platform._engines import _decode_copy_answer
 from tanagerscale.platform._headers import forwarded_request_headers
@@ -191,7 +191,7 @@
     assert found.max_concurrency >= 1
     assert found.cold_ms >= 0
     assert found.started_ms >= 1
-    assert address_problem(address=found.address) == ""
+    assert check_address(address=found.address) == ""
 
 
 JSON_VALUES = st.recursive(
