--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the outside systems, for tests and the demo; not part of the package."""
+"""Stand-ins for external systems, used by the tests and the demo; not part of the package."""
 
 from __future__ import annotations
--- a/standins/_batch.py
+++ b/standins/_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching in real time, with block memory and preemption by recompute."""
+"""Continuous batching in real time with paged memory and preemption by recomputation."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from standins.journal import Execution
 from standins.journal import Journal
 from standins.tokens import answer_length
+from standins.tokens import count_prompt_tokens
 from standins.tokens import crash_offset
 from standins.tokens import finish_reason
 from standins.tokens import prompt_tag
-from standins.tokens import prompt_tokens
 from standins.tokens import token_at
 from tanagerscale.core import Clock
 from tanagerscale.generated.upstream import EngineRequest
@@ -29,20 +29,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BatchLimits:
-    """How large and how fast an engine is; times in milliseconds."""
+    """Capacity and timing of an engine.
+
+    :param memory_tokens: Capacity of the key-value memory, in tokens.
+    :param max_batch: Maximum number of sequences that run at once.
+    :param max_waiting: Maximum length of the waiting queue.
+    :param step_ms: Fixed duration of one step, in milliseconds.
+    :param sequence_ms: Duration that each decoded sequence adds to a step, in milliseconds.
+    :param prefill_chunk_tokens: Maximum number of tokens prefilled in one step.
+    :param prefill_token_ms: Duration that each prefilled token adds to a step, in milliseconds.
+    """
 
     memory_tokens: int = 60_000
     max_batch: int = 64
     max_waiting: int = 1_000
     step_ms: float = 10.0
     sequence_ms: float = 0.1
-    prefill_chunk: int = 512
+    prefill_chunk_tokens: int = 512
     prefill_token_ms: float = 0.02
 
 
 @unique
 class Phase(Enum):
-    """Where a sequence stands."""
+    """Scheduling state of a sequence."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -51,48 +60,63 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Sequence:
-    """One generation."""
+    """One generation.
+
+    :param request: The caller's request.
+    :param version: Version of the model that serves it.
+    :param submission_number: Position in the order of submission, from 1.
+    :param length: Number of tokens the complete answer has.
+    :param phase: Scheduling state.
+    :param tokens: Tokens generated so far.
+    :param finish_reason: Why it ended; ``None`` until then.
+    :param admission_number: Position in the order of admission to the batch; 0 until then.
+    :param remaining_prefill_tokens: Tokens to prefill before decoding starts or continues.
+    :param preemptions: Number of times it was preempted.
+    :param executed: Whether it has ever entered the batch.
+    :param finished_at_ms: Clock time of its end; 0 until then.
+    :param changed: Event set, and then replaced, on each new token and at the end.
+    """
 
     request: EngineRequest
     version: str
-    order: int
+    submission_number: int
     length: int
     phase: Phase = Phase.WAITING
     tokens: list[str] = field(default_factory=list)
-    finish: FinishReason | None = None
-    admitted: int = 0
-    prefill_left: int = 0
+    finish_reason: FinishReason | None = None
+    admission_number: int = 0
+    remaining_prefill_tokens: int = 0
     preemptions: int = 0
     executed: bool = False
-    finished_at: int = 0
+    finished_at_ms: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
-    def rank(self) -> tuple[int, int]:
-        """Order in which sequences wait."""
-        return self.request.priority, self.order
+    def queue_key(self) -> tuple[int, int]:
+        """Sort key in the waiting queue: priority, then order of submission."""
+        return self.request.priority, self.submission_number
 
     @property
-    def held_tokens(self) -> int:
-        """Tokens of memory it needs now, in whole blocks."""
-        used = prompt_tokens(self.request.prompt) + len(self.tokens)
-        return -(-used // BLOCK_TOKENS) * BLOCK_TOKENS
+    def required_tokens(self) -> int:
+        """Memory that the sequence needs now, in tokens rounded up to whole blocks."""
+        used_tokens = count_prompt_tokens(self.request.prompt) + len(self.tokens)
+        return -(-used_tokens // BLOCK_TOKENS) * BLOCK_TOKENS
 
     def notify(self) -> None:
-        """Wake all that follow the generation."""
+        """Wake every stream that waits for a change of the sequence."""
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
 
 @final
 class Batch:
-    """The sequences of one engine and the loop that moves them on.
+    """The sequences of one engine and the scheduling loop that advances them.
 
-    :param limits: How large and how fast it is.
-    :param clock: The time.
-    :param cache: Prompt prefixes that need no prefill.
-    :param journal: Where executions are noted.
-    :param crash: Ends the process; called when a prompt says so.
+    :param limits: Capacity and timing of the engine.
+    :param clock: Source of the current time.
+    :param cache: Cache of prompt prefixes, whose tokens need no prefill.
+    :param journal: File to which executions are appended.
+    :param crash: Terminates the process; called when a prompt contains a crash directive.
     """
 
     def __init__(
@@ -111,68 +135,71 @@
         self._crash = crash
         self._waiting: list[Sequence] = []
         self._running: list[Sequence] = []
-        self._orders = 0
+        self._submissions = 0
         self._admissions = 0
         self._preemptions = 0
-        self._generated = 0
-        self._work = asyncio.Event()
+        self._generated_tokens = 0
+        self._work_available = asyncio.Event()
 
     @property
     def running(self) -> int:
-        """How many sequences are in the batch."""
+        """Number of sequences in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """How many sequences wait for memory."""
+        """Number of sequences in the waiting queue."""
         return len(self._waiting)
 
     @property
-    def full(self) -> bool:
-        """Whether no further sequence may wait."""
+    def is_full(self) -> bool:
+        """Whether the waiting queue is at its limit."""
         return len(self._waiting) >= self._limits.max_waiting
 
-    def holds(self, *, name: str) -> bool:
-        """Return whether a model or adapter is in use.
+    def is_in_use(self, *, name: str) -> bool:
+        """Return whether an unfinished sequence uses a model or adapter.
 
-        :param name: Its name.
+        :param name: Name of the model or adapter.
         """
-        live = (*self._running, *self._waiting)
-        return any(name in (item.request.model, item.request.adapter) for item in live)
+        active = (*self._running, *self._waiting)
+        return any(name in (item.request.model, item.request.adapter) for item in active)
 
     def submit(self, request: EngineRequest, *, version: str) -> Sequence:
-        """Queue a request.
+        """Append a request to the waiting queue.
 
-        :param request: What is asked.
-        :param version: The version that serves it.
+        :param request: The caller's request.
+        :param version: Version of the model that serves it.
+        :returns: The new sequence.
         """
-        self._orders += 1
+        self._submissions += 1
         length = min(request.max_tokens, answer_length(request.prompt))
-        sequence = Sequence(request=request, version=version, order=self._orders, length=length)
+        sequence = Sequence(
+            request=request, version=version, submission_number=self._submissions, length=length
+        )
         self._waiting.append(sequence)
-        self._work.set()
+        self._work_available.set()
         return sequence
 
     def finish(self, sequence: Sequence, reason: FinishReason) -> None:
-        """End a sequence; a second end changes nothing.
+        """End a sequence; does nothing if it has already ended.
 
-        :param sequence: The sequence.
-        :param reason: Why it ends.
+        :param sequence: The sequence to end.
+        :param reason: Finish reason reported to its streams.
         """
-        if sequence.finish is not None:
+        if sequence.finish_reason is not None:
             return
-        sequence.finish = reason
+        sequence.finish_reason = reason
         sequence.phase = Phase.FINISHED
-        sequence.finished_at = self._clock.now()
-        for group in (self._waiting, self._running):
-            if sequence in group:
-                group.remove(sequence)
+        sequence.finished_at_ms = self._clock.now()
+        for queue in (self._waiting, self._running):
+            if sequence in queue:
+                queue.remove(sequence)
         sequence.notify()
 
     def fail_running(self) -> int:
-        """End all running sequences with an error, as when memory runs out for good.
+        """End all running sequences with an error, simulating an out-of-memory failure.
 
-        :returns: How many.
+        :returns: Number of sequences ended.
         """
         failed = list(self._running)
         for sequence in failed:
@@ -180,90 +207,94 @@
         return len(failed)
 
     def preempt_running(self) -> int:
-        """Send all running sequences back to the waiting ones.
+        """Move all running sequences back to the waiting queue.
 
-        :returns: How many.
+        :returns: Number of sequences preempted.
         """
         preempted = list(self._running)
         for sequence in preempted:
             self._preempt(sequence)
         return len(preempted)
 
-    def report(self) -> LoadReport:
-        """Return what the engine carries now."""
+    def load_report(self) -> LoadReport:
+        """Return the current load of the engine."""
         return LoadReport(
             running=len(self._running),
             waiting=len(self._waiting),
-            used_tokens=self._used(),
+            used_tokens=self._used_tokens(),
             memory_tokens=self._limits.memory_tokens,
             preemptions=self._preemptions,
-            tokens_generated=self._generated,
+            tokens_generated=self._generated_tokens,
         )
 
     async def run_forever(self) -> None:
-        """Take steps as long as there is work."""
+        """Execute steps while there are sequences, and wait for a submission otherwise."""
         while True:
             if not self._waiting and not self._running:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
             self._admit()
-            duration = self._prefill_cost()
-            decoding = self._reserve()
-            duration += self._limits.step_ms + self._limits.sequence_ms * len(decoding)
-            # Fractions of a millisecond count here, so the clock's whole ones don't do.
-            await asyncio.sleep(duration / 1000)
+            duration_ms = self._advance_prefill()
+            decoding = self._reserve_blocks()
+            duration_ms += self._limits.step_ms + self._limits.sequence_ms * len(decoding)
+            # The clock sleeps whole milliseconds, but a step time may include a fraction.
+            await asyncio.sleep(duration_ms / 1000)
             for sequence in decoding:
                 self._decode(sequence)
 
     def _admit(self) -> None:
-        self._waiting.sort(key=lambda sequence: sequence.rank)
+        self._waiting.sort(key=lambda sequence: sequence.queue_key)
         while self._waiting and len(self._running) < self._limits.max_batch:
             sequence = self._waiting[0]
-            if sequence.held_tokens > self._limits.memory_tokens:
+            if sequence.required_tokens > self._limits.memory_tokens:
                 self.finish(sequence, FinishReason.ERROR)
                 continue
-            if self._used() + sequence.held_tokens > self._limits.memory_tokens:
+            if self._used_tokens() + sequence.required_tokens > self._limits.memory_tokens:
                 return
             self._waiting.pop(0)
             self._start(sequence)
 
     def _start(self, sequence: Sequence) -> None:
         self._admissions += 1
-        sequence.admitted = self._admissions
+        sequence.admission_number = self._admissions
         sequence.phase = Phase.RUNNING
         prompt = sequence.request.prompt
         if not sequence.executed:
             attempt = sequence.request.attempt_id
-            self._journal.note(Execution(id=attempt, tag=prompt_tag(prompt)))
+            self._journal.record(Execution(id=attempt, tag=prompt_tag(prompt)))
         sequence.executed = True
-        cached = self._cache.use(prompt)
-        sequence.prefill_left = prompt_tokens(prompt) + len(sequence.tokens) - cached
+        cached_tokens = self._cache.lookup(prompt)
+        sequence.remaining_prefill_tokens = (
+            count_prompt_tokens(prompt) + len(sequence.tokens) - cached_tokens
+        )
         self._running.append(sequence)
 
-    def _prefill_cost(self) -> float:
-        chunk = self._limits.prefill_chunk
+    def _advance_prefill(self) -> float:
+        budget = self._limits.prefill_chunk_tokens
         for sequence in self._running:
-            taken = min(chunk, sequence.prefill_left)
-            sequence.prefill_left -= taken
-            chunk -= taken
-        return (self._limits.prefill_chunk - chunk) * self._limits.prefill_token_ms
-
-    def _reserve(self) -> list[Sequence]:
-        ready = [sequence for sequence in self._running if sequence.prefill_left <= 0]
-        grown = sum(1 for sequence in ready if self._needs_block(sequence))
-        while self._used() + grown * BLOCK_TOKENS > self._limits.memory_tokens:
+            taken = min(budget, sequence.remaining_prefill_tokens)
+            sequence.remaining_prefill_tokens -= taken
+            budget -= taken
+        return (self._limits.prefill_chunk_tokens - budget) * self._limits.prefill_token_ms
+
+    def _reserve_blocks(self) -> list[Sequence]:
+        ready = [sequence for sequence in self._running if sequence.remaining_prefill_tokens <= 0]
+        new_blocks = sum(1 for sequence in ready if self._needs_block(sequence))
+        while self._used_tokens() + new_blocks * BLOCK_TOKENS > self._limits.memory_tokens:
             if len(self._running) == 1:
                 self.finish(self._running[0], FinishReason.ERROR)
                 return []
-            victim = max(self._running, key=lambda item: (item.request.priority, item.admitted))
+            victim = max(
+                self._running, key=lambda item: (item.request.priority, item.admission_number)
+            )
             self._preempt(victim)
             ready = [sequence for sequence in ready if sequence is not victim]
-            grown = sum(1 for sequence in ready if self._needs_block(sequence))
+            new_blocks = sum(1 for sequence in ready if self._needs_block(sequence))
         return ready
 
     def _needs_block(self, sequence: Sequence) -> bool:
-        used = prompt_tokens(sequence.request.prompt) + len(sequence.tokens)
-        return used % BLOCK_TOKENS == 0
+        used_tokens = count_prompt_tokens(sequence.request.prompt) + len(sequence.tokens)
+        return used_tokens % BLOCK_TOKENS == 0
 
     def _preempt(self, sequence: Sequence) -> None:
         self._running.remove(sequence)
@@ -282,10 +313,10 @@
             self.finish(sequence, finish_reason(sequence.request))
             return
         sequence.tokens.append(token_at(sequence.request, offset, version=sequence.version))
-        self._generated += 1
+        self._generated_tokens += 1
         if len(sequence.tokens) >= sequence.length:
             self.finish(sequence, finish_reason(sequence.request))
         sequence.notify()
 
-    def _used(self) -> int:
-        return sum(sequence.held_tokens for sequence in self._running)
+    def _used_tokens(self) -> int:
+        return sum(sequence.required_tokens for sequence in self._running)
--- a/standins/_common.py
+++ b/standins/_common.py
@@ -1,4 +1,4 @@
-"""What every stand-in process shares: serving, graceful stop, JSON bodies."""
+"""Helpers shared by the stand-in processes: serving, graceful shutdown and JSON bodies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 LOOPBACK = "127.0.0.1"
 SHUTDOWN_TIMEOUT_S = 0.5
-JSON_CONTENT = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 _Body = TypeVar("_Body")
 
@@ -25,28 +25,29 @@
 def run_main(main: Callable[..., None]) -> None:
     """Call a module's main function with the options of the command line.
 
-    :param main: Takes the options as its parameters.
+    :param main: Function whose parameters are the options.
+    :raises SystemExit: When the command line contains an unknown option.
     """
-    # Fire would run the function first and complain of an unknown option only afterwards.
-    known = inspect.signature(main, eval_str=True).parameters
+    # Fire calls the function before it reports an unknown option.
+    parameters = inspect.signature(main, eval_str=True).parameters
     command = []
     for argument in sys.argv[1:]:
         flag, equals, value = argument.partition("=")
         name = flag.removeprefix("--").replace("-", "_")
-        if argument.startswith("--") and name not in (*known, "help", ""):
-            sys.exit(f"Unknown option {argument!r}; known are {', '.join(known)}.")
-        # Fire would read a text such as "1e3" or "a,b" as Python.
-        is_text = bool(equals) and known[name].annotation is str
+        if argument.startswith("--") and name not in (*parameters, "help", ""):
+            sys.exit(f"unknown option {argument!r}; valid options: {', '.join(parameters)}")
+        # Fire parses a value such as "1e3" or "a,b" as a Python literal unless it is quoted.
+        is_text = bool(equals) and parameters[name].annotation is str
         command.append(f"{flag}={value!r}" if is_text else argument)
     fire.Fire(main, command=command)
 
 
 async def serve(*, app: web.Application, port: int, cancel_handlers: bool = True) -> None:
-    """Serve until SIGTERM or SIGINT, and say on standard output where.
+    """Serve until SIGTERM or SIGINT, and print the listening address on standard output.
 
-    :param app: What is served.
-    :param port: Port on the loopback address; 0 takes a free one.
-    :param cancel_handlers: Whether a handler ends when its caller hangs up.
+    :param app: Application to serve.
+    :param port: Port on the loopback address; 0 selects a free one.
+    :param cancel_handlers: Whether a handler is cancelled when its caller disconnects.
     """
     runner = web.AppRunner(
         app,
@@ -68,20 +69,22 @@
 
 
 def json_response(body: Any, *, status: int = 200) -> web.Response:
-    """Return an answer whose body is a struct or plain data.
+    """Return a response with a JSON body.
 
-    :param body: What msgspec can encode.
-    :param status: Its HTTP status.
+    :param body: Struct or plain data that msgspec can encode.
+    :param status: HTTP status code.
     """
-    return web.Response(body=msgspec.json.encode(body), status=status, content_type=JSON_CONTENT)
+    return web.Response(
+        body=msgspec.json.encode(body), status=status, content_type=JSON_CONTENT_TYPE
+    )
 
 
 async def read_json(request: web.Request, kind: type[_Body]) -> _Body:
-    """Return a request's body as a struct.
+    """Return the body of a request, decoded to a struct.
 
-    :param request: The request.
-    :param kind: What its body must be.
-    :raises web.HTTPBadRequest: When the body is something else.
+    :param request: Request to read.
+    :param kind: Type of the body; an empty body is decoded as ``{}``.
+    :raises web.HTTPBadRequest: When the body does not match the type.
     """
     try:
         return msgspec.json.decode(await request.read() or b"{}", type=kind)
@@ -89,19 +92,19 @@
         raise web.HTTPBadRequest(text=str(error)) from error
 
 
-def cut_connection(request: web.Request) -> None:
-    """Close the connection of a request at once, without an answer.
+def abort_connection(request: web.Request) -> None:
+    """Close the connection of a request immediately, without a response.
 
-    :param request: The request.
+    :param request: Request whose connection is closed.
     """
     if request.transport is not None:
         request.transport.abort()
 
 
-async def end_task(task: asyncio.Task[Any]) -> None:
+async def cancel_task(task: asyncio.Task[Any]) -> None:
     """Cancel a task and wait for its end.
 
-    :param task: The task.
+    :param task: Task to cancel.
     """
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
--- a/standins/_engine_types.py
+++ b/standins/_engine_types.py
@@ -1,4 +1,4 @@
-"""Bodies of the engine stand-in's admin calls."""
+"""Bodies of the admin calls of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 @unique
 class StreamFaultMode(StrEnum):
-    """What goes wrong with a stream of events."""
+    """Faults that can be injected into an event stream."""
 
     NONE = "none"
     CUT = "cut"
-    """The connection ends at an offset; the generation goes on."""
+    """The connection closes at an offset; the generation continues."""
     DROP_END_MARKER = "drop_end_marker"
     """The stream ends without its last event."""
     CROSS = "cross"
-    """An event of another attempt is mixed in."""
+    """An event of another attempt is inserted."""
     GAP = "gap"
-    """One event is left out."""
+    """One event is omitted."""
     OVERLAP = "overlap"
-    """A resumed stream begins a few events too early."""
+    """A resumed stream starts a few events too early."""
     STALL = "stall"
-    """The link stays open, but nothing comes any more."""
+    """The connection stays open but sends no more events."""
     LATE = "late"
-    """Every event comes ``delay_ms`` late."""
+    """Every event is delayed by ``delay_ms``."""
     GARBAGE = "garbage"
-    """An event that is not JSON is mixed in."""
+    """An event that is not valid JSON is inserted."""
     OTHER_TOKEN = "other_token"
-    """One token differs from what the model generated."""
+    """One token differs from the one that the model generated."""
 
 
 class StreamFault(Struct, frozen=True, kw_only=True):
     """Body of ``POST /admin/fault``.
 
-    :param mode: What goes wrong.
-    :param count: How many streams it befalls; 0 means all.
-    :param at: The token offset where it happens.
-    :param delay_ms: How late events come, in milliseconds.
-    :param attempt_id: The attempt whose id a crossed event carries.
+    :param mode: Fault to inject.
+    :param count: Number of streams affected; 0 means all.
+    :param at: Token offset at which the fault occurs.
+    :param delay_ms: Delay of each event with ``late``, in milliseconds.
+    :param attempt_id: Attempt id in the event that ``cross`` inserts.
     """
 
     mode: StreamFaultMode = StreamFaultMode.NONE
@@ -52,29 +52,34 @@
     attempt_id: str = "att-of-someone-else"
 
 
-class OutOfMemory(Struct, frozen=True, kw_only=True):
+class OutOfMemoryRequest(Struct, frozen=True, kw_only=True):
     """Body of ``POST /admin/oom``.
 
-    :param fail: Whether running generations fail; else they are preempted.
+    :param fail: Whether running generations end with an error; otherwise they are preempted.
     """
 
     fail: bool = True
 
 
-class Leave(Struct, frozen=True, kw_only=True):
-    """Body of ``POST /admin/leave``.
+class LeaveRequest(Struct, frozen=True, kw_only=True):
+    """Body of ``POST /admin/leave``, and of its response.
 
-    :param leaving: Whether new work is refused.
+    :param leaving: Whether new requests are refused.
     """
 
     leaving: bool = True
 
 
 class ExecutionReport(Struct, frozen=True, kw_only=True):
-    """One attempt that reached the engine.
-
-    :param executed: Whether it ever entered the batch.
-    :param posts: How often it was posted.
+    """Report on one attempt that the engine accepted.
+
+    :param attempt_id: Id of the attempt.
+    :param model: Name of the requested model.
+    :param tokens: Number of tokens generated.
+    :param executed: Whether it has ever entered the batch.
+    :param posts: Number of times it was posted.
+    :param preemptions: Number of times it was preempted.
+    :param finish_reason: Why it ended; empty until then.
     """
 
     attempt_id: str
@@ -89,8 +94,11 @@
 class ExecutionReports(Struct, frozen=True, kw_only=True):
     """Body of ``GET /admin/executions``.
 
+    :param executions: Reports on all accepted attempts.
+    :param preemptions: Preemptions of all attempts together.
     :param tokens_generated: Tokens of all attempts together.
-    :param followers: How many streams are open now.
+    :param followers: Number of open streams.
+    :param refused: Number of refusals by kind.
     """
 
     executions: list[ExecutionReport]
@@ -101,9 +109,11 @@
 
 
 class OrderReports(Struct, frozen=True, kw_only=True):
-    """Body of ``GET /admin/orders``: all orders in the order of arrival.
+    """Body of ``GET /admin/orders``.
 
-    :param carried_out: Ids of those that changed something.
+    :param orders: All orders received, in the order of arrival.
+    :param carried_out: Ids of the orders applied; a repeated order is listed once.
+    :param refused: Ids of the orders refused because of a stale fencing number.
     """
 
     orders: list[EngineOrder]
--- a/standins/_etcd_txn.py
+++ b/standins/_etcd_txn.py
@@ -1,4 +1,4 @@
-"""Transactions of etcd v3: checks, conditions, nested operations."""
+"""Operations and transactions of etcd v3: validation, conditions and nested transactions."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 INVALID_ARGUMENT = 3
 NOT_FOUND = 5
 
-Header = Callable[[], dict[str, Any]]
+HeaderFactory = Callable[[], dict[str, Any]]
 
 
 class RequestError(Exception):
-    """A request that etcd refuses.
+    """Raised for a request that etcd rejects.
 
-    :param code: The gRPC status code.
-    :param message: Its text.
+    :param code: gRPC status code.
+    :param message: Error message, worded as in etcd.
     """
 
     def __init__(self, code: int, message: str) -> None:
@@ -42,11 +42,11 @@
 
 @final
 class Executor:
-    """Carries out operations on the key space; the caller commits.
+    """Executes operations on the key space; the caller commits.
 
-    :param space: The keys.
-    :param leases: The leases that keys live under.
-    :param max_value_bytes: Largest value taken.
+    :param space: Key space to read and write.
+    :param leases: Leases to which keys are attached.
+    :param max_value_bytes: Maximum size of a value, in bytes.
     """
 
     def __init__(self, *, space: KeySpace, leases: Leases, max_value_bytes: int) -> None:
@@ -55,36 +55,51 @@
         self._max_value_bytes = max_value_bytes
 
     def range(self, request: RangeRequest) -> dict[str, Any]:
-        """Read a range."""
+        """Read the keys of a range.
+
+        :param request: The request.
+        :returns: Fields of the response.
+        :raises CompactedError: When the requested revision has been compacted.
+        :raises FutureRevisionError: When the requested revision does not exist yet.
+        """
         records = self._space.range(
             KeyRange(key=request.key, end=request.range_end), revision=request.revision
         )
         if request.sort_order == "DESCEND":
             records.reverse()
-        shown = records[: request.limit] if request.limit else records
+        page = records[: request.limit] if request.limit else records
         if request.count_only:
             return {"count": len(records)}
-        kvs = [encode_record(record, keys_only=request.keys_only) for record in shown]
-        return {"kvs": kvs, "count": len(records), "more": len(shown) < len(records)}
+        kvs = [encode_record(record, keys_only=request.keys_only) for record in page]
+        return {"kvs": kvs, "count": len(records), "more": len(page) < len(records)}
 
     def put(self, request: PutRequest) -> dict[str, Any]:
-        """Write a key."""
-        before = self._space.put(key=request.key, value=request.value, lease=request.lease)
+        """Write a key in the open transaction.
+
+        :param request: The request, already validated.
+        :returns: Fields of the response.
+        """
+        previous = self._space.put(key=request.key, value=request.value, lease=request.lease)
         self._leases.attach(key=request.key, lease=request.lease)
-        return {"prev_kv": encode_record(before)} if request.prev_kv and before else {}
+        return {"prev_kv": encode_record(previous)} if request.prev_kv and previous else {}
 
     def delete(self, request: DeleteRangeRequest) -> dict[str, Any]:
-        """Delete a range."""
-        before = self._space.delete(KeyRange(key=request.key, end=request.range_end))
-        for record in before:
+        """Delete the keys of a range in the open transaction.
+
+        :param request: The request.
+        :returns: Fields of the response.
+        """
+        previous = self._space.delete(KeyRange(key=request.key, end=request.range_end))
+        for record in previous:
             self._leases.attach(key=record.key, lease=0)
-        shown = [encode_record(record) for record in before] if request.prev_kv else []
-        return {"deleted": len(before), "prev_kvs": shown}
+        prev_kvs = [encode_record(record) for record in previous] if request.prev_kv else []
+        return {"deleted": len(previous), "prev_kvs": prev_kvs}
 
     def check_put(self, request: PutRequest) -> None:
-        """Refuse a write that etcd would refuse.
+        """Reject a put that etcd would reject.
 
-        :raises RequestError: When it does.
+        :param request: The request.
+        :raises RequestError: When the key is empty, the value is too large or the lease is unknown.
         """
         if not request.key:
             raise RequestError(INVALID_ARGUMENT, "etcdserver: key is not provided")
@@ -94,39 +109,43 @@
             raise RequestError(NOT_FOUND, "etcdserver: requested lease not found")
 
     def check_txn(self, request: TxnRequest) -> None:
-        """Refuse a transaction that etcd would refuse.
+        """Reject a transaction that etcd would reject.
 
-        :raises RequestError: When it does.
+        :param request: The request.
+        :raises RequestError: When it has too many operations, an invalid put or writes a key twice.
         """
-        self._check_size(request, MAX_TXN_OPS)
+        self._check_operations(request, MAX_TXN_OPS)
         _check_intervals(request.success)
         _check_intervals(request.failure)
 
-    def txn(self, request: TxnRequest, header: Header) -> dict[str, Any]:
-        """Carry out a checked transaction.
+    def txn(self, request: TxnRequest, header: HeaderFactory) -> dict[str, Any]:
+        """Execute a validated transaction.
 
-        :param request: The transaction.
-        :param header: Makes the header of each inner answer.
+        :param request: The request.
+        :param header: Returns the header for each nested response.
+        :returns: Fields of the response.
         """
-        # All conditions, nested ones too, are judged before the first write, as etcd does it.
-        verdicts = iter(self._judge(request))
-        return self._apply(request, verdicts, header)
-
-    def _judge(self, request: TxnRequest) -> list[bool]:
-        verdict = all(self._holds(compare) for compare in request.compare)
-        verdicts = [verdict]
-        for operation in request.success if verdict else request.failure:
+        # Like etcd, evaluate all conditions, including nested ones, before the first write.
+        outcomes = iter(self._evaluate_conditions(request))
+        return self._apply(request, outcomes, header)
+
+    def _evaluate_conditions(self, request: TxnRequest) -> list[bool]:
+        is_met = all(self._is_condition_met(compare) for compare in request.compare)
+        outcomes = [is_met]
+        for operation in request.success if is_met else request.failure:
             if operation.request_txn is not None:
-                verdicts.extend(self._judge(operation.request_txn))
-        return verdicts
+                outcomes.extend(self._evaluate_conditions(operation.request_txn))
+        return outcomes
 
-    def _apply(self, request: TxnRequest, verdicts: Any, header: Header) -> dict[str, Any]:
-        succeeded: bool = next(verdicts)
+    def _apply(self, request: TxnRequest, outcomes: Any, header: HeaderFactory) -> dict[str, Any]:
+        succeeded: bool = next(outcomes)
         operations = request.success if succeeded else request.failure
-        responses = [self._apply_one(operation, verdicts, header) for operation in operations]
+        responses = [self._apply_one(operation, outcomes, header) for operation in operations]
         return {"succeeded": succeeded, "responses": responses}
 
-    def _apply_one(self, operation: RequestOp, verdicts: Any, header: Header) -> dict[str, Any]:
+    def _apply_one(
+        self, operation: RequestOp, outcomes: Any, header: HeaderFactory
+    ) -> dict[str, Any]:
         if operation.request_range is not None:
             return {"response_range": {"header": header(), **self.range(operation.request_range)}}
         if operation.request_put is not None:
@@ -135,39 +154,41 @@
             reply = self.delete(operation.request_delete_range)
             return {"response_delete_range": {"header": header(), **reply}}
         if operation.request_txn is not None:
-            reply = self._apply(operation.request_txn, verdicts, header)
+            reply = self._apply(operation.request_txn, outcomes, header)
             return {"response_txn": {"header": header(), **reply}}
         raise RequestError(INVALID_ARGUMENT, "etcdserver: key not found")
 
-    def _holds(self, compare: Compare) -> bool:
-        span = KeyRange(key=compare.key, end=compare.range_end)
-        records = self._space.range(span)
+    def _is_condition_met(self, compare: Compare) -> bool:
+        key_range = KeyRange(key=compare.key, end=compare.range_end)
+        records = self._space.range(key_range)
         if not records:
-            # Of an absent key all numbers count as zero, and it has no value to compare.
+            # All numbers of an absent key compare as zero; it has no value to compare.
             if compare.target is CompareTarget.VALUE:
                 return False
-            return _relates(compare.result, 0, _expected(compare))
+            return _compare_values(compare.result, 0, _expected_value(compare))
         return all(
-            _relates(compare.result, _actual(compare, record), _expected(compare))
+            _compare_values(
+                compare.result, _actual_value(compare, record), _expected_value(compare)
+            )
             for record in records
         )
 
-    def _check_size(self, request: TxnRequest, allowed: int) -> None:
+    def _check_operations(self, request: TxnRequest, max_operations: int) -> None:
         operations = max(len(request.compare), len(request.success), len(request.failure))
-        if operations > allowed:
+        if operations > max_operations:
             raise RequestError(INVALID_ARGUMENT, "etcdserver: too many operations in txn request")
         for operation in (*request.success, *request.failure):
             if operation.request_put is not None:
                 self.check_put(operation.request_put)
             if operation.request_txn is not None:
-                self._check_size(operation.request_txn, allowed - operations)
+                self._check_operations(operation.request_txn, max_operations - operations)
 
 
 def encode_record(record: Record, *, keys_only: bool = False) -> dict[str, Any]:
-    """Return a record as the gateway shows it.
+    """Return a record in the JSON form of the gateway.
 
-    :param record: The record.
-    :param keys_only: Whether to leave its value out.
+    :param record: Record to encode.
+    :param keys_only: Whether to omit the value.
     """
     return {
         "key": record.key,
@@ -179,7 +200,7 @@
     }
 
 
-def _actual(compare: Compare, record: Record) -> Any:
+def _actual_value(compare: Compare, record: Record) -> Any:
     match compare.target:
         case CompareTarget.VERSION:
             return record.version
@@ -193,7 +214,7 @@
             return record.value
 
 
-def _expected(compare: Compare) -> Any:
+def _expected_value(compare: Compare) -> Any:
     match compare.target:
         case CompareTarget.VERSION:
             return compare.version
@@ -207,7 +228,7 @@
             return compare.value
 
 
-def _relates(result: CompareResult, actual: Any, expected: Any) -> bool:
+def _compare_values(result: CompareResult, actual: Any, expected: Any) -> bool:
     match result:
         case CompareResult.EQUAL:
             return bool(actual == expected)
@@ -223,19 +244,19 @@
     puts: set[bytes] = set()
     deletes: list[KeyRange] = []
     for operation in operations:
-        new_puts, new_deletes = _written(operation)
-        doubled = puts & new_puts
-        crossed = any(span.covers(key) for span in deletes for key in new_puts) or any(
-            span.covers(key) for span in new_deletes for key in puts
+        new_puts, new_deletes = _collect_writes(operation)
+        duplicates = puts & new_puts
+        overlaps = any(key_range.contains(key) for key_range in deletes for key in new_puts) or any(
+            key_range.contains(key) for key_range in new_deletes for key in puts
         )
-        if doubled or crossed:
+        if duplicates or overlaps:
             raise RequestError(INVALID_ARGUMENT, "etcdserver: duplicate key given in txn request")
         puts |= new_puts
         deletes += new_deletes
     return puts, deletes
 
 
-def _written(operation: RequestOp) -> tuple[set[bytes], list[KeyRange]]:
+def _collect_writes(operation: RequestOp) -> tuple[set[bytes], list[KeyRange]]:
     if operation.request_put is not None:
         return {operation.request_put.key}, []
     if operation.request_delete_range is not None:
--- a/standins/_etcd_types.py
+++ b/standins/_etcd_types.py
@@ -1,7 +1,7 @@
-"""Bodies of the JSON gateway of etcd v3, as far as the stand-in speaks it.
+"""Bodies of the JSON gateway of etcd v3, for the calls that the stand-in supports.
 
-Requests may spell names in snake case or camel case; 64-bit numbers travel as strings; values
-that equal the protocol's default are left out.
+Requests may use snake case or camel case names; 64-bit numbers are encoded as strings; fields
+with the default value of the protocol are omitted.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from msgspec import Struct
 from msgspec import field
 
-CAPITAL = re.compile(r"(?<=[a-z])([A-Z])")
-ID_NAMES = frozenset({"ID", "TTL", "grantedTTL"})
+CAMEL_CASE_BOUNDARY = re.compile(r"(?<=[a-z])([A-Z])")
+UPPER_CASE_NAMES = frozenset({"ID", "TTL", "grantedTTL"})
 
 _Body = TypeVar("_Body")
 
 
 @unique
 class CompareResult(StrEnum):
-    """How a compare relates the key's property to the given one."""
+    """Relation that a condition requires between the actual and the given value."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -34,7 +34,7 @@
 
 @unique
 class CompareTarget(StrEnum):
-    """Which property of the key is compared."""
+    """Property of the key that a condition compares."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -89,7 +89,7 @@
 
 
 class RequestOp(Struct, frozen=True, kw_only=True):
-    """One operation of a transaction; exactly one property is set."""
+    """One operation of a transaction; exactly one field is set."""
 
     request_range: RangeRequest | None = None
     request_put: PutRequest | None = None
@@ -121,7 +121,7 @@
 
 
 class WatchCreateRequest(Struct, frozen=True, kw_only=True):
-    """What a watch follows."""
+    """Key range and first revision of a watch."""
 
     key: bytes = b""
     range_end: bytes = b""
@@ -137,19 +137,19 @@
 
 
 def decode_request(body: bytes, kind: type[_Body]) -> _Body:
-    """Return a request as a struct.
+    """Return a request body, decoded to a struct.
 
-    :param body: The JSON text.
-    :param kind: What it must be.
-    :raises msgspec.DecodeError: When it is something else.
+    :param body: JSON text; empty is decoded as ``{}``.
+    :param kind: Type of the request.
+    :raises msgspec.DecodeError: When the body does not match the type.
     """
     return msgspec.convert(_snake_case(msgspec.json.decode(body or b"{}")), kind, strict=False)
 
 
 def encode_reply(body: dict[str, Any]) -> bytes:
-    """Return a reply as the gateway writes it.
+    """Return a response body in the JSON form of the gateway.
 
-    :param body: Plain data with numbers, bytes and texts.
+    :param body: Plain data: numbers, bytes, strings, lists and dictionaries.
     """
     return msgspec.json.encode(_without_defaults(body))
 
@@ -163,7 +163,7 @@
 
 
 def _snake_name(name: str) -> str:
-    return name if name in ID_NAMES else CAPITAL.sub(r"_\1", name).lower()
+    return name if name in UPPER_CASE_NAMES else CAMEL_CASE_BOUNDARY.sub(r"_\1", name).lower()
 
 
 def _without_defaults(data: Any) -> Any:
--- a/standins/_limiter.py
+++ b/standins/_limiter.py
@@ -1,4 +1,4 @@
-"""A token bucket."""
+"""Token bucket rate limiter."""
 
 from __future__ import annotations
 
@@ -9,28 +9,31 @@
 
 
 @final
-class Limiter:
-    """Lets through so many calls a second, and as many at once.
+class TokenBucket:
+    """Limits the rate of calls, with a burst of one second's calls.
 
-    :param per_second: The rate; 0 means no limit.
-    :param clock: The time it counts by.
+    :param per_second: Maximum rate and burst size; 0 means no limit.
+    :param clock: Source of the current time.
     """
 
     def __init__(self, *, per_second: float, clock: Clock) -> None:
         self._per_second = per_second
         self._clock = clock
         self._tokens = per_second
-        self._filled_at: int | None = None
+        self._refilled_at_ms: int | None = None
 
-    def take(self) -> bool:
-        """Take one token; false when there is none."""
+    def try_acquire(self) -> bool:
+        """Take one token.
+
+        :returns: Whether a token was available.
+        """
         if not self._per_second:
             return True
         now = self._clock.now()
-        elapsed = 0 if self._filled_at is None else now - self._filled_at
-        self._filled_at = now
-        gained = elapsed * self._per_second / MS_PER_SECOND
-        self._tokens = min(self._per_second, self._tokens + gained)
+        elapsed_ms = 0 if self._refilled_at_ms is None else now - self._refilled_at_ms
+        self._refilled_at_ms = now
+        refill = elapsed_ms * self._per_second / MS_PER_SECOND
+        self._tokens = min(self._per_second, self._tokens + refill)
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/standins/_engine_stock.py
+++ b/standins/_model_manager.py
@@ -1,4 +1,4 @@
-"""What an engine holds: models and adapters, and the orders that change it."""
+"""Models, adapters and role of an engine, and the orders that change them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from standins._common import end_task
+from standins._common import cancel_task
 from standins._engine_types import OrderReports
 from tanagerscale.core import Clock
 from tanagerscale.generated.upstream import EngineOrder
@@ -16,25 +16,25 @@
 from tanagerscale.generated.upstream import OrderKind
 from tanagerscale.generated.upstream import Role
 
-WEIGHTS_RETRY_MS = 200
-DRAIN_INTERVAL_MS = 20
+WEIGHTS_RETRY_DELAY_MS = 200
+DRAIN_POLL_INTERVAL_MS = 20
 
 
 class StaleFenceError(Exception):
-    """An order with an old fencing number."""
+    """Raised for an order whose fencing number is lower than the highest one seen."""
 
 
 @final
-class Stock:
-    """Models and adapters of one engine.
-
-    :param models: Versions held at the start, by model.
-    :param adapters: Versions held at the start, by adapter.
-    :param checks_fence: Whether an order with an old fencing number is refused.
-    :param load_ms: How long a load or an unload takes, in milliseconds.
-    :param weights_url: Where weights are fetched before a load; empty for nowhere.
-    :param in_use: Tells whether a model or adapter is in use.
-    :param clock: The time.
+class ModelManager:
+    """The models, the adapters and the role of one engine.
+
+    :param models: Versions of the models loaded at the start, by name.
+    :param adapters: Versions of the adapters loaded at the start, by name.
+    :param checks_fence: Whether orders with a stale fencing number are refused.
+    :param load_ms: Duration of a load or an unload, in milliseconds.
+    :param weights_url: Base URL from which weights are fetched before a load; empty to skip it.
+    :param is_in_use: Returns whether unfinished generations use the model or adapter of that name.
+    :param clock: Source of the current time.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         checks_fence: bool,
         load_ms: int,
         weights_url: str,
-        in_use: Callable[[str], bool],
+        is_in_use: Callable[[str], bool],
         clock: Clock,
     ) -> None:
         self._models = dict(models)
@@ -53,7 +53,7 @@
         self._checks_fence = checks_fence
         self._load_ms = load_ms
         self._weights_url = weights_url
-        self._in_use = in_use
+        self._is_in_use = is_in_use
         self._clock = clock
         self._fence = 0
         self._role = Role.SERVING
@@ -65,20 +65,27 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def draining(self) -> bool:
-        """Whether an order has told the engine to take no new work."""
+    def is_draining(self) -> bool:
+        """Whether the current role excludes new requests."""
         return self._role is Role.DRAINING
 
-    def version_of(self, *, model: str) -> str | None:
-        """Return the version of a model that serves new requests, or ``None``."""
+    def active_version(self, *, model: str) -> str | None:
+        """Return the version of a model that serves new requests.
+
+        :param model: Name of the model.
+        :returns: The version, or ``None`` when the model is not loaded or is being unloaded.
+        """
         return None if model in self._unloading else self._models.get(model)
 
-    def holds_adapter(self, adapter: str) -> bool:
-        """Return whether an adapter serves new requests."""
+    def has_adapter(self, adapter: str) -> bool:
+        """Return whether an adapter is loaded and not being unloaded.
+
+        :param adapter: Name of the adapter.
+        """
         return adapter in self._adapters and adapter not in self._unloading
 
     def state(self) -> EngineState:
-        """Return what the engine holds."""
+        """Return the loaded models and adapters, the role and the highest fencing number."""
         return EngineState(
             models=dict(self._models),
             adapters=dict(self._adapters),
@@ -87,45 +94,46 @@
             fence=self._fence,
         )
 
-    def reports(self) -> OrderReports:
-        """Return all orders that came."""
+    def order_reports(self) -> OrderReports:
+        """Return all orders received, and the ids of those applied and refused."""
         return OrderReports(
             orders=list(self._orders),
             carried_out=list(self._carried_out),
             refused=list(self._refused),
         )
 
-    def order(self, order: EngineOrder) -> None:
-        """Take an order; a repeated one changes nothing.
+    def apply_order(self, order: EngineOrder) -> None:
+        """Apply an order; a repeated order id is not applied again.
 
-        :param order: The order.
-        :raises StaleFenceError: When its fencing number is old and the engine checks it.
+        :param order: Order to apply.
+        :raises StaleFenceError: When the fencing number is stale and the engine checks it.
+        :raises ValueError: When the order sets an unknown role.
         """
-        known = any(item.order_id == order.order_id for item in self._orders)
+        is_duplicate = any(item.order_id == order.order_id for item in self._orders)
         self._orders.append(order)
         if self._checks_fence and order.fence < self._fence:
             self._refused.append(order.order_id)
             raise StaleFenceError
         self._fence = max(self._fence, order.fence)
-        if known:
+        if is_duplicate:
             return
         self._carried_out.append(order.order_id)
         if order.kind is OrderKind.SET_ROLE:
             self._role = Role(order.name)
             return
-        # Readers of the state see a load from the moment it is ordered.
+        # The state reports a load as soon as it is ordered.
         if order.kind in (OrderKind.LOAD_MODEL, OrderKind.LOAD_ADAPTER):
             self._loading.append(order.name)
-        task = asyncio.create_task(self._carry_out(order))
+        task = asyncio.create_task(self._execute_order(order))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Stop what is under way."""
+        """Cancel the loads and unloads in progress."""
         for task in tuple(self._tasks):
-            await end_task(task)
+            await cancel_task(task)
 
-    async def _carry_out(self, order: EngineOrder) -> None:
+    async def _execute_order(self, order: EngineOrder) -> None:
         match order.kind:
             case OrderKind.LOAD_MODEL:
                 await self._load(order, self._models)
@@ -138,23 +146,23 @@
             case OrderKind.SET_ROLE:
                 pass
 
-    async def _load(self, order: EngineOrder, held: dict[str, str]) -> None:
+    async def _load(self, order: EngineOrder, versions: dict[str, str]) -> None:
         try:
-            if held.get(order.name) == order.version:
+            if versions.get(order.name) == order.version:
                 return
             await self._fetch_weights(order)
             await self._clock.sleep(self._load_ms)
-            held[order.name] = order.version
+            versions[order.name] = order.version
         finally:
             self._loading.remove(order.name)
 
-    async def _unload(self, order: EngineOrder, held: dict[str, str]) -> None:
+    async def _unload(self, order: EngineOrder, versions: dict[str, str]) -> None:
         self._unloading.add(order.name)
         try:
-            while self._in_use(order.name):
-                await self._clock.sleep(DRAIN_INTERVAL_MS)
+            while self._is_in_use(order.name):
+                await self._clock.sleep(DRAIN_POLL_INTERVAL_MS)
             await self._clock.sleep(self._load_ms)
-            held.pop(order.name, None)
+            versions.pop(order.name, None)
         finally:
             self._unloading.discard(order.name)
 
@@ -168,4 +176,4 @@
                     if reply.status == 200:
                         await reply.read()
                         return
-                await self._clock.sleep(WEIGHTS_RETRY_MS)
+                await self._clock.sleep(WEIGHTS_RETRY_DELAY_MS)
--- a/standins/_mvcc.py
+++ b/standins/_mvcc.py
@@ -1,4 +1,4 @@
-"""A key space with revisions, as etcd keeps it: one revision for each writing transaction."""
+"""Multi-version key space like that of etcd: each transaction that writes creates one revision."""
 
 from __future__ import annotations
 
@@ -8,21 +8,29 @@
 from dataclasses import replace
 from typing import final
 
-EVERYTHING = b"\0"
+ALL_KEYS_END = b"\0"
 FIRST_REVISION = 1
 
 
 class CompactedError(Exception):
-    """The revision asked for is no longer kept."""
+    """Raised when the requested revision has been compacted."""
 
 
 class FutureRevisionError(Exception):
-    """The revision asked for does not exist yet."""
+    """Raised when the requested revision does not exist yet."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Record:
-    """One key as one revision left it; version 0 marks a deletion."""
+    """State of a key at a revision.
+
+    :param key: The key.
+    :param value: Its value; empty after a deletion.
+    :param create_revision: Revision that created the key; 0 after a deletion.
+    :param mod_revision: Revision that wrote this state.
+    :param version: Number of writes since the key was created; 0 marks a deletion.
+    :param lease: Id of the lease that the key is attached to; 0 means none.
+    """
 
     key: bytes
     value: bytes
@@ -32,26 +40,31 @@
     lease: int = 0
 
     @property
-    def deleted(self) -> bool:
+    def is_deleted(self) -> bool:
         """Whether this revision deleted the key."""
         return self.version == 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyRange:
-    """A single key, or all keys from ``key`` up to but not including ``end``."""
+    """A single key, or a half-open range of keys.
+
+    :param key: The key, or the first key of the range.
+    :param end: First key past the range; empty selects the single key, and a zero byte all keys
+        from ``key`` on.
+    """
 
     key: bytes
     end: bytes = b""
 
-    def covers(self, key: bytes) -> bool:
-        """Return whether a key lies in the range.
+    def contains(self, key: bytes) -> bool:
+        """Return whether the range includes a key.
 
-        :param key: The key.
+        :param key: Key to test.
         """
         if not self.end:
             return key == self.key
-        return key >= self.key and (self.end == EVERYTHING or key < self.end)
+        return key >= self.key and (self.end == ALL_KEYS_END or key < self.end)
 
 
 Listener = Callable[[int, tuple[Record, ...]], None]
@@ -63,7 +76,7 @@
 
     def __init__(self) -> None:
         self._revision = FIRST_REVISION
-        self._compacted = 0
+        self._compacted_revision = 0
         self._keys: list[bytes] = []
         self._current: dict[bytes, Record] = {}
         self._history: list[Record] = []
@@ -72,49 +85,52 @@
 
     @property
     def revision(self) -> int:
-        """The newest revision."""
+        """The latest revision."""
         return self._revision
 
     @property
-    def compacted(self) -> int:
-        """The revision below which no history is kept; 0 before the first compaction."""
-        return self._compacted
+    def compacted_revision(self) -> int:
+        """Revision of the last compaction; older history is discarded; 0 before the first one."""
+        return self._compacted_revision
 
     def subscribe(self, listener: Listener) -> Callable[[], None]:
         """Call a listener with each new revision and its records.
 
-        :param listener: What is called.
-        :returns: What ends the subscription.
+        :param listener: Function to call on each commit that writes.
+        :returns: Function that ends the subscription.
         """
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     def get(self, key: bytes) -> Record | None:
-        """Return a key's record, with the open transaction's writes.
+        """Return the record of a key, including writes of the open transaction.
 
         :param key: The key.
+        :returns: The record, or ``None`` when the key does not exist.
         """
         record = self._pending.get(key) or self._current.get(key)
-        return None if record is None or record.deleted else record
+        return None if record is None or record.is_deleted else record
 
-    def range(self, span: KeyRange, *, revision: int = 0) -> list[Record]:
-        """Return the records of a range in the order of their keys.
+    def range(self, key_range: KeyRange, *, revision: int = 0) -> list[Record]:
+        """Return the records of a range, sorted by key.
 
-        :param span: The keys.
-        :param revision: As of which revision; 0 means now.
-        :raises CompactedError: When that revision is no longer kept.
-        :raises FutureRevisionError: When it does not exist yet.
+        :param key_range: Keys to read.
+        :param revision: Revision to read at; 0 means the latest one, with the open transaction.
+        :raises CompactedError: When the revision has been compacted.
+        :raises FutureRevisionError: When the revision does not exist yet.
         """
         if revision and revision != self._revision:
-            return self._range_at(span, revision)
-        if not span.end:
-            record = self.get(span.key)
+            return self._range_at(key_range, revision)
+        if not key_range.end:
+            record = self.get(key_range.key)
             return [] if record is None else [record]
-        start = bisect.bisect_left(self._keys, span.key)
+        start = bisect.bisect_left(self._keys, key_range.key)
         end = len(self._keys)
-        if span.end != EVERYTHING:
-            end = bisect.bisect_left(self._keys, span.end)
-        keys = set(self._keys[start:end]) | {key for key in self._pending if span.covers(key)}
+        if key_range.end != ALL_KEYS_END:
+            end = bisect.bisect_left(self._keys, key_range.end)
+        keys = set(self._keys[start:end]) | {
+            key for key in self._pending if key_range.contains(key)
+        }
         records = (self.get(key) for key in sorted(keys))
         return [record for record in records if record is not None]
 
@@ -123,29 +139,29 @@
 
         :param key: The key.
         :param value: Its new value.
-        :param lease: The lease it lives under.
-        :returns: What stood there before.
+        :param lease: Id of the lease that the key is attached to; 0 means none.
+        :returns: The previous record, or ``None`` when the key did not exist.
         """
-        before = self.get(key)
+        previous = self.get(key)
         revision = self._revision + 1
         self._pending[key] = Record(
             key=key,
             value=value,
-            create_revision=revision if before is None else before.create_revision,
+            create_revision=revision if previous is None else previous.create_revision,
             mod_revision=revision,
-            version=1 if before is None else before.version + 1,
+            version=1 if previous is None else previous.version + 1,
             lease=lease,
         )
-        return before
+        return previous
 
-    def delete(self, span: KeyRange) -> list[Record]:
+    def delete(self, key_range: KeyRange) -> list[Record]:
         """Delete the keys of a range in the open transaction.
 
-        :param span: The keys.
-        :returns: What stood there before.
+        :param key_range: Keys to delete.
+        :returns: The records of the deleted keys.
         """
-        before = self.range(span)
-        for record in before:
+        previous = self.range(key_range)
+        for record in previous:
             self._pending[record.key] = replace(
                 record,
                 value=b"",
@@ -154,12 +170,12 @@
                 version=0,
                 lease=0,
             )
-        return before
+        return previous
 
     def commit(self) -> int:
-        """End the open transaction; it makes one revision when it wrote anything.
+        """Commit the open transaction, which creates a revision if it wrote anything.
 
-        :returns: The newest revision.
+        :returns: The latest revision.
         """
         if not self._pending:
             return self._revision
@@ -167,45 +183,47 @@
         self._pending = {}
         self._revision += 1
         for record in records:
-            self._take_in(record)
+            self._apply_record(record)
         self._history.extend(records)
         for listener in tuple(self._listeners):
             listener(self._revision, records)
         return self._revision
 
     def rollback(self) -> None:
-        """Drop the open transaction."""
+        """Discard the open transaction."""
         self._pending = {}
 
-    def events_since(self, revision: int, span: KeyRange) -> list[Record]:
-        """Return the records of a range written at a revision or later, oldest first.
+    def events_since(self, revision: int, key_range: KeyRange) -> list[Record]:
+        """Return the records of a range written at or after a revision, oldest first.
 
-        :param revision: The first revision.
-        :param span: The keys.
-        :raises CompactedError: When part of that history is no longer kept.
+        :param revision: First revision to include.
+        :param key_range: Keys to include.
+        :raises CompactedError: When part of that history has been compacted.
         """
-        if revision < self._compacted:
+        if revision < self._compacted_revision:
             raise CompactedError
-        return [r for r in self._history if r.mod_revision >= revision and span.covers(r.key)]
+        return [
+            r for r in self._history if r.mod_revision >= revision and key_range.contains(r.key)
+        ]
 
     def compact(self, revision: int) -> None:
-        """Forget the history up to a revision.
+        """Discard the history up to a revision, except the state of the keys at that revision.
 
-        :param revision: The newest revision that is forgotten.
-        :raises CompactedError: When it was forgotten before.
-        :raises FutureRevisionError: When it does not exist yet.
+        :param revision: Revision to compact at.
+        :raises CompactedError: When that revision has already been compacted.
+        :raises FutureRevisionError: When the revision does not exist yet.
         """
-        if revision <= self._compacted:
+        if revision <= self._compacted_revision:
             raise CompactedError
         if revision > self._revision:
             raise FutureRevisionError
-        self._compacted = revision
-        kept = {r.key: r for r in self._history if r.mod_revision <= revision}
-        base = [r for r in kept.values() if not r.deleted or r.mod_revision == revision]
+        self._compacted_revision = revision
+        latest = {r.key: r for r in self._history if r.mod_revision <= revision}
+        base = [r for r in latest.values() if not r.is_deleted or r.mod_revision == revision]
         self._history = base + [r for r in self._history if r.mod_revision > revision]
 
-    def _take_in(self, record: Record) -> None:
-        if record.deleted:
+    def _apply_record(self, record: Record) -> None:
+        if record.is_deleted:
             if self._current.pop(record.key, None) is not None:
                 del self._keys[bisect.bisect_left(self._keys, record.key)]
             return
@@ -213,13 +231,13 @@
             bisect.insort(self._keys, record.key)
         self._current[record.key] = record
 
-    def _range_at(self, span: KeyRange, revision: int) -> list[Record]:
-        if revision < self._compacted:
+    def _range_at(self, key_range: KeyRange, revision: int) -> list[Record]:
+        if revision < self._compacted_revision:
             raise CompactedError
         if revision > self._revision:
             raise FutureRevisionError
         latest: dict[bytes, Record] = {}
         for record in self._history:
-            if record.mod_revision <= revision and span.covers(record.key):
+            if record.mod_revision <= revision and key_range.contains(record.key):
                 latest[record.key] = record
-        return [latest[key] for key in sorted(latest) if not latest[key].deleted]
+        return [latest[key] for key in sorted(latest) if not latest[key].is_deleted]
--- a/standins/_prefix_cache.py
+++ b/standins/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The engine's cache of prompt prefixes, and the events it publishes late."""
+"""Prefix cache of the engine, with delayed publication of its events."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 PREFIX_TOKENS = 64
 PREFIX_CHARACTERS = PREFIX_TOKENS * CHARACTERS_PER_TOKEN
 HASH_BYTES = 16
-KEPT_EVENTS = 10_000
+MAX_EVENTS = 10_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Stamped:
+class _TimedEvent:
     event: CacheEvent
-    at: int
+    created_at_ms: int
 
 
 def prefix_hash(prompt: str) -> str:
-    """Return the published hash of a prompt's first block; empty when it is shorter than one.
+    """Return the hash under which the first block of a prompt is published.
 
     :param prompt: The prompt.
+    :returns: Hexadecimal digest; empty when the prompt is shorter than one block.
     """
     if len(prompt) < PREFIX_CHARACTERS:
         return ""
@@ -38,64 +39,64 @@
 
 @final
 class PrefixCache:
-    """Prefixes in least-recently-used order.
+    """Least-recently-used cache of prompt prefixes.
 
-    :param cache_tokens: Its size.
-    :param lag_ms: How late events are published, in milliseconds.
-    :param gap: Share of the events that are never published.
-    :param random: Chooses these.
-    :param clock: The time.
+    :param cache_tokens: Capacity in tokens.
+    :param lag_ms: Delay before an event is published, in milliseconds.
+    :param drop_ratio: Fraction of the events that are never published.
+    :param rng: Random number generator that selects the events to drop.
+    :param clock: Source of the current time.
     """
 
     def __init__(
-        self, *, cache_tokens: int, lag_ms: int, gap: float, random: Random, clock: Clock
+        self, *, cache_tokens: int, lag_ms: int, drop_ratio: float, rng: Random, clock: Clock
     ) -> None:
         self._capacity = cache_tokens // PREFIX_TOKENS
         self._lag_ms = lag_ms
-        self._gap = gap
-        self._random = random
+        self._drop_ratio = drop_ratio
+        self._rng = rng
         self._clock = clock
-        self._held: OrderedDict[str, None] = OrderedDict()
-        self._events: list[_Stamped] = []
+        self._prefixes: OrderedDict[str, None] = OrderedDict()
+        self._events: list[_TimedEvent] = []
         self._sequence = 0
 
-    def use(self, prompt: str) -> int:
-        """Look a prompt's prefix up and store it.
+    def lookup(self, prompt: str) -> int:
+        """Look up the prefix of a prompt, and store it if it is missing.
 
         :param prompt: The prompt.
-        :returns: How many tokens need no prefill.
+        :returns: Number of prompt tokens that need no prefill.
         """
         prefix = prefix_hash(prompt)
         if not prefix or not self._capacity:
             return 0
-        hit = prefix in self._held
-        self._held[prefix] = None
-        self._held.move_to_end(prefix)
-        if hit:
+        is_hit = prefix in self._prefixes
+        self._prefixes[prefix] = None
+        self._prefixes.move_to_end(prefix)
+        if is_hit:
             return PREFIX_TOKENS
         self._publish(prefix, stored=True)
-        while len(self._held) > self._capacity:
-            evicted, _ = self._held.popitem(last=False)
+        while len(self._prefixes) > self._capacity:
+            evicted, _ = self._prefixes.popitem(last=False)
             self._publish(evicted, stored=False)
         return 0
 
     def events(self, *, after: int) -> CacheEvents:
-        """Return the events that are old enough to be published.
+        """Return the published events after a sequence number.
 
-        :param after: Last sequence number the reader has.
+        :param after: Last sequence number that the reader has seen.
         """
-        latest = self._clock.now() - self._lag_ms
-        old = [item.event for item in self._events if item.at <= latest]
-        reached = old[-1].sequence if old else 0
+        cutoff_ms = self._clock.now() - self._lag_ms
+        published = [item.event for item in self._events if item.created_at_ms <= cutoff_ms]
+        last_sequence = published[-1].sequence if published else 0
         return CacheEvents(
-            events=[event for event in old if event.sequence > after],
-            next_sequence=max(after, reached) + 1,
+            events=[event for event in published if event.sequence > after],
+            next_sequence=max(after, last_sequence) + 1,
         )
 
     def _publish(self, prefix: str, *, stored: bool) -> None:
         self._sequence += 1
-        if self._random.random() < self._gap:
+        if self._rng.random() < self._drop_ratio:
             return
         event = CacheEvent(sequence=self._sequence, prefix=prefix, stored=stored)
-        self._events.append(_Stamped(event=event, at=self._clock.now()))
-        del self._events[:-KEPT_EVENTS]
+        self._events.append(_TimedEvent(event=event, created_at_ms=self._clock.now()))
+        del self._events[:-MAX_EVENTS]
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -12,7 +12,7 @@
 from returns.pipeline import is_successful
 from rich.console import Console
 
-from standins._common import end_task
+from standins._common import cancel_task
 from standins._common import run_main
 from standins._engine_types import ExecutionReports
 from standins.balancer import Balancer
@@ -242,7 +242,7 @@
         held = await demo.run(
             kinds=caller_kinds(read_keys()), duration_ms=round(seconds * MS_PER_SECOND)
         )
-        await end_task(watching)
+        await cancel_task(watching)
         return held
 
 
--- a/standins/disturbances.py
+++ b/standins/disturbances.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from standins._engine_types import ExecutionReports
-from standins._engine_types import OutOfMemory
+from standins._engine_types import OutOfMemoryRequest
 from standins._engine_types import StreamFault
 from standins._engine_types import StreamFaultMode
 from standins.launcher import Cluster
@@ -210,7 +210,7 @@
         name = self._take(self._cluster.engines, 0)
         if name is not None:
             self._note(f"{name} out of memory")
-            body = OutOfMemory(fail=self._rng.random() < 0.5)
+            body = OutOfMemoryRequest(fail=self._rng.random() < 0.5)
             await self._post(self._cluster.engines[name], body, "/admin/oom")
             self._busy.discard(name)
 
--- a/standins/host_list.py
+++ b/standins/host_list.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's lagging list of live and leaving hosts and upstreams."""
+"""Stand-in of the platform's delayed list of live and leaving hosts and upstreams."""
 
 from __future__ import annotations
 
@@ -19,11 +19,15 @@
 from tanagerscale.generated.upstream import HostList
 from tanagerscale.generated.upstream import ListedState
 
-KEPT_VERSIONS = 1_000
+MAX_VERSIONS = 1_000
 
 
 class StateChange(Struct, frozen=True, kw_only=True):
-    """Body of ``POST /admin/state``."""
+    """Body of ``POST /admin/state``.
+
+    :param id: Id of the entry to change.
+    :param state: Its new state.
+    """
 
     id: str
     state: ListedState
@@ -32,8 +36,8 @@
 class ListOptions(Struct, frozen=True, kw_only=True):
     """Body of ``POST /admin/options``.
 
-    :param lag_ms: How late the list shows a change, in milliseconds.
-    :param fail: Whether every read gets status 503.
+    :param lag_ms: Delay before the list shows a change, in milliseconds.
+    :param fail: Whether every read fails with status 503.
     """
 
     lag_ms: int = 0
@@ -42,29 +46,29 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Version:
-    at: int
+    published_at_ms: int
     entries: HostList
 
 
 @final
 class HostListServer:
-    """The list with its calls.
+    """HTTP server of the host list.
 
-    :param lag_ms: How late the list shows a change, in milliseconds.
+    :param lag_ms: Delay before the list shows a change, in milliseconds.
     """
 
     def __init__(self, *, lag_ms: int = 0) -> None:
         self._clock = Clock()
         self._options = ListOptions(lag_ms=lag_ms)
-        first = _Version(at=0, entries=HostList(entries=[]))
-        self._versions: deque[_Version] = deque([first], maxlen=KEPT_VERSIONS)
+        first = _Version(published_at_ms=0, entries=HostList(entries=[]))
+        self._versions: deque[_Version] = deque([first], maxlen=MAX_VERSIONS)
 
     def app(self) -> web.Application:
         """Return the application to serve."""
         app = web.Application()
         app.add_routes(
             [
-                web.get("/hosts", self._show),
+                web.get("/hosts", self._get_hosts),
                 web.post("/admin/entries", self._set_entries),
                 web.post("/admin/state", self._set_state),
                 web.post("/admin/options", self._set_options),
@@ -72,25 +76,25 @@
         )
         return app
 
-    async def _show(self, _request: web.Request) -> web.Response:
+    async def _get_hosts(self, _request: web.Request) -> web.Response:
         if self._options.fail:
             raise web.HTTPServiceUnavailable
-        latest = self._clock.now() - self._options.lag_ms
-        old = [version for version in self._versions if version.at <= latest]
-        shown = old[-1] if old else self._versions[0]
-        return json_response(shown.entries)
+        cutoff_ms = self._clock.now() - self._options.lag_ms
+        visible = [version for version in self._versions if version.published_at_ms <= cutoff_ms]
+        selected = visible[-1] if visible else self._versions[0]
+        return json_response(selected.entries)
 
     async def _set_entries(self, request: web.Request) -> web.Response:
         return self._publish(await read_json(request, HostList))
 
     async def _set_state(self, request: web.Request) -> web.Response:
         change = await read_json(request, StateChange)
-        present = self._versions[-1].entries.entries
-        if all(entry.id != change.id for entry in present):
+        current = self._versions[-1].entries.entries
+        if all(entry.id != change.id for entry in current):
             raise web.HTTPNotFound
         entries = [
             replace(entry, state=change.state) if entry.id == change.id else entry
-            for entry in present
+            for entry in current
         ]
         return self._publish(HostList(entries=entries))
 
@@ -99,15 +103,15 @@
         return json_response(self._options)
 
     def _publish(self, entries: HostList) -> web.Response:
-        self._versions.append(_Version(at=self._clock.now(), entries=entries))
+        self._versions.append(_Version(published_at_ms=self._clock.now(), entries=entries))
         return json_response(entries)
 
 
 def main(port: int = 0, lag_ms: int = 0) -> None:
     """Run the host list.
 
-    :param port: Port on the loopback address; 0 takes a free one.
-    :param lag_ms: How late the list shows a change, in milliseconds.
+    :param port: Port on the loopback address; 0 selects a free one.
+    :param lag_ms: Delay before the list shows a change, in milliseconds.
     """
     asyncio.run(_serve(port=port, lag_ms=lag_ms))
 
--- a/standins/journal.py
+++ b/standins/journal.py
@@ -1,4 +1,4 @@
-"""Files in which upstream stand-ins note what they execute, so that it survives their death."""
+"""Files to which upstream stand-ins append their executions, so that they survive a crash."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Execution(Struct, frozen=True, kw_only=True):
-    """One thing that an upstream began to execute.
+    """One execution that an upstream started.
 
     :param id: Attempt id of a generation, or idempotency key of a booking.
-    :param tag: What the caller named it in its prompt or its body.
+    :param tag: Name that the caller gave it in the prompt or the body.
     """
 
     id: str
@@ -25,27 +25,27 @@
 class Journal:
     """Appends executions to a file.
 
-    :param path: The file; the empty text writes nowhere.
+    :param path: Path of the file; empty disables the journal.
     """
 
     def __init__(self, *, path: str) -> None:
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         self._file = os.open(path, flags, 0o600) if path else None
 
-    def note(self, execution: Execution) -> None:
-        """Write an execution down before it has any effect.
+    def record(self, execution: Execution) -> None:
+        """Append an execution; called before it has any effect.
 
-        :param execution: What is executed.
+        :param execution: Execution to append.
         """
         if self._file is not None:
-            # One system call for each line: a killed process leaves whole lines.
+            # One system call per line, so that a killed process leaves no partial line.
             os.write(self._file, msgspec.json.encode(execution) + b"\n")
 
 
 def read_journal(path: Path) -> list[Execution]:
-    """Return what an upstream executed, in all its lives.
+    """Return the executions of an upstream across all its restarts.
 
-    :param path: The file.
+    :param path: Path of the file; a missing one is read as empty.
     """
     if not path.exists():
         return []
--- a/standins/observers.py
+++ b/standins/observers.py
@@ -10,7 +10,7 @@
 import aiohttp
 import msgspec
 
-from standins.engine import CRASH_STATUS
+from standins.engine import CRASH_EXIT_STATUS
 from standins.launcher import Cluster
 from tanagerscale.core import Clock
 from tanagerscale.generated.callers import HostStatus
@@ -146,7 +146,7 @@
         """Restart."""
         while True:
             for name, engine in tuple(self._cluster.engines.items()):
-                if engine.returncode == CRASH_STATUS:
+                if engine.returncode == CRASH_EXIT_STATUS:
                     self.crashes += 1
                     self._say(f"a request crashed {name}")
                     await self._clock.sleep(RESTART_MS)
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -12,7 +12,7 @@
 from typing import Self
 from typing import final
 
-from standins._common import end_task
+from standins._common import cancel_task
 
 ROOT = Path(__file__).resolve().parent.parent
 READY_WORD = "listening"
@@ -121,7 +121,7 @@
         """Wait for its end and return how it ended."""
         returncode = await self._process.wait()
         with contextlib.suppress(asyncio.CancelledError):
-            await end_task(self._reader)
+            await cancel_task(self._reader)
         return returncode
 
     def _send(self, number: signal.Signals) -> None:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain booking service; it carries out every call it gets, repeated or not."""
+"""Stand-in of a plain booking service, which executes every call, including repeated ones."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from standins._common import cut_connection
+from standins._common import abort_connection
 from standins._common import json_response
 from standins._common import read_json
 from standins._common import run_main
@@ -22,35 +22,35 @@
 from standins.journal import Journal
 from tanagerscale.core import Clock
 
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
 
 @unique
 class ServiceFaultMode(StrEnum):
-    """What goes wrong with a call."""
+    """Faults that can be injected into bookings."""
 
     NONE = "none"
     FAIL_BEFORE = "fail_before"
-    """Status 500 without an execution."""
+    """Returns status 500 without an execution."""
     FAIL_AFTER = "fail_after"
-    """Status 500 after the execution."""
+    """Returns status 500 after the execution."""
     CUT_BEFORE = "cut_before"
-    """The connection is cut without an execution."""
+    """Aborts the connection without an execution."""
     CUT_AFTER = "cut_after"
-    """The connection is cut after the execution."""
+    """Aborts the connection after the execution."""
     HANG_AFTER = "hang_after"
-    """No answer ever comes after the execution."""
+    """Sends no response after the execution."""
     REFUSE = "refuse"
-    """Status 503 without an execution."""
+    """Returns status 503 without an execution."""
 
 
 class ServiceFault(Struct, frozen=True, kw_only=True):
     """Body of ``POST /admin/fault``.
 
-    :param mode: What goes wrong.
-    :param count: How many bookings it befalls; 0 means all.
-    :param delay_ms: How long each booking takes before it is executed, in milliseconds.
-    :param answer_delay_ms: How late the answer comes after that, in milliseconds.
+    :param mode: Fault to inject.
+    :param count: Number of bookings affected; 0 means all.
+    :param delay_ms: Delay before a booking is executed, in milliseconds.
+    :param answer_delay_ms: Delay of the response after the execution, in milliseconds.
     """
 
     mode: ServiceFaultMode = ServiceFaultMode.NONE
@@ -62,8 +62,9 @@
 class Booking(Struct, frozen=True, kw_only=True):
     """One executed booking.
 
-    :param number: Its number at this service.
-    :param id: What the caller named it: the body's ``id`` or the idempotency key.
+    :param number: Sequence number at this service, from 1.
+    :param id: The body's ``id``, or else the idempotency key.
+    :param body: Body of the request.
     """
 
     number: int
@@ -72,16 +73,21 @@
 
 
 class BookingBody(Struct, frozen=True, kw_only=True):
-    """What is read of a booking's body."""
+    """The part of a booking's body that the service reads.
+
+    :param id: Name that the caller gives to the booking.
+    """
 
     id: str = ""
 
 
 class Executions(Struct, frozen=True, kw_only=True):
-    """Body of ``GET /admin/executions``: how often each booking was executed, by id.
+    """Body of ``GET /admin/executions``.
 
-    :param by_key: How often bookings with an idempotency key were executed, by key.
-    :param received: How many bookings came, executed or not.
+    :param by_id: Number of executions of each booking, by id.
+    :param by_key: Number of executions of the bookings with an idempotency key, by key.
+    :param total: Number of executed bookings.
+    :param received: Number of bookings received, executed or not.
     """
 
     by_id: dict[str, int]
@@ -91,7 +97,7 @@
 
 
 class Echo(Struct, frozen=True, kw_only=True):
-    """Answer of all other paths."""
+    """Response of all other paths: the request as received."""
 
     method: str
     path: str
@@ -102,16 +108,16 @@
 
 @final
 class ServiceServer:
-    """One booking service with its calls.
+    """HTTP server of one booking service.
 
-    :param journal: Where executions are noted; empty for nowhere.
+    :param journal: File to which executions are appended; empty for none.
     """
 
     def __init__(self, *, journal: str = "") -> None:
         self._journal = Journal(path=journal)
         self._clock = Clock()
         self._fault = ServiceFault()
-        self._fault_left = 0
+        self._remaining_faults = 0
         self._bookings: list[Booking] = []
         self._by_key: Counter[str] = Counter()
         self._received = 0
@@ -123,9 +129,9 @@
         app.add_routes(
             [
                 web.post("/bookings", self._book),
-                web.get("/bookings", self._list),
+                web.get("/bookings", self._get_bookings),
                 web.post("/admin/fault", self._set_fault),
-                web.get("/admin/executions", self._show_executions),
+                web.get("/admin/executions", self._get_executions),
                 web.route("*", "/{path:.*}", self._echo),
             ]
         )
@@ -133,9 +139,9 @@
 
     async def _book(self, request: web.Request) -> web.Response:
         body = await request.text()
-        key = request.headers.get(KEY_HEADER, "")
+        key = request.headers.get(IDEMPOTENCY_KEY_HEADER, "")
         self._received += 1
-        fault = self._take_fault()
+        fault = self._next_fault()
         await self._clock.sleep(fault.delay_ms)
         match fault.mode:
             case ServiceFaultMode.FAIL_BEFORE:
@@ -143,7 +149,7 @@
             case ServiceFaultMode.REFUSE:
                 raise web.HTTPServiceUnavailable
             case ServiceFaultMode.CUT_BEFORE:
-                cut_connection(request)
+                abort_connection(request)
                 return web.Response()
             case _:
                 pass
@@ -153,7 +159,7 @@
             case ServiceFaultMode.FAIL_AFTER:
                 raise web.HTTPInternalServerError
             case ServiceFaultMode.CUT_AFTER:
-                cut_connection(request)
+                abort_connection(request)
             case ServiceFaultMode.HANG_AFTER:
                 await asyncio.Event().wait()
             case _:
@@ -165,30 +171,30 @@
             name = msgspec.json.decode(body or b"{}", type=BookingBody).id
         except msgspec.DecodeError:
             name = ""
-        self._journal.note(Execution(id=key, tag=name))
+        self._journal.record(Execution(id=key, tag=name))
         booking = Booking(number=next(self._numbers), id=name or key, body=body)
         self._bookings.append(booking)
         if key:
             self._by_key[key] += 1
         return booking
 
-    def _take_fault(self) -> ServiceFault:
+    def _next_fault(self) -> ServiceFault:
         if not self._fault.count:
             return self._fault
-        if not self._fault_left:
+        if not self._remaining_faults:
             return ServiceFault()
-        self._fault_left -= 1
+        self._remaining_faults -= 1
         return self._fault
 
-    async def _list(self, _request: web.Request) -> web.Response:
+    async def _get_bookings(self, _request: web.Request) -> web.Response:
         return json_response(self._bookings)
 
     async def _set_fault(self, request: web.Request) -> web.Response:
         self._fault = await read_json(request, ServiceFault)
-        self._fault_left = self._fault.count
+        self._remaining_faults = self._fault.count
         return json_response(self._fault)
 
-    async def _show_executions(self, _request: web.Request) -> web.Response:
+    async def _get_executions(self, _request: web.Request) -> web.Response:
         by_id = Counter(booking.id for booking in self._bookings)
         return json_response(
             Executions(
@@ -214,10 +220,10 @@
 def main(port: int = 0, journal: str = "") -> None:
     """Run the service.
 
-    :param port: Port on the loopback address; 0 takes a free one.
-    :param journal: File in which executions are noted; empty for none.
+    :param port: Port on the loopback address; 0 selects a free one.
+    :param journal: File to which executions are appended; empty for none.
     """
-    # A booking goes on when its caller hangs up, as in most real services.
+    # A booking continues when its caller disconnects, as in most real services.
     asyncio.run(_serve(port=port, journal=journal))
 
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from standins._common import end_task
+from standins._common import cancel_task
 from standins._common import run_main
 from standins.balancer import Balancer
 from standins.caller_reports import AnswerState
@@ -186,7 +186,7 @@
         failed = [task.exception() for task in tasks if task.done() and not task.cancelled()]
         for task in tasks:
             if not task.done():
-                await end_task(task)
+                await cancel_task(task)
     for error in failed:
         if error is not None:
             raise error
--- a/standins/sse.py
+++ b/standins/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events as a caller reads them."""
+"""Client-side parser of server-sent events."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import aiohttp
 
-FIELD_END = ":"
+FIELD_SEPARATOR = ":"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServerSentEvent:
-    """One event; fields that it lacks are empty."""
+    """One event; absent fields are empty."""
 
     id: str = ""
     event: str = ""
@@ -20,12 +20,12 @@
 
 
 async def read_events(reply: aiohttp.ClientResponse) -> AsyncIterator[ServerSentEvent]:
-    """Read events until the reply ends.
+    """Yield events until the response ends.
 
-    :param reply: The reply.
+    :param reply: Response to read.
     """
     fields: dict[str, str] = {}
-    # Lines may be longer than the limit of the library's own line reader.
+    # Lines may exceed the length limit of aiohttp's own line reader.
     pending = b""
     async for chunk in reply.content.iter_any():
         *lines, pending = (pending + chunk).split(b"\n")
@@ -36,7 +36,7 @@
                     yield ServerSentEvent(**fields)
                 fields = {}
                 continue
-            name, _, value = text.partition(FIELD_END)
+            name, _, value = text.partition(FIELD_SEPARATOR)
             if name in ("id", "event", "data"):
                 value = value.removeprefix(" ")
                 fields[name] = f"{fields[name]}\n{value}" if name in fields else value
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -12,7 +12,7 @@
 from standins._common import json_response
 from standins._common import run_main
 from standins._common import serve
-from standins._limiter import Limiter
+from standins._limiter import TokenBucket
 from tanagerscale.core import Clock
 
 WEIGHTS_BYTES = 64
@@ -21,8 +21,8 @@
 class WeightsStats(Struct, frozen=True, kw_only=True):
     """Body of ``GET /admin/stats``.
 
-    :param served: Loads by name and version.
-    :param refused: Calls over the limit.
+    :param served: Number of loads served, by name and version.
+    :param refused: Number of loads refused by the rate limit.
     """
 
     served: dict[str, int]
@@ -31,39 +31,39 @@
 
 @final
 class WeightsServer:
-    """The weights with their calls.
+    """HTTP server of the weights store.
 
-    :param per_second: Most loads a second; 0 means no limit.
+    :param per_second: Maximum number of loads per second; 0 means no limit.
     """
 
     def __init__(self, *, per_second: float = 0) -> None:
-        self._limiter = Limiter(per_second=per_second, clock=Clock())
+        self._limiter = TokenBucket(per_second=per_second, clock=Clock())
         self._served: Counter[str] = Counter()
         self._refused = 0
 
     def app(self) -> web.Application:
         """Return the application to serve."""
         app = web.Application()
-        app.router.add_get("/weights/{name}/{version}", self._load)
-        app.router.add_get("/admin/stats", self._show_stats)
+        app.router.add_get("/weights/{name}/{version}", self._get_weights)
+        app.router.add_get("/admin/stats", self._get_stats)
         return app
 
-    async def _load(self, request: web.Request) -> web.Response:
-        if not self._limiter.take():
+    async def _get_weights(self, request: web.Request) -> web.Response:
+        if not self._limiter.try_acquire():
             self._refused += 1
             raise web.HTTPTooManyRequests(headers={"Retry-After": "1"})
         self._served[f"{request.match_info['name']}={request.match_info['version']}"] += 1
         return web.Response(body=bytes(WEIGHTS_BYTES))
 
-    async def _show_stats(self, _request: web.Request) -> web.Response:
+    async def _get_stats(self, _request: web.Request) -> web.Response:
         return json_response(WeightsStats(served=dict(self._served), refused=self._refused))
 
 
 def main(port: int = 0, per_second: float = 0) -> None:
-    """Run the store of weights.
+    """Run the weights store.
 
-    :param port: Port on the loopback address; 0 takes a free one.
-    :param per_second: Most loads a second; 0 means no limit.
+    :param port: Port on the loopback address; 0 selects a free one.
+    :param per_second: Maximum number of loads per second; 0 means no limit.
     """
     asyncio.run(_serve(port=port, per_second=per_second))
 
--- a/testing/test_demo_caller.py
+++ b/testing/test_demo_caller.py
@@ -13,7 +13,7 @@
 import pytest
 import pytest_asyncio
 
-from standins._common import cut_connection
+from standins._common import abort_connection
 from standins.caller import Caller
 from standins.caller_reports import AnswerReport
 from standins.caller_reports import AnswerState
@@ -106,7 +106,7 @@
         body = msgspec.json.encode(_details(ExecutionWord.UNKNOWN, kind=problem)).decode()
         await response.write(f"event: error\ndata: {body}\n\n".encode())
     else:
-        cut_connection(request)
+        abort_connection(request)
     return response
 
 
@@ -171,7 +171,7 @@
 
 async def test_answer_is_lost_when_no_host_ever_says_a_final_word(ask_host: AskHost) -> None:
     async def answer(request: web.Request) -> web.StreamResponse:
-        cut_connection(request)
+        abort_connection(request)
         return web.Response()
 
     assert (await ask_host(answer)).state is AnswerState.LOST
@@ -196,7 +196,7 @@
     async def answer(request: web.Request) -> web.StreamResponse:
         calls.append(request.headers["Idempotency-Key"])
         if len(calls) == 1:
-            cut_connection(request)
+            abort_connection(request)
             return web.Response()
         if len(calls) == 2:
             return _problem(ExecutionWord.NOT_EXECUTED)
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -10,8 +10,8 @@
 import pytest
 
 from standins._engine_types import ExecutionReports
-from standins._engine_types import Leave
-from standins._engine_types import OutOfMemory
+from standins._engine_types import LeaveRequest
+from standins._engine_types import OutOfMemoryRequest
 from standins._engine_types import StreamFault
 from standins._engine_types import StreamFaultMode
 from standins.launcher import Cluster
@@ -88,7 +88,7 @@
     elif failure == "freeze":
         engine.freeze()
     elif failure == "out of memory":
-        await cluster.post(engine, "/admin/oom", OutOfMemory(fail=True))
+        await cluster.post(engine, "/admin/oom", OutOfMemoryRequest(fail=True))
     await _check_whole(started)
     if failure == "freeze":
         engine.thaw()
@@ -136,7 +136,7 @@
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0, list_lag_ms=60_000))
     engine = cluster.engines["engine-1"]
-    await cluster.post(engine, "/admin/leave", Leave())
+    await cluster.post(engine, "/admin/leave", LeaveRequest())
     for number in range(12):
         url = cluster.caller_url(f"host-{1 + number % 3}")
         answer = await ask(session=session, url=url, prompt=f"check {number} [[tokens=3]]")
--- a/testing/test_standins.py
+++ b/testing/test_standins.py
@@ -1,4 +1,4 @@
-"""The booking service, the host list, the TCP relay and the launcher keep to what they say."""
+"""Tests of the booking service, host list, TCP relay and process launcher stand-ins."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from testing.conftest import Client
 from testing.conftest import ClientOf
 
-HUNG_S = 0.1
+READ_TIMEOUT_S = 0.1
 
 
 async def _book(service: Client) -> int:
@@ -40,8 +40,8 @@
 async def test_booking_is_executed_again_when_it_is_repeated(client_of: ClientOf) -> None:
     service = await client_of(ServiceServer().app())
     assert [await _book(service), await _book(service)] == [201, 201]
-    counted = await _executions(service)
-    assert (counted.by_id, counted.by_key) == ({"b-1": 2}, {"k": 2})
+    executions = await _executions(service)
+    assert (executions.by_id, executions.by_key) == ({"b-1": 2}, {"k": 2})
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
         (ServiceFaultMode.CUT_AFTER, 1),
     ],
 )
-async def test_failed_booking_is_executed_only_when_it_fails_afterwards(
+async def test_failed_booking_is_executed_only_with_a_fault_after_execution(
     client_of: ClientOf, mode: ServiceFaultMode, executed: int
 ) -> None:
     service = await client_of(ServiceServer().app())
@@ -81,13 +81,13 @@
     await asyncio.sleep(0.01)
     await host_list.post("/admin/options", json={"lag_ms": 3_600_000})
     await host_list.post("/admin/state", json={"id": "engine-1", "state": "leaving"})
-    # An hour's lag shows the list as it was at the start.
+    # With a lag of one hour, the list still has its initial state.
     assert await _states(host_list) == []
     await host_list.post("/admin/options", json={"lag_ms": 0})
     assert await _states(host_list) == [ListedState.LEAVING]
 
 
-async def test_relay_holds_bytes_while_frozen_and_breaks_links_when_cut() -> None:
+async def test_relay_delays_bytes_while_frozen_and_closes_connections_when_cut() -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             writer.write(line)
@@ -103,7 +103,7 @@
         relay.freeze()
         writer.write(b"two\n")
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(reader.readline(), HUNG_S)
+            await asyncio.wait_for(reader.readline(), READ_TIMEOUT_S)
         relay.thaw()
         assert await reader.readline() == b"two\n"
         relay.cut()
@@ -111,7 +111,7 @@
         writer.close()
 
 
-async def test_launcher_ends_a_frozen_process_and_names_one_that_fails(
+async def test_launcher_stops_a_frozen_process_and_reports_a_failed_start(
     launcher: Launcher,
 ) -> None:
     frozen = await launcher.start(name="list", module="standins.host_list", arguments=[])
@@ -124,12 +124,12 @@
     assert not frozen.running
 
 
-async def test_standin_ends_gracefully_when_asked(launcher: Launcher) -> None:
+async def test_standin_exits_cleanly_when_stopped(launcher: Launcher) -> None:
     process = await launcher.start(name="store", module="standins.store", arguments=[])
     assert await process.stop() == 0
     assert process.errors() == ""
 
 
-def test_no_port_is_given_out_twice_though_none_is_bound_yet() -> None:
+def test_free_ports_are_distinct_before_any_is_bound() -> None:
     ports = [free_port() for _ in range(2000)]
     assert len(set(ports)) == len(ports)
--- a/testing/test_standins_engine.py
+++ b/testing/test_standins_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in generates what was asked once, and fails only as it is told."""
+"""Tests of the engine stand-in: deterministic streams, preemption, orders and injected faults."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from standins._engine_types import OrderReports
 from standins._engine_types import StreamFault
 from standins._engine_types import StreamFaultMode
-from standins.engine import CRASH_STATUS
+from standins.engine import CRASH_EXIT_STATUS
 from standins.engine import EngineServer
 from standins.journal import Execution
 from standins.journal import read_journal
@@ -36,20 +36,22 @@
 from testing.conftest import Client
 from testing.conftest import ClientOf
 
-ROOMY = BatchLimits(step_ms=1, sequence_ms=0)
+AMPLE_LIMITS = BatchLimits(step_ms=1, sequence_ms=0)
 REQUEST = EngineRequest(
     attempt_id="att-1", model="planner", version="7", prompt="Plan a round. [[tokens=20]]", seed=3
 )
 
 
-def _options(limits: BatchLimits = ROOMY, **more: Any) -> EngineOptions:
+def _options(limits: BatchLimits = AMPLE_LIMITS, **overrides: Any) -> EngineOptions:
     return EngineOptions(
-        limits=limits, models={"planner": "7"}, adapters={}, report_lag_ms=0, load_ms=0, **more
+        limits=limits, models={"planner": "7"}, adapters={}, report_lag_ms=0, load_ms=0, **overrides
     )
 
 
-async def _engine(client_of: ClientOf, limits: BatchLimits = ROOMY, **more: Any) -> Client:
-    return await client_of(EngineServer(_options(limits, **more)).app())
+async def _engine(
+    client_of: ClientOf, limits: BatchLimits = AMPLE_LIMITS, **overrides: Any
+) -> Client:
+    return await client_of(EngineServer(_options(limits, **overrides)).app())
 
 
 def _parse(text: str) -> list[TokenEvent]:
@@ -101,12 +103,14 @@
     assert (events[-1].offset, events[-1].finish_reason) == (5, FinishReason.LENGTH)
 
 
-def test_lengths_are_heavy_tailed() -> None:
+def test_answer_lengths_are_heavy_tailed() -> None:
     lengths = sorted(answer_length(f"prompt {number}") for number in range(1_000))
     assert lengths[990] > 8 * lengths[500]
 
 
-async def test_generation_goes_on_and_resumes_when_the_link_breaks(client_of: ClientOf) -> None:
+async def test_generation_continues_and_can_be_resumed_after_a_disconnect(
+    client_of: ClientOf,
+) -> None:
     engine = await _engine(client_of)
     reply = await engine.post("/v1/completions", data=msgspec.json.encode(REQUEST))
     await reply.content.readline()
@@ -123,7 +127,7 @@
     assert (await _executions(engine)).tokens_generated == 20
 
 
-async def test_cancelled_generation_stops_and_may_be_cancelled_again(client_of: ClientOf) -> None:
+async def test_cancelled_generation_stops_and_cancelling_is_idempotent(client_of: ClientOf) -> None:
     engine = await _engine(client_of)
     running = asyncio.create_task(
         _generate(engine, replace(REQUEST, prompt="[[tokens=100000]]", max_tokens=100_000))
@@ -136,20 +140,26 @@
     assert (await _execution(engine)).tokens == events[-1].offset
 
 
-async def test_lowest_class_is_preempted_and_still_whole_when_memory_is_full(
+async def test_lowest_priority_is_preempted_and_completes_when_memory_is_full(
     client_of: ClientOf,
 ) -> None:
     engine = await _engine(client_of, BatchLimits(memory_tokens=96, step_ms=1, sequence_ms=0))
-    dear = EngineRequest(attempt_id="dear", model="planner", prompt="[[tokens=60]]", priority=0)
-    cheap = EngineRequest(attempt_id="cheap", model="planner", prompt="[[tokens=50]]", priority=2)
-    got_cheap, got_dear = await asyncio.gather(_generate(engine, cheap), _generate(engine, dear))
-    assert _texts(got_cheap) == answer_tokens(cheap, version="7")
-    assert _texts(got_dear) == answer_tokens(dear, version="7")
+    high_priority = EngineRequest(
+        attempt_id="dear", model="planner", prompt="[[tokens=60]]", priority=0
+    )
+    low_priority = EngineRequest(
+        attempt_id="cheap", model="planner", prompt="[[tokens=50]]", priority=2
+    )
+    low_events, high_events = await asyncio.gather(
+        _generate(engine, low_priority), _generate(engine, high_priority)
+    )
+    assert _texts(low_events) == answer_tokens(low_priority, version="7")
+    assert _texts(high_events) == answer_tokens(high_priority, version="7")
     assert (await _execution(engine, "cheap")).preemptions > 0
     assert (await _execution(engine, "dear")).preemptions == 0
 
 
-async def test_running_generations_fail_when_memory_is_lost(client_of: ClientOf) -> None:
+async def test_running_generations_fail_on_out_of_memory(client_of: ClientOf) -> None:
     engine = await _engine(client_of)
     long = replace(REQUEST, prompt="[[tokens=100000]]", max_tokens=100_000)
     running = asyncio.create_task(_generate(engine, long))
@@ -189,19 +199,19 @@
     return await _generate(engine, REQUEST)
 
 
-async def test_stream_shows_the_fault_it_was_given(client_of: ClientOf) -> None:
+async def test_stream_contains_the_injected_fault(client_of: ClientOf) -> None:
     tokens = answer_tokens(REQUEST)
-    crossed = await _with_fault(client_of, StreamFaultMode.CROSS)
-    assert [event.attempt_id for event in crossed].index("att-of-someone-else") == 4
+    cross = await _with_fault(client_of, StreamFaultMode.CROSS)
+    assert [event.attempt_id for event in cross].index("att-of-someone-else") == 4
     gap = await _with_fault(client_of, StreamFaultMode.GAP)
     assert 4 not in [event.offset for event in gap]
     other = await _with_fault(client_of, StreamFaultMode.OTHER_TOKEN)
     assert other[4].text != tokens[4]
-    unended = await _with_fault(client_of, StreamFaultMode.DROP_END_MARKER)
-    assert [event.text for event in unended] == tokens
+    without_end_marker = await _with_fault(client_of, StreamFaultMode.DROP_END_MARKER)
+    assert [event.text for event in without_end_marker] == tokens
 
 
-async def test_resumed_stream_begins_too_early_when_told_to_overlap(client_of: ClientOf) -> None:
+async def test_resumed_stream_starts_early_with_the_overlap_fault(client_of: ClientOf) -> None:
     engine = await _engine(client_of)
     await _generate(engine, REQUEST)
     fault = StreamFault(mode=StreamFaultMode.OVERLAP)
@@ -222,7 +232,7 @@
 
 
 @pytest.mark.parametrize(("checks_fence", "status"), [(True, 409), (False, 200)])
-async def test_order_with_an_old_fence_is_refused_only_by_engines_that_check(
+async def test_order_with_a_stale_fence_is_refused_only_when_fences_are_checked(
     client_of: ClientOf, checks_fence: bool, status: int
 ) -> None:
     engine = await _engine(client_of, checks_fence=checks_fence)
@@ -231,19 +241,19 @@
     assert await _order(engine, "new", 5) == 200
     while (await _state(engine)).loading:
         await asyncio.sleep(0.005)
-    held = (await _state(engine)).models
-    assert ("new" in held, "old" in held) == (True, not checks_fence)
+    models = (await _state(engine)).models
+    assert ("new" in models, "old" in models) == (True, not checks_fence)
     reports = await (await engine.get("/admin/orders")).read()
     carried_out = msgspec.json.decode(reports, type=OrderReports).carried_out
     assert carried_out.count("new") == 1
 
 
-async def _read_all(reply: aiohttp.ClientResponse, seen: bytearray) -> None:
+async def _read_all(reply: aiohttp.ClientResponse, received: bytearray) -> None:
     while chunk := await reply.content.readany():
-        seen += chunk
+        received += chunk
 
 
-async def test_engine_process_dies_when_a_prompt_crashes_it(
+async def test_engine_process_exits_when_a_prompt_crashes_it(
     launcher: Launcher, tmp_path: Path
 ) -> None:
     journal = tmp_path / "journal"
@@ -251,13 +261,13 @@
     process = await launcher.start(name="engine", module="standins.engine", arguments=options)
     prompt = "[[tokens=9]] [[crash_at=4]] [[tag=bad]]"
     body = msgspec.json.encode(replace(REQUEST, prompt=prompt))
-    seen = bytearray()
+    received = bytearray()
     async with (
         aiohttp.ClientSession() as session,
         session.post(f"{process.url}/v1/completions", data=body) as reply,
     ):
         with pytest.raises(aiohttp.ClientError):
-            await _read_all(reply, seen)
-    assert [event.offset for event in _parse(seen.decode())] == [0, 1, 2, 3]
-    assert await process.wait() == CRASH_STATUS
+            await _read_all(reply, received)
+    assert [event.offset for event in _parse(received.decode())] == [0, 1, 2, 3]
+    assert await process.wait() == CRASH_EXIT_STATUS
     assert read_journal(journal) == [Execution(id="att-1", tag="bad")]
--- a/testing/test_standins_store.py
+++ b/testing/test_standins_store.py
@@ -1,4 +1,4 @@
-"""The stand-in of the key-value service keeps the rules of etcd that hosts rely on."""
+"""Tests of the key-value service stand-in against the etcd semantics that hosts depend on."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return base64.b64encode(text.encode()).decode()
 
 
-def _put(key: str, value: str = "v", **more: str) -> dict[str, str]:
-    return {"key": _b64(key), "value": _b64(value), **more}
+def _put(key: str, value: str = "v", **fields: str) -> dict[str, str]:
+    return {"key": _b64(key), "value": _b64(value), **fields}
 
 
 def _absent(key: str) -> dict[str, str]:
@@ -50,27 +50,27 @@
 
 
 async def _keys(store: Client) -> list[str]:
-    everything = {"key": _b64("\0"), "range_end": _b64("\0"), "keys_only": True}
-    found = await _call(store, "/v3/kv/range", everything)
+    all_keys = {"key": _b64("\0"), "range_end": _b64("\0"), "keys_only": True}
+    found = await _call(store, "/v3/kv/range", all_keys)
     return [base64.b64decode(kv["key"]).decode() for kv in found.get("kvs", [])]
 
 
-async def test_transaction_makes_one_revision_and_old_ones_stay_readable(store: Client) -> None:
+async def test_transaction_creates_one_revision_and_older_ones_stay_readable(store: Client) -> None:
     await _call(store, "/v3/kv/put", _put("a", "old"))
     both = [{"request_put": _put("a", "new")}, {"request_put": _put("b")}]
-    done = await _call(store, "/v3/kv/txn", {"success": both})
-    assert done["header"]["revision"] == "3"
-    before = await _call(store, "/v3/kv/range", {"key": _b64("a"), "revision": "2"})
-    assert base64.b64decode(before["kvs"][0]["value"]) == b"old"
-    now = await _call(store, "/v3/kv/range", {"key": _b64("a")})
-    assert (now["kvs"][0]["create_revision"], now["kvs"][0]["mod_revision"]) == ("2", "3")
+    reply = await _call(store, "/v3/kv/txn", {"success": both})
+    assert reply["header"]["revision"] == "3"
+    previous = await _call(store, "/v3/kv/range", {"key": _b64("a"), "revision": "2"})
+    assert base64.b64decode(previous["kvs"][0]["value"]) == b"old"
+    current = await _call(store, "/v3/kv/range", {"key": _b64("a")})
+    assert (current["kvs"][0]["create_revision"], current["kvs"][0]["mod_revision"]) == ("2", "3")
 
 
-async def test_nested_transactions_succeed_each_on_its_own_condition(store: Client) -> None:
+async def test_nested_transactions_succeed_on_their_own_conditions(store: Client) -> None:
     await _call(store, "/v3/kv/put", _put("taken"))
-    done = await _call(store, "/v3/kv/txn", {"success": [_nested("taken"), _nested("free")]})
-    verdicts = [item["response_txn"].get("succeeded", False) for item in done["responses"]]
-    assert verdicts == [False, True]
+    reply = await _call(store, "/v3/kv/txn", {"success": [_nested("taken"), _nested("free")]})
+    succeeded = [item["response_txn"].get("succeeded", False) for item in reply["responses"]]
+    assert succeeded == [False, True]
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
 
 
 async def test_transaction_is_refused_when_it_has_too_many_operations(store: Client) -> None:
-    # Nested ones share the limit of 128 with those around them.
+    # Nested operations count toward the limit of 128 of the enclosing transaction.
     body = {"success": [_nested(f"k{number}") for number in range(128)]}
     refused = await _call(store, "/v3/kv/txn", body, status=400)
     assert "too many operations" in refused["message"]
@@ -108,17 +108,17 @@
     return [msgspec.json.decode(await reply.content.readline())["result"] for _ in range(count)]
 
 
-async def test_watch_sends_history_then_news_without_doubles(store: Client) -> None:
+async def test_watch_sends_history_then_changes_without_duplicates(store: Client) -> None:
     await _call(store, "/v3/kv/put", _put("a"))
     await _call(store, "/v3/kv/put", _put("b"))
     create = {"key": _b64("a"), "range_end": _b64("z"), "start_revision": "3"}
     async with store.post("/v3/watch", json={"create_request": create}) as reply:
         created, history = await _results(reply, 2)
         await _call(store, "/v3/kv/deleterange", {"key": _b64("a")})
-        (news,) = await _results(reply, 1)
+        (changes,) = await _results(reply, 1)
     assert created["created"]
     assert [event["kv"]["mod_revision"] for event in history["events"]] == ["3"]
-    assert [event.get("type") for event in news["events"]] == ["DELETE"]
+    assert [event.get("type") for event in changes["events"]] == ["DELETE"]
 
 
 async def test_watch_is_cancelled_when_its_history_is_compacted(store: Client) -> None:
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.looptime
-async def test_lease_ends_with_its_keys_unless_it_is_kept_alive() -> None:
+async def test_lease_expires_with_its_keys_unless_kept_alive() -> None:
     space, clock = KeySpace(), Clock()
     leases = Leases(space=space, clock=clock)
     lease = leases.grant(ttl_s=2).id
@@ -154,7 +154,7 @@
     ("mode", "written"),
     [(FaultMode.DOWN, []), (FaultMode.LOSE_REPLY, ["a"])],
 )
-async def test_write_takes_effect_only_when_its_reply_is_lost(
+async def test_write_takes_effect_when_only_its_reply_is_lost(
     store: Client, mode: FaultMode, written: list[str]
 ) -> None:
     await store.post("/admin/fault", data=msgspec.json.encode(Fault(mode=mode, count=1)))
--- a/testing/test_store_standin.py
+++ b/testing/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store client against the stand-in of the key-value service, over HTTP."""
+"""Tests of the store client against the key-value service stand-in over HTTP."""
 
 from __future__ import annotations
 
@@ -39,7 +39,9 @@
         await session.post(url + "/admin/fault", json=fault)
 
 
-async def test_each_put_keeps_its_own_condition_when_committed_together(store: EtcdStore) -> None:
+async def test_puts_committed_together_are_each_checked_on_their_own_condition(
+    store: EtcdStore,
+) -> None:
     (first,) = (await store.commit(puts=[put("a", b"1")])).unwrap()
     outcomes = (await store.commit(puts=[put("a", b"2"), put("b", b"\xff\x00")])).unwrap()
     assert [outcome.written for outcome in outcomes] == [False, True]
@@ -52,7 +54,7 @@
     assert [(entry.key, entry.value) for entry in listed.entries] == [("b", b"\xff\x00")]
 
 
-async def test_write_is_uncertain_and_in_force_when_its_reply_is_lost(
+async def test_write_is_uncertain_but_takes_effect_when_its_reply_is_lost(
     store: EtcdStore, url: str
 ) -> None:
     await set_fault(url, mode="lose_reply", count=1, path="/v3/kv/txn")
@@ -61,7 +63,7 @@
     assert (await store.get(key="a")).unwrap() is not None
 
 
-async def test_leased_key_goes_and_its_watch_tells_when_the_lease_is_revoked(
+async def test_leased_key_is_deleted_and_watchers_notified_when_the_lease_is_revoked(
     store: EtcdStore,
 ) -> None:
     lease = (await store.grant_lease(ttl_s=60)).unwrap()
@@ -78,5 +80,5 @@
 
 
 def put(key: str, value: bytes) -> PutIf:
-    """Return a write of a key that must not exist."""
+    """Return a write of a key that must not exist yet."""
     return PutIf(key=key, value=value, expected_mod_revision=ABSENT)
