--- a/src/tanagerscale/replay/__init__.py
+++ b/src/tanagerscale/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replay of traces in virtual time, with the daemon's own scheduler and others."""
+"""Replays request traces in simulated time with the daemon's scheduler or a baseline policy."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from tanagerscale.replay._layouts import POLICIES
 from tanagerscale.replay._report import ReplayReport
 from tanagerscale.replay._run import ReplayRun
-from tanagerscale.replay._run import do_runs
+from tanagerscale.replay._run import execute_runs
 from tanagerscale.replay._run import main
 from tanagerscale.replay._run import run_replay
-from tanagerscale.replay._settings import Case
+from tanagerscale.replay._settings import FaultCase
 from tanagerscale.replay._trace import TraceRequest
-from tanagerscale.replay._trace import make_trace
+from tanagerscale.replay._trace import generate_trace
 from tanagerscale.replay._trace import read_trace
 from tanagerscale.replay._trace import write_trace
 
 __all__ = [
     "BASELINES",
     "POLICIES",
-    "Case",
+    "FaultCase",
     "ReplayReport",
     "ReplayRun",
     "TraceRequest",
-    "do_runs",
+    "execute_runs",
+    "generate_trace",
     "main",
-    "make_trace",
     "read_trace",
     "run_replay",
     "write_trace",
--- a/src/tanagerscale/replay/_baselines.py
+++ b/src/tanagerscale/replay/_baselines.py
@@ -1,4 +1,4 @@
-"""The simple rules that the default policy is compared with."""
+"""Baseline schedulers that the default policy is compared with."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 
 @final
 class RoundRobin(ImmediateScheduler):
-    """Takes the engines in turn.
+    """Selects the engines in rotation.
 
-    :param rng: Chooses where to begin, so that hosts do not march in step.
+    :param rng: Random number generator that selects the start of the rotation, so that the
+        hosts do not all select the same engine at once.
     """
 
     def __init__(self, *, rng: Random) -> None:
         super().__init__()
-        self._turn = rng.randrange(1 << 16)
+        self._next_index = rng.randrange(1 << 16)
 
     def choose(self, *, candidates: Sequence[UpstreamId]) -> UpstreamId:
-        """Return the next candidate in turn."""
-        self._turn += 1
-        return candidates[self._turn % len(candidates)]
+        """Return the next candidate of the rotation."""
+        self._next_index += 1
+        return candidates[self._next_index % len(candidates)]
 
 
 @final
-class LateLeastLoad(ImmediateScheduler):
-    """Takes the engine whose last report shows the fewest generations; memory breaks ties.
+class ReportedLeastLoad(ImmediateScheduler):
+    """Selects the engine with the fewest generations in its last load report.
 
-    :param rng: Breaks the ties that are left.
+    Ties go to the engine that uses less memory.
+
+    :param rng: Random number generator used to break the remaining ties.
     """
 
     def __init__(self, *, rng: Random) -> None:
@@ -51,9 +54,9 @@
 
 @final
 class TwoChoices(ImmediateScheduler):
-    """Draws two engines and takes the one with less reported load (Mitzenmacher, 2001).
+    """Samples two engines and selects the one with less reported load (Mitzenmacher, 2001).
 
-    :param rng: Draws the engines.
+    :param rng: Random number generator that samples the engines.
     """
 
     def __init__(self, *, rng: Random) -> None:
@@ -61,9 +64,9 @@
         self._rng = rng
 
     def choose(self, *, candidates: Sequence[UpstreamId]) -> UpstreamId:
-        """Return the less loaded of two candidates drawn at random."""
-        drawn = self._rng.sample(candidates, min(2, len(candidates)))
-        return min(drawn, key=self._load)
+        """Return the less loaded of two candidates sampled at random."""
+        sampled = self._rng.sample(candidates, min(2, len(candidates)))
+        return min(sampled, key=self._load)
 
     def _load(self, engine: UpstreamId) -> int:
         load = self.loads.get(engine)
--- a/src/tanagerscale/replay/_capacity.py
+++ b/src/tanagerscale/replay/_capacity.py
@@ -1,4 +1,4 @@
-"""How many requests of a user's mix the engines carry."""
+"""Measures the request rate that the engines sustain for a user's workload mix."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from tanagerscale.replay._layouts import POLICIES
 from tanagerscale.replay._settings import ENGINE_MODELS
 from tanagerscale.replay._settings import ReplaySettings
-from tanagerscale.replay._trace import make_trace
-from tanagerscale.replay._world import World
+from tanagerscale.replay._trace import generate_trace
+from tanagerscale.replay._world import Simulation
 
-SATURATING_RATE = 40.0
+SATURATING_RATE_PER_S = 40.0
 WARM_UP_S = 60
-WATCHED_S = 180
+MEASUREMENT_S = 180
 
 
-def measure_capacity(*, user: str, setting: str, seed: int) -> float:
-    """Return the requests a second that five engines finish when there always is work.
+def measure_capacity_per_s(*, user: str, setting: str, seed: int) -> float:
+    """Return the requests per second that five engines complete under saturation.
 
-    The clairvoyant keeps engines full without preemption and takes requests in order of
-    arrival, so that what it finishes has the mix that callers ask for.
+    The clairvoyant scheduler keeps the engines full without preemption and admits requests in
+    order of arrival, so that the completed requests have the same mix as the submitted ones.
 
-    :param user: A key of ``USERS``.
+    :param user: A key of ``USER_PROFILES``.
     :param setting: A key of ``ENGINE_MODELS``.
-    :param seed: Seed of the trace.
+    :param seed: Seed of the trace and of the simulation.
     """
-    until = WARM_UP_S + WATCHED_S
-    trace = make_trace(user=user, rate=SATURATING_RATE, seed=seed, duration_s=until)
+    end_s = WARM_UP_S + MEASUREMENT_S
+    trace = generate_trace(user=user, rate=SATURATING_RATE_PER_S, seed=seed, duration_s=end_s)
     settings = ReplaySettings(model=ENGINE_MODELS[setting])
-    world = World(trace=trace, settings=settings, seed=seed)
-    world.at(float(until * MS_PER_SECOND), world.stop)
-    world.run(layout=POLICIES["in-order"](world, Random(seed)))
-    finished = [
+    simulation = Simulation(trace=trace, settings=settings, seed=seed)
+    simulation.schedule_at(float(end_s * MS_PER_SECOND), simulation.stop)
+    simulation.run(topology=POLICIES["in-order"](simulation, Random(seed)))
+    completed = [
         job
-        for job in world.jobs
-        if job.complete and WARM_UP_S * MS_PER_SECOND <= job.ended_at < until * MS_PER_SECOND
+        for job in simulation.jobs
+        if job.complete and WARM_UP_S * MS_PER_SECOND <= job.ended_at < end_s * MS_PER_SECOND
     ]
-    return len(finished) / WATCHED_S
+    return len(completed) / MEASUREMENT_S
--- a/src/tanagerscale/replay/_engine.py
+++ b/src/tanagerscale/replay/_engine.py
@@ -1,9 +1,9 @@
-"""A small fake of a model engine, parametrised from published behaviour.
+"""Simulates an inference engine, with parameters derived from published behaviour.
 
 Continuous batching, block memory and preemption by recompute follow PagedAttention (Kwon et al.,
-SOSP 2023), chunked prefill follows Sarathi-Serve (Agrawal et al., OSDI 2024). All generations
-that decode make one token in each step, so a step costs a constant time here however large the
-batch is: ends and block boundaries are indexed by step number.
+SOSP 2023), chunked prefill follows Sarathi-Serve (Agrawal et al., OSDI 2024). Every decoding
+generation produces one token per step. Completions and block allocations are indexed by step
+number, so the simulation of a step takes constant time whatever the batch size.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 from msgspec import Struct
 
-from tanagerscale.replay._sequence import GapSink
 from tanagerscale.replay._sequence import Sequence
-from tanagerscale.replay._sequence import SequenceEvents
+from tanagerscale.replay._sequence import SequenceListener
+from tanagerscale.replay._sequence import StepListener
 
 BLOCK_TOKENS = 16
-WATERMARK = 0.01
-"""Part of memory that admission leaves free, as vLLM does."""
+MEMORY_WATERMARK = 0.01
+"""Fraction of memory that admission keeps free, as in vLLM."""
 
 
 class EngineModel(Struct, frozen=True, kw_only=True):
-    """Speed and memory of an engine.
-
-    :param base_ms: Time of a step however small.
-    :param sequence_ms: Time for each generation decoded in a step.
-    :param context_ms: Time for each token of context read in a step.
-    :param prefill_ms: Time for each prompt token computed in a step.
-    :param chunk_tokens: Most prompt tokens computed in a step.
-    :param memory_tokens: Tokens of key-value memory.
-    :param max_batch: Most generations that run together.
+    """Performance model of an engine: step times and memory.
+
+    :param base_ms: Fixed time of a step.
+    :param sequence_ms: Additional time per generation decoded in the step.
+    :param context_ms: Additional time per token of context read in the step.
+    :param prefill_ms: Additional time per prompt token computed in the step.
+    :param chunk_tokens: Maximum number of prompt tokens computed in a step.
+    :param memory_tokens: Capacity of the key-value cache, in tokens.
+    :param max_batch: Maximum number of generations in the batch.
     """
 
     base_ms: float = 14.0
@@ -49,14 +49,15 @@
 
 
 @final
-class EngineFake:
-    """One engine in virtual time.
-
-    :param name: Its id.
-    :param model: Speed and memory.
-    :param events: Who hears of its generations.
-    :param gaps: Who hears of its steps.
-    :param token_gap_ms: Objective for the time between tokens.
+class SimulatedEngine:
+    """Simulates one engine with continuous batching in simulated time.
+
+    :param name: Id of the engine.
+    :param model: Step times and memory of the engine.
+    :param listener: Receives the events of generations and of the prefix cache.
+    :param step_listener: Receives the duration of each step.
+    :param token_gap_ms: Objective for the time between tokens, in milliseconds; time beyond it
+        counts as stall.
     """
 
     def __init__(
@@ -64,98 +65,101 @@
         *,
         name: str,
         model: EngineModel,
-        events: SequenceEvents,
-        gaps: GapSink,
+        listener: SequenceListener,
+        step_listener: StepListener,
         token_gap_ms: float,
     ) -> None:
         self.name = name
         self.model = model
-        self.alive = True
+        self.is_alive = True
         self.preemptions = 0
         self.recomputed_tokens = 0
         self.busy_ms = 0.0
         self.prefilled_tokens = 0
-        self._events = events
-        self._gaps = gaps
+        self._listener = listener
+        self._step_listener = step_listener
         self._token_gap_ms = token_gap_ms
         self._blocks = model.memory_tokens // BLOCK_TOKENS
         self._free = self._blocks
-        """Blocks that no running generation holds; cached prefixes lie in them."""
-        self._cached: OrderedDict[str, int] = OrderedDict()
+        """Blocks that no running generation holds; cached prefixes occupy some of them."""
+        self._cached_prefixes: OrderedDict[str, int] = OrderedDict()
         self._cached_blocks = 0
-        self._users: dict[str, int] = {}
+        self._prefix_users: dict[str, int] = {}
         self._waiting: list[tuple[int, int, Sequence]] = []
         self._running: dict[int, Sequence] = {}
         self._prefilling: list[Sequence] = []
-        self._ends: list[tuple[int, int, int, Sequence]] = []
-        self._boundaries = [0] * BLOCK_TOKENS
+        self._next_events: list[tuple[int, int, int, Sequence]] = []
+        self._blocks_due = [0] * BLOCK_TOKENS
+        """Number of generations that need a new block, by step number modulo ``BLOCK_TOKENS``."""
         self._step = 0
         self._decoding = 0
-        self._counted = 0
-        self._excess = 0.0
-        self._number = 0
+        self._progressing = 0
+        self._stall_ms = 0.0
+        self._last_number = 0
         self._duration = 0.0
         self._in_step = False
-        self._started: list[Sequence] = []
+        self._prefilled: list[Sequence] = []
 
     @property
-    def idle(self) -> bool:
-        """Return whether there is nothing to run."""
+    def is_idle(self) -> bool:
+        """Whether the engine has no running and no waiting generations."""
         return not self._running and not self._waiting
 
     @property
     def running(self) -> int:
-        """Return how many generations are in the batch."""
+        """Number of generations in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Return how many generations wait for the batch."""
+        """Number of generations waiting to join the batch."""
         return len(self._waiting)
 
     @property
     def used_tokens(self) -> int:
-        """Return how many tokens of memory running generations hold."""
+        """Memory that running generations hold, in tokens."""
         return (self._blocks - self._free) * BLOCK_TOKENS
 
-    def caches(self, prefix: str) -> bool:
-        """Return whether a prefix need not be computed; only the clairvoyant may ask."""
-        return prefix in self._cached or prefix in self._users
+    def has_prefix(self, prefix: str) -> bool:
+        """Return whether a prefix is in memory; only for the clairvoyant scheduler."""
+        return prefix in self._cached_prefixes or prefix in self._prefix_users
 
     def sequences(self) -> list[Sequence]:
-        """Return everything it holds, running first."""
+        """Return the running generations, then the waiting ones."""
         return list(self._running.values()) + [entry[2] for entry in self._waiting]
 
     def produced(self, sequence: Sequence) -> int:
-        """Return how many tokens a generation has made."""
+        """Return the number of tokens a generation has produced."""
         if sequence.start_step >= 0:
             return sequence.produced + self._step - sequence.start_step
         return sequence.produced
 
     def submit(self, sequence: Sequence) -> None:
-        """Queue a generation."""
-        self._number += 1
-        sequence.number = self._number
+        """Add a generation to the waiting queue."""
+        self._last_number += 1
+        sequence.number = self._last_number
         heapq.heappush(self._waiting, (sequence.priority, sequence.number, sequence))
 
     def cancel(self, sequence: Sequence, *, now: float) -> int:
-        """Stop a generation.
+        """Cancel a generation.
 
-        :returns: How many tokens it had made.
+        :param now: Current time, in milliseconds.
+        :returns: The number of tokens it had produced.
         """
         if sequence.running:
-            self._leave(sequence, now=now)
+            self._remove_running(sequence, now=now)
         else:
             self._waiting = [entry for entry in self._waiting if entry[2] is not sequence]
             heapq.heapify(self._waiting)
         return sequence.produced
 
     def begin_step(self, *, now: float) -> float:
-        """Start a step.
+        """Begin a step.
 
-        :returns: How long it takes, in milliseconds.
+        :param now: Current time, in milliseconds.
+        :returns: Duration of the step, in milliseconds.
         """
-        self._secure_memory(now=now)
+        self._preempt_for_memory(now=now)
         self._admit()
         chunk = self._prefill()
         model = self.model
@@ -167,177 +171,190 @@
         )
         self.busy_ms += self._duration
         self.prefilled_tokens += chunk
-        self._free -= self._boundaries[self._step % BLOCK_TOKENS]
+        self._free -= self._blocks_due[self._step % BLOCK_TOKENS]
         self._in_step = True
         return self._duration
 
     def end_step(self, *, now: float) -> None:
-        """Finish the step that was begun last."""
+        """Complete the current step.
+
+        :param now: Current time, in milliseconds.
+        """
         self._in_step = False
         self._step += 1
-        if self._counted:
-            self._gaps.step(duration_ms=self._duration, generations=self._counted)
-        self._excess += max(self._duration - self._token_gap_ms, 0.0)
-        while self._ends and self._ends[0][0] <= self._step:
-            _, _, epoch, sequence = heapq.heappop(self._ends)
+        if self._progressing:
+            self._step_listener.on_step(duration_ms=self._duration, generations=self._progressing)
+        self._stall_ms += max(self._duration - self._token_gap_ms, 0.0)
+        while self._next_events and self._next_events[0][0] <= self._step:
+            _, _, epoch, sequence = heapq.heappop(self._next_events)
             if epoch == sequence.epoch:
-                self._reached(sequence, now=now)
-        for sequence in self._started:
-            if sequence.running and sequence.prefill_left == 0 and sequence.start_step < 0:
+                self._handle_event(sequence, now=now)
+        for sequence in self._prefilled:
+            if sequence.running and sequence.prefill_remaining == 0 and sequence.start_step < 0:
                 self._start_decoding(sequence, now=now)
-        self._started.clear()
+        self._prefilled.clear()
 
-    def _reached(self, sequence: Sequence, *, now: float) -> None:
-        """Handle a generation's next event: its first new token, or its end."""
+    def _handle_event(self, sequence: Sequence, *, now: float) -> None:
+        """Handle the scheduled event of a generation: its first new token or its completion."""
         total = self.produced(sequence)
-        if not sequence.counted:
-            self._count(sequence, total=total, now=now)
-        if total >= sequence.output:
-            self._leave(sequence, now=now)
-            self._events.on_end(sequence, now=now)
+        if not sequence.is_progressing:
+            self._start_progress(sequence, total=total, now=now)
+        if total >= sequence.output_tokens:
+            self._remove_running(sequence, now=now)
+            self._listener.on_end(sequence, now=now)
             return
-        self._schedule(sequence)
+        self._schedule_event(sequence)
 
-    def _count(self, sequence: Sequence, *, total: int, now: float) -> None:
-        self._events.on_progress(sequence, total=total, now=now)
-        sequence.counted = True
-        sequence.excess_at = self._excess
-        self._counted += 1
+    def _start_progress(self, sequence: Sequence, *, total: int, now: float) -> None:
+        self._listener.on_progress(sequence, total=total, now=now)
+        sequence.is_progressing = True
+        sequence.stall_at_resume_ms = self._stall_ms
+        self._progressing += 1
 
     def _start_decoding(self, sequence: Sequence, *, now: float) -> None:
-        if (sequence.private + sequence.produced) % BLOCK_TOKENS == 0:
+        if (sequence.private_tokens + sequence.produced) % BLOCK_TOKENS == 0:
             self._free -= 1
         sequence.produced += 1
         sequence.start_step = self._step
         self._decoding += 1
-        self._boundaries[self._boundary(sequence)] += 1
-        if sequence.produced > sequence.seen:
-            self._reached(sequence, now=now)
+        self._blocks_due[self._due_index(sequence)] += 1
+        if sequence.produced > sequence.already_generated:
+            self._handle_event(sequence, now=now)
         else:
-            self._schedule(sequence)
+            self._schedule_event(sequence)
 
-    def _schedule(self, sequence: Sequence) -> None:
-        goal = sequence.output if sequence.counted else min(sequence.seen + 1, sequence.output)
+    def _schedule_event(self, sequence: Sequence) -> None:
+        goal = (
+            sequence.output_tokens
+            if sequence.is_progressing
+            else min(sequence.already_generated + 1, sequence.output_tokens)
+        )
         step = sequence.start_step + goal - sequence.produced
-        heapq.heappush(self._ends, (step, sequence.number, sequence.epoch, sequence))
+        heapq.heappush(self._next_events, (step, sequence.number, sequence.epoch, sequence))
 
-    def _boundary(self, sequence: Sequence) -> int:
-        return (sequence.start_step - sequence.private - sequence.produced) % BLOCK_TOKENS
+    def _due_index(self, sequence: Sequence) -> int:
+        return (sequence.start_step - sequence.private_tokens - sequence.produced) % BLOCK_TOKENS
 
-    def _secure_memory(self, *, now: float) -> None:
-        """Preempt until the step's new tokens have room."""
-        while self._boundaries[self._step % BLOCK_TOKENS] > self._free and len(self._running) > 1:
+    def _preempt_for_memory(self, *, now: float) -> None:
+        """Preempt generations until the step's new tokens fit in memory."""
+        while self._blocks_due[self._step % BLOCK_TOKENS] > self._free and len(self._running) > 1:
             victim = max(self._running.values(), key=lambda item: (item.priority, item.number))
             self._preempt(victim, now=now)
-        self._trim_cache()
+        self._evict_prefixes()
 
     def _preempt(self, sequence: Sequence, *, now: float) -> None:
-        self._leave(sequence, now=now)
+        self._remove_running(sequence, now=now)
         self.preemptions += 1
-        self.recomputed_tokens += sequence.private + sequence.prefix_tokens + sequence.produced
-        sequence.seen = max(sequence.seen, sequence.produced)
+        self.recomputed_tokens += (
+            sequence.private_tokens + sequence.prefix_tokens + sequence.produced
+        )
+        sequence.already_generated = max(sequence.already_generated, sequence.produced)
         heapq.heappush(self._waiting, (sequence.priority, sequence.number, sequence))
 
-    def _leave(self, sequence: Sequence, *, now: float) -> None:
-        """Take a generation out of the batch and free its memory."""
+    def _remove_running(self, sequence: Sequence, *, now: float) -> None:
+        """Remove a generation from the batch and free its memory."""
         total = self.produced(sequence)
         if sequence.start_step >= 0:
-            self._boundaries[self._boundary(sequence)] -= 1
+            self._blocks_due[self._due_index(sequence)] -= 1
             self._decoding -= 1
-        if sequence.counted:
-            self._counted -= 1
-            self._events.on_pause(
-                sequence, total=total, now=now, excess_ms=self._excess - sequence.excess_at
+        if sequence.is_progressing:
+            self._progressing -= 1
+            self._listener.on_pause(
+                sequence,
+                total=total,
+                now=now,
+                stall_ms=self._stall_ms - sequence.stall_at_resume_ms,
             )
-        sequence.counted = False
+        sequence.is_progressing = False
         sequence.running = False
         sequence.epoch += 1
         del self._running[sequence.number]
-        if sequence.prefill_left > 0:
+        if sequence.prefill_remaining > 0:
             self._prefilling.remove(sequence)
-            sequence.prefill_left = 0
-        held = sequence.private + total
+            sequence.prefill_remaining = 0
+        held = sequence.private_tokens + total
         self._free += _blocks(held)
         if self._in_step and sequence.start_step >= 0 and held % BLOCK_TOKENS == 0:
-            # The step under way had taken a block for the token that will not be made.
+            # The current step has allocated a block for a token that is not produced any more.
             self._free += 1
         sequence.produced = total
         sequence.start_step = -1
         self._release_prefix(sequence)
 
     def _admit(self) -> None:
-        spare = int(self._blocks * WATERMARK)
+        reserved_blocks = int(self._blocks * MEMORY_WATERMARK)
         while self._waiting and len(self._running) < self.model.max_batch:
             sequence = self._waiting[0][2]
-            need = _blocks(sequence.private + sequence.produced)
-            if sequence.prefix and sequence.prefix not in self._users:
+            need = _blocks(sequence.private_tokens + sequence.produced)
+            if sequence.prefix and sequence.prefix not in self._prefix_users:
                 need += _blocks(sequence.prefix_tokens)
-            if need + spare > self._free and self._running:
+            if need + reserved_blocks > self._free and self._running:
                 return
             heapq.heappop(self._waiting)
-            self._enter(sequence)
-
-    def _enter(self, sequence: Sequence) -> None:
-        self._free -= _blocks(sequence.private + sequence.produced)
-        cached = self._take_prefix(sequence)
-        sequence.prefill_left = max(
-            sequence.private + sequence.produced + (0 if cached else sequence.prefix_tokens), 1
+            self._start_running(sequence)
+
+    def _start_running(self, sequence: Sequence) -> None:
+        self._free -= _blocks(sequence.private_tokens + sequence.produced)
+        cached = self._acquire_prefix(sequence)
+        sequence.prefill_remaining = max(
+            sequence.private_tokens + sequence.produced + (0 if cached else sequence.prefix_tokens),
+            1,
         )
         sequence.running = True
         self._running[sequence.number] = sequence
         self._prefilling.append(sequence)
-        self._trim_cache()
+        self._evict_prefixes()
 
     def _prefill(self) -> int:
-        """Compute up to a chunk of prompt tokens, the longest waiting generation first."""
+        """Compute up to one chunk of prompt tokens, in order of admission."""
         left = self.model.chunk_tokens
         while self._prefilling and left > 0:
             sequence = self._prefilling[0]
-            part = min(sequence.prefill_left, left)
-            sequence.prefill_left -= part
-            left -= part
-            if sequence.prefill_left == 0:
+            computed = min(sequence.prefill_remaining, left)
+            sequence.prefill_remaining -= computed
+            left -= computed
+            if sequence.prefill_remaining == 0:
                 self._prefilling.pop(0)
-                self._started.append(sequence)
+                self._prefilled.append(sequence)
         return self.model.chunk_tokens - left
 
-    def _take_prefix(self, sequence: Sequence) -> bool:
-        """Hold a prefix's blocks.
+    def _acquire_prefix(self, sequence: Sequence) -> bool:
+        """Acquire the blocks of a generation's prefix.
 
-        :returns: Whether they were computed before.
+        :returns: Whether the prefix needs no computation.
         """
         prefix = sequence.prefix
         if not prefix:
             return True
-        if prefix in self._users:
-            self._users[prefix] += 1
+        if prefix in self._prefix_users:
+            self._prefix_users[prefix] += 1
             return True
-        self._users[prefix] = 1
+        self._prefix_users[prefix] = 1
         blocks = _blocks(sequence.prefix_tokens)
         self._free -= blocks
-        if prefix in self._cached:
-            self._cached_blocks -= self._cached.pop(prefix)
+        if prefix in self._cached_prefixes:
+            self._cached_blocks -= self._cached_prefixes.pop(prefix)
             return True
-        self._events.on_cache(self, prefix=prefix, stored=True)
+        self._listener.on_cache(self, prefix=prefix, stored=True)
         return False
 
     def _release_prefix(self, sequence: Sequence) -> None:
         prefix = sequence.prefix
         if not prefix:
             return
-        self._users[prefix] -= 1
-        if self._users[prefix]:
+        self._prefix_users[prefix] -= 1
+        if self._prefix_users[prefix]:
             return
-        del self._users[prefix]
+        del self._prefix_users[prefix]
         blocks = _blocks(sequence.prefix_tokens)
         self._free += blocks
-        self._cached[prefix] = blocks
+        self._cached_prefixes[prefix] = blocks
         self._cached_blocks += blocks
 
-    def _trim_cache(self) -> None:
-        """Evict the least recently used prefixes whose blocks are needed."""
-        need = self._boundaries[self._step % BLOCK_TOKENS]
-        while self._cached and self._cached_blocks + need > self._free:
-            prefix, blocks = self._cached.popitem(last=False)
+    def _evict_prefixes(self) -> None:
+        """Evict the least recently used prefixes until the step's new blocks fit in memory."""
+        need = self._blocks_due[self._step % BLOCK_TOKENS]
+        while self._cached_prefixes and self._cached_blocks + need > self._free:
+            prefix, blocks = self._cached_prefixes.popitem(last=False)
             self._cached_blocks -= blocks
-            self._events.on_cache(self, prefix=prefix, stored=False)
+            self._listener.on_cache(self, prefix=prefix, stored=False)
--- a/src/tanagerscale/replay/_faults.py
+++ b/src/tanagerscale/replay/_faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a replay, and when hosts notice."""
+"""Injects the faults of a replay and simulates how long hosts take to detect them."""
 
 from __future__ import annotations
 
@@ -6,70 +6,79 @@
 from typing import final
 
 from tanagerscale.core import UpstreamId
-from tanagerscale.replay._engine import EngineFake
+from tanagerscale.replay._engine import SimulatedEngine
 from tanagerscale.replay._jobs import Job
 from tanagerscale.replay._sequence import Sequence
-from tanagerscale.replay._settings import DETECTION_MS
-from tanagerscale.replay._settings import OUTAGE_MS
-from tanagerscale.replay._settings import Case
+from tanagerscale.replay._settings import FAULT_DETECTION_MS
+from tanagerscale.replay._settings import OUTAGE_DURATION_MS
+from tanagerscale.replay._settings import FaultCase
 
 if TYPE_CHECKING:
-    from tanagerscale.replay._world import World
+    from tanagerscale.replay._world import Simulation
 
-NOTICE_MS = 20_000.0
-"""How long before it goes a reclaimed engine is listed as leaving."""
+RECLAIM_NOTICE_MS = 20_000.0
+"""Time from the listing of a reclaimed engine as leaving to its loss."""
 
-TAKEOVER_MS = 3_000.0
-"""How long until another host has taken over from a lost owner."""
+TAKEOVER_DELAY_MS = 3_000.0
+"""Time until another host has taken over from a lost owner."""
 
 
 @final
-class Faults:
-    """Causes the failures of one case.
+class FaultInjector:
+    """Injects the fault of the configured case.
 
-    :param world: The replay.
+    :param simulation: Simulation to inject the fault into.
     """
 
-    def __init__(self, *, world: World) -> None:
-        self._world = world
+    def __init__(self, *, simulation: Simulation) -> None:
+        self._simulation = simulation
 
-    def plan(self) -> None:
-        """Set when the case's failure begins and ends."""
-        case, when = self._world.settings.case, self._world.settings.fault_at_ms
-        first = next(iter(self._world.engines))
-        if case is Case.ENGINE_LOST:
-            self._world.at(when, lambda: self._lose_engine(first))
-        elif case is Case.ENGINE_RECLAIMED:
-            self._world.at(when + DETECTION_MS, lambda: self._close_engine(first))
-            self._world.at(when + NOTICE_MS, lambda: self._lose_engine(first))
-        elif case in (Case.OWNER_LOST, Case.OWNER_FROZEN, Case.HOSTS_CUT):
-            lasts = TAKEOVER_MS if case is Case.OWNER_LOST else OUTAGE_MS
-            self._world.at(
-                when, lambda: self._world.layout.on_fault(self._world, case=case, began=True)
+    def schedule(self) -> None:
+        """Schedule the start and the end of the fault."""
+        case, fault_at_ms = self._simulation.settings.case, self._simulation.settings.fault_at_ms
+        first = next(iter(self._simulation.engines))
+        if case is FaultCase.ENGINE_LOST:
+            self._simulation.schedule_at(fault_at_ms, lambda: self._fail_engine(first))
+        elif case is FaultCase.ENGINE_RECLAIMED:
+            self._simulation.schedule_at(
+                fault_at_ms + FAULT_DETECTION_MS, lambda: self._drain_engine(first)
             )
-            self._world.at(
-                when + lasts,
-                lambda: self._world.layout.on_fault(self._world, case=case, began=False),
+            self._simulation.schedule_at(
+                fault_at_ms + RECLAIM_NOTICE_MS, lambda: self._fail_engine(first)
+            )
+        elif case in (FaultCase.OWNER_LOST, FaultCase.OWNER_FROZEN, FaultCase.HOSTS_CUT):
+            duration_ms = TAKEOVER_DELAY_MS if case is FaultCase.OWNER_LOST else OUTAGE_DURATION_MS
+            self._simulation.schedule_at(
+                fault_at_ms,
+                lambda: self._simulation.topology.on_fault(self._simulation, case=case, began=True),
+            )
+            self._simulation.schedule_at(
+                fault_at_ms + duration_ms,
+                lambda: self._simulation.topology.on_fault(
+                    self._simulation, case=case, began=False
+                ),
             )
 
-    def _close_engine(self, name: UpstreamId) -> None:
-        self._world.close_engine(name)
+    def _drain_engine(self, name: UpstreamId) -> None:
+        self._simulation.drain_engine(name)
 
-    def _lose_engine(self, name: UpstreamId) -> None:
-        engine = self._world.engines[name]
+    def _fail_engine(self, name: UpstreamId) -> None:
+        engine = self._simulation.engines[name]
         lost = engine.sequences()
         for sequence in lost:
-            made = engine.cancel(sequence, now=self._world.now)
-            self._world.table.recomputed_tokens += made
-        engine.alive = False
-        self._world.after(DETECTION_MS, lambda: self._engine_gone(engine, lost))
+            cancelled_tokens = engine.cancel(sequence, now=self._simulation.now)
+            self._simulation.table.recomputed_tokens += cancelled_tokens
+        engine.is_alive = False
+        self._simulation.schedule_after(
+            FAULT_DETECTION_MS, lambda: self._handle_engine_loss(engine, lost)
+        )
 
-    def _engine_gone(self, engine: EngineFake, lost: list[Sequence]) -> None:
+    def _handle_engine_loss(self, engine: SimulatedEngine, lost: list[Sequence]) -> None:
         name = UpstreamId(engine.name)
-        self._close_engine(name)
-        for site in self._world.layout.sites:
-            site.scheduler.on_engine_lost(engine=name, now=self._world.millis())
+        self._drain_engine(name)
+        for instance in self._simulation.topology.instances:
+            instance.scheduler.on_engine_lost(engine=name, now=self._simulation.now_ms())
         for sequence in lost:
             job: Job = sequence.owner
             if not job.done and job.sequence is sequence:
-                self._world.restart(job, engine)
+                self._simulation.restart(job, engine)
--- a/src/tanagerscale/replay/_layouts.py
+++ b/src/tanagerscale/replay/_layouts.py
@@ -1,4 +1,4 @@
-"""The policies by name: which schedulers each has and which of them a host asks."""
+"""Policies by name and the scheduler topology of each."""
 
 from __future__ import annotations
 
@@ -14,87 +14,88 @@
 from tanagerscale.policy import Scheduler
 from tanagerscale.policy import Tuning
 from tanagerscale.policy import tuning_for
-from tanagerscale.replay._baselines import LateLeastLoad
+from tanagerscale.replay._baselines import ReportedLeastLoad
 from tanagerscale.replay._baselines import RoundRobin
 from tanagerscale.replay._baselines import TwoChoices
-from tanagerscale.replay._clairvoyant import Clairvoyant
+from tanagerscale.replay._clairvoyant import ClairvoyantScheduler
 from tanagerscale.replay._jobs import Job
-from tanagerscale.replay._jobs import Layout
-from tanagerscale.replay._jobs import Site
-from tanagerscale.replay._settings import OUTAGE_MS
-from tanagerscale.replay._settings import Case
+from tanagerscale.replay._jobs import SchedulerInstance
+from tanagerscale.replay._jobs import SchedulerTopology
+from tanagerscale.replay._settings import OUTAGE_DURATION_MS
+from tanagerscale.replay._settings import FaultCase
 from tanagerscale.replay._settings import ReplaySettings
-from tanagerscale.replay._world import World
+from tanagerscale.replay._world import Simulation
 
-NO_ANSWER_MS = 300.0
-"""How long a host waits for its owner before it decides by itself."""
+OWNER_TIMEOUT_MS = 300.0
+"""Time without an answer from the owner after which a host uses its own scheduler."""
 
-CREDIT_PERIOD_MS = 250.0
+CREDIT_INTERVAL_MS = 250.0
 
-MakeLayout = Callable[[World, Random], Layout]
+TopologyFactory = Callable[[Simulation, Random], SchedulerTopology]
 
 
 @final
-class PerHost:
-    """Each host decides alone.
+class PerHostTopology:
+    """One independent scheduler per host.
 
-    :param schedulers: One for each host.
+    :param schedulers: Schedulers in the order of the hosts.
     """
 
     def __init__(self, *, schedulers: Sequence[Scheduler]) -> None:
-        self._sites = [
-            Site(scheduler=scheduler, host=host) for host, scheduler in enumerate(schedulers)
+        self._instances = [
+            SchedulerInstance(scheduler=scheduler, host=host)
+            for host, scheduler in enumerate(schedulers)
         ]
 
     @property
-    def sites(self) -> Sequence[Site]:
-        """Return one site for each host."""
-        return self._sites
+    def instances(self) -> Sequence[SchedulerInstance]:
+        """One scheduler instance per host."""
+        return self._instances
 
-    def site_for(self, *, host: int, now: float) -> Site:
-        """Return the host's own site."""
-        return self._sites[host]
+    def instance_for(self, *, host: int, now: float) -> SchedulerInstance:
+        """Return the host's own scheduler instance."""
+        return self._instances[host]
 
-    def on_fault(self, world: World, *, case: Case, began: bool) -> None:
-        """Do nothing: hosts that decide alone do not need one another."""
+    def on_fault(self, simulation: Simulation, *, case: FaultCase, began: bool) -> None:
+        """Do nothing: independent hosts do not depend on one another."""
 
-    def on_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
-        """Do nothing: the scheduler that placed it learns of it."""
+    def on_answer_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
+        """Do nothing: the scheduler that placed the request is notified anyway."""
 
 
 @final
-class Single:
-    """One scheduler for all hosts.
+class SingleSchedulerTopology:
+    """One central scheduler for all hosts.
 
-    :param scheduler: The scheduler.
-    :param host: Where it runs; ``None`` when messages to it take no time.
+    :param scheduler: Scheduler that serves all hosts.
+    :param host: Index of the host that runs it; ``None`` if messages to it have no delay.
     """
 
     def __init__(self, *, scheduler: Scheduler, host: int | None) -> None:
-        self._site = Site(scheduler=scheduler, host=host)
+        self._instance = SchedulerInstance(scheduler=scheduler, host=host)
 
     @property
-    def sites(self) -> Sequence[Site]:
-        """Return the one site."""
-        return [self._site]
+    def instances(self) -> Sequence[SchedulerInstance]:
+        """The central scheduler instance."""
+        return [self._instance]
 
-    def site_for(self, *, host: int, now: float) -> Site:
-        """Return the one site."""
-        return self._site
+    def instance_for(self, *, host: int, now: float) -> SchedulerInstance:
+        """Return the central scheduler instance."""
+        return self._instance
 
-    def on_fault(self, world: World, *, case: Case, began: bool) -> None:
-        """Do nothing."""
+    def on_fault(self, simulation: Simulation, *, case: FaultCase, began: bool) -> None:
+        """Do nothing: the central scheduler is not affected."""
 
-    def on_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
-        """Do nothing: the scheduler that placed it learns of it."""
+    def on_answer_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
+        """Do nothing: the scheduler that placed the request is notified anyway."""
 
 
 @final
-class OwnerWithFallback:
-    """One owner's ledger; hosts that can't reach it use their share of each engine.
+class OwnerTopology:
+    """One owner for all hosts; hosts that cannot reach it use their share of each engine.
 
-    :param owner: The owner's scheduler.
-    :param fallbacks: Each host's own scheduler.
+    :param owner: Scheduler of the owner.
+    :param fallbacks: Fallback schedulers in the order of the hosts.
     """
 
     def __init__(
@@ -103,195 +104,219 @@
         owner: ForecastScheduler,
         fallbacks: Sequence[ForecastScheduler],
     ) -> None:
-        self._owner = Site(scheduler=owner, host=0)
+        self._owner = SchedulerInstance(scheduler=owner, host=0)
         self._schedulers = list(fallbacks)
         self._fallbacks = [
-            Site(scheduler=scheduler, host=host) for host, scheduler in enumerate(fallbacks)
+            SchedulerInstance(scheduler=scheduler, host=host)
+            for host, scheduler in enumerate(fallbacks)
         ]
-        self._cut: set[int] = set()
+        self._disconnected_hosts: set[int] = set()
 
     @property
-    def sites(self) -> Sequence[Site]:
-        """Return the owner and every host's fallback."""
+    def instances(self) -> Sequence[SchedulerInstance]:
+        """The owner's instance and the fallback instance of each host."""
         return [self._owner, *self._fallbacks]
 
-    def site_for(self, *, host: int, now: float) -> Site:
-        """Return the owner, or the host's own fallback while it is cut off."""
-        return self._fallbacks[host] if host in self._cut else self._owner
+    def instance_for(self, *, host: int, now: float) -> SchedulerInstance:
+        """Return the owner's instance, or the host's fallback while it is disconnected."""
+        return self._fallbacks[host] if host in self._disconnected_hosts else self._owner
 
-    def on_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
-        """Let each host learn from its own answers, so that it can take over."""
+    def on_answer_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
+        """Record the length in the host's own scheduler, so that it can become the owner."""
         self._schedulers[host].observe(request=request, tokens=tokens)
 
-    def on_fault(self, world: World, *, case: Case, began: bool) -> None:
-        """Have hosts fall back to their share, and return to the owner afterwards."""
+    def on_fault(self, simulation: Simulation, *, case: FaultCase, began: bool) -> None:
+        """Switch disconnected hosts to their fallbacks, and back when the fault ends."""
         if not began:
-            self._reunite(world, lost=case is Case.OWNER_LOST)
+            self._return_to_owner(simulation, lost=case is FaultCase.OWNER_LOST)
             return
-        if case is not Case.HOSTS_CUT:
-            self._owner.frozen_until = world.now + OUTAGE_MS
-        hosts = range(world.settings.hosts)
-        cut = [host for host in hosts if case is not Case.HOSTS_CUT or host >= len(hosts) // 2]
-        world.after(NO_ANSWER_MS, lambda: self._fall_back(world, cut))
-
-    def _fall_back(self, world: World, hosts: Sequence[int]) -> None:
-        self._cut.update(hosts)
-        for job in world.running_jobs():
-            if job.host in self._cut:
-                self._hand_over(world, job, self._fallbacks[job.host])
-        for job in world.waiting_jobs():
-            if job.host in self._cut:
-                world.send_request(job)
-
-    def _reunite(self, world: World, *, lost: bool) -> None:
-        self._cut.clear()
+        if case is not FaultCase.HOSTS_CUT:
+            self._owner.frozen_until = simulation.now + OUTAGE_DURATION_MS
+        hosts = range(simulation.settings.hosts)
+        disconnected = [
+            host for host in hosts if case is not FaultCase.HOSTS_CUT or host >= len(hosts) // 2
+        ]
+        simulation.schedule_after(
+            OWNER_TIMEOUT_MS, lambda: self._fall_back(simulation, disconnected)
+        )
+
+    def _fall_back(self, simulation: Simulation, hosts: Sequence[int]) -> None:
+        self._disconnected_hosts.update(hosts)
+        for job in simulation.running_jobs():
+            if job.host in self._disconnected_hosts:
+                self._hand_over(simulation, job, self._fallbacks[job.host])
+        for job in simulation.waiting_jobs():
+            if job.host in self._disconnected_hosts:
+                simulation.send_request(job)
+
+    def _return_to_owner(self, simulation: Simulation, *, lost: bool) -> None:
+        self._disconnected_hosts.clear()
         if lost:
-            # The next host in the rendezvous order; what it learnt as a host is all it knows.
+            # The next host in the rendezvous order takes over. It knows only the answer lengths
+            # that it has recorded as a host.
             successor = self._schedulers[1]
             successor.set_share(share=1.0)
-            self._owner = Site(scheduler=successor, host=1)
-            world.add_site(self._owner)
-        for job in world.running_jobs():
-            if job.site is not self._owner:
-                self._hand_over(world, job, self._owner)
-        for job in world.waiting_jobs():
-            if job.site is not self._owner:
-                self._withdraw(world, job)
-                world.send_request(job)
-
-    def _withdraw(self, world: World, job: Job) -> None:
-        assert job.site is not None
-        job.site.scheduler.withdraw(generation=job.generation, now=world.millis())
-
-    def _hand_over(self, world: World, job: Job, site: Site) -> None:
-        """Enter a running generation into another scheduler's ledger."""
-        assert job.asked_for is not None
+            self._owner = SchedulerInstance(scheduler=successor, host=1)
+            simulation.add_instance(self._owner)
+        for job in simulation.running_jobs():
+            if job.instance is not self._owner:
+                self._hand_over(simulation, job, self._owner)
+        for job in simulation.waiting_jobs():
+            if job.instance is not self._owner:
+                self._withdraw(simulation, job)
+                simulation.send_request(job)
+
+    def _withdraw(self, simulation: Simulation, job: Job) -> None:
+        assert job.instance is not None
+        job.instance.scheduler.withdraw(generation=job.generation, now=simulation.now_ms())
+
+    def _hand_over(self, simulation: Simulation, job: Job, instance: SchedulerInstance) -> None:
+        """Transfer a running generation to the ledger of another scheduler."""
+        assert job.placement_request is not None
         assert job.engine is not None
-        assert isinstance(site.scheduler, ForecastScheduler)
-        before, generation = job.site, job.generation
-        job.site = site
-        site.scheduler.adopt(
-            request=job.asked_for,
+        assert isinstance(instance.scheduler, ForecastScheduler)
+        previous, generation = job.instance, job.generation
+        job.instance = instance
+        instance.scheduler.adopt(
+            request=job.placement_request,
             engine=UpstreamId(job.engine.name),
-            tokens=world.made(generation),
-            now=world.millis(),
+            tokens=simulation.generated_tokens(generation),
+            now=simulation.now_ms(),
         )
-        if before is not None and before is not self._owner and before is not site:
-            before.scheduler.on_finished(
-                generation=generation, tokens=0, complete=False, now=world.millis()
+        if previous is not None and previous is not self._owner and previous is not instance:
+            previous.scheduler.on_finished(
+                generation=generation, tokens=0, complete=False, now=simulation.now_ms()
             )
 
 
 @final
-class CreditWindows:
-    """Each host admits by itself within credits for each engine's memory, dealt out in bulk.
+class CreditWindowTopology:
+    """One scheduler per host that admits within credits for the memory of each engine.
 
-    Every period the owner divides what is free of each engine by what waits at each host.
+    In each credit interval, the owner divides the free memory of each engine among the hosts in
+    proportion to their queued requests.
 
-    :param schedulers: One for each host.
-    :param world: The world, whose hosts report to the owner every period.
+    :param schedulers: Schedulers in the order of the hosts.
+    :param simulation: Simulation whose hosts report to the owner in each interval.
     """
 
-    def __init__(self, *, schedulers: Sequence[ForecastScheduler], world: World) -> None:
+    def __init__(self, *, schedulers: Sequence[ForecastScheduler], simulation: Simulation) -> None:
         self._schedulers = schedulers
-        self._world = world
-        self._sites = [
-            Site(scheduler=scheduler, host=host) for host, scheduler in enumerate(schedulers)
+        self._simulation = simulation
+        self._instances = [
+            SchedulerInstance(scheduler=scheduler, host=host)
+            for host, scheduler in enumerate(schedulers)
         ]
-        world.at(0.0, self._deal)
+        simulation.schedule_at(0.0, self._distribute_credits)
 
     @property
-    def sites(self) -> Sequence[Site]:
-        """Return one site for each host."""
-        return self._sites
+    def instances(self) -> Sequence[SchedulerInstance]:
+        """One scheduler instance per host."""
+        return self._instances
 
-    def site_for(self, *, host: int, now: float) -> Site:
-        """Return the host's own site."""
-        return self._sites[host]
+    def instance_for(self, *, host: int, now: float) -> SchedulerInstance:
+        """Return the host's own scheduler instance."""
+        return self._instances[host]
 
-    def on_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
-        """Do nothing: the scheduler that placed it learns of it."""
+    def on_answer_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
+        """Do nothing: the scheduler that placed the request is notified anyway."""
 
-    def on_fault(self, world: World, *, case: Case, began: bool) -> None:
-        """Do nothing: hosts go on with the credits they have."""
+    def on_fault(self, simulation: Simulation, *, case: FaultCase, began: bool) -> None:
+        """Do nothing: hosts continue with their current credits."""
 
-    def _deal(self) -> None:
-        """Collect what hosts hold and want, and deal out credits a round trip later."""
-        world = self._world
-        wants = [scheduler.queued + 0.25 for scheduler in self._schedulers]
-        total = sum(wants)
+    def _distribute_credits(self) -> None:
+        """Distribute credits by held memory and demand; they arrive a round trip later."""
+        simulation = self._simulation
+        demands = [scheduler.queued + 0.25 for scheduler in self._schedulers]
+        total = sum(demands)
         shares: list[dict[UpstreamId, float]] = [{} for _ in self._schedulers]
-        for name in world.engines:
-            memory = world.settings.model.memory_tokens
+        for name in simulation.engines:
+            memory = simulation.settings.model.memory_tokens
             held = [scheduler.held_tokens(engine=name) / memory for scheduler in self._schedulers]
             free = max(1.0 - sum(held), 0.0)
-            for index, part in enumerate(held):
-                shares[index][name] = part + free * wants[index] / total
-        world.messages += 2 * len(self._schedulers)
+            for index, held_share in enumerate(held):
+                shares[index][name] = held_share + free * demands[index] / total
+        simulation.messages += 2 * len(self._schedulers)
         for index, scheduler in enumerate(self._schedulers):
-            world.after(2 * world.settings.host_delay_ms, _setter(scheduler, shares[index]))
-        world.after(CREDIT_PERIOD_MS, self._deal)
+            simulation.schedule_after(
+                2 * simulation.settings.host_delay_ms, _make_share_setter(scheduler, shares[index])
+            )
+        simulation.schedule_after(CREDIT_INTERVAL_MS, self._distribute_credits)
 
 
-def _setter(scheduler: ForecastScheduler, shares: dict[UpstreamId, float]) -> Callable[[], None]:
+def _make_share_setter(
+    scheduler: ForecastScheduler, shares: dict[UpstreamId, float]
+) -> Callable[[], None]:
     return lambda: scheduler.set_shares(shares=shares)
 
 
-def tuning_of(settings: ReplaySettings) -> Tuning:
-    """Return the tuning a replay's forecasting schedulers use."""
+def resolve_tuning(settings: ReplaySettings) -> Tuning:
+    """Return the tuning of the forecast schedulers: the explicit one, or that of the objective."""
     return settings.tuning or tuning_for(objective=settings.objective)
 
 
-def _forecast(world: World, rng: Random, *, share: float = 1.0) -> ForecastScheduler:
-    return ForecastScheduler(accounts={}, tuning=tuning_of(world.settings), rng=rng, share=share)
+def _make_forecast_scheduler(
+    simulation: Simulation, rng: Random, *, share: float = 1.0
+) -> ForecastScheduler:
+    return ForecastScheduler(
+        accounts={}, tuning=resolve_tuning(simulation.settings), rng=rng, share=share
+    )
 
 
-def _per_host(make: Callable[[World, Random], Scheduler]) -> MakeLayout:
-    def layout(world: World, rng: Random) -> Layout:
-        return PerHost(schedulers=[make(world, rng) for _ in range(world.settings.hosts)])
+def _per_host_factory(make: Callable[[Simulation, Random], Scheduler]) -> TopologyFactory:
+    def build(simulation: Simulation, rng: Random) -> SchedulerTopology:
+        return PerHostTopology(
+            schedulers=[make(simulation, rng) for _ in range(simulation.settings.hosts)]
+        )
 
-    return layout
+    return build
 
 
-def _owner(world: World, rng: Random) -> Layout:
-    hosts = world.settings.hosts
-    return OwnerWithFallback(
-        owner=_forecast(world, rng),
-        fallbacks=[_forecast(world, rng, share=1.0 / hosts) for _ in range(hosts)],
+def _make_owner_topology(simulation: Simulation, rng: Random) -> SchedulerTopology:
+    hosts = simulation.settings.hosts
+    return OwnerTopology(
+        owner=_make_forecast_scheduler(simulation, rng),
+        fallbacks=[
+            _make_forecast_scheduler(simulation, rng, share=1.0 / hosts) for _ in range(hosts)
+        ],
     )
 
 
-def _credit_windows(world: World, rng: Random) -> Layout:
+def _make_credit_window_topology(simulation: Simulation, rng: Random) -> SchedulerTopology:
     schedulers = [
-        _forecast(world, rng, share=1.0 / world.settings.hosts) for _ in range(world.settings.hosts)
+        _make_forecast_scheduler(simulation, rng, share=1.0 / simulation.settings.hosts)
+        for _ in range(simulation.settings.hosts)
     ]
-    return CreditWindows(schedulers=schedulers, world=world)
+    return CreditWindowTopology(schedulers=schedulers, simulation=simulation)
 
 
-def _clairvoyant(*, in_order: bool) -> MakeLayout:
-    def layout(world: World, rng: Random) -> Layout:
-        def cached(engine: UpstreamId, prefix: str) -> bool:
-            return world.engines[engine].caches(prefix)
+def _clairvoyant_factory(*, in_order: bool) -> TopologyFactory:
+    def build(simulation: Simulation, rng: Random) -> SchedulerTopology:
+        def has_prefix(engine: UpstreamId, prefix: str) -> bool:
+            return simulation.engines[engine].has_prefix(prefix)
 
-        scheduler = Clairvoyant(
-            length=world.length, made=world.made, cached=cached, in_order=in_order
+        scheduler = ClairvoyantScheduler(
+            output_length=simulation.output_length,
+            generated_tokens=simulation.generated_tokens,
+            has_prefix=has_prefix,
+            in_order=in_order,
         )
-        return Single(scheduler=scheduler, host=None)
+        return SingleSchedulerTopology(scheduler=scheduler, host=None)
 
-    return layout
+    return build
 
 
-POLICIES: dict[str, MakeLayout] = {
-    "round-robin": _per_host(lambda world, rng: RoundRobin(rng=rng)),
-    "least-outstanding": _per_host(lambda world, rng: LeastOutstanding()),
-    "late-least-load": _per_host(lambda world, rng: LateLeastLoad(rng=rng)),
-    "two-choices": _per_host(lambda world, rng: TwoChoices(rng=rng)),
-    "hosts-alone": _per_host(_forecast),
-    "owner": _owner,
-    "credit-windows": _credit_windows,
-    "clairvoyant": _clairvoyant(in_order=False),
-    "in-order": _clairvoyant(in_order=True),
+POLICIES: dict[str, TopologyFactory] = {
+    "round-robin": _per_host_factory(lambda simulation, rng: RoundRobin(rng=rng)),
+    "least-outstanding": _per_host_factory(lambda simulation, rng: LeastOutstanding()),
+    "late-least-load": _per_host_factory(lambda simulation, rng: ReportedLeastLoad(rng=rng)),
+    "two-choices": _per_host_factory(lambda simulation, rng: TwoChoices(rng=rng)),
+    "hosts-alone": _per_host_factory(_make_forecast_scheduler),
+    "owner": _make_owner_topology,
+    "credit-windows": _make_credit_window_topology,
+    "clairvoyant": _clairvoyant_factory(in_order=False),
+    "in-order": _clairvoyant_factory(in_order=True),
 }
-"""Policies by name; ``in-order`` only serves to measure capacity."""
+"""Topology factories by policy name; ``in-order`` is used only to measure capacity."""
 
 BASELINES = ("round-robin", "least-outstanding", "late-least-load", "two-choices")
--- a/src/tanagerscale/replay/_news.py
+++ b/src/tanagerscale/replay/_news.py
@@ -1,4 +1,4 @@
-"""What engines and hosts report late: load and progress."""
+"""Simulates the delayed periodic reports of load and progress."""
 
 from __future__ import annotations
 
@@ -9,80 +9,82 @@
 from tanagerscale.core import GenerationId
 from tanagerscale.core import UpstreamId
 from tanagerscale.policy import EngineLoad
-from tanagerscale.replay._engine import EngineFake
+from tanagerscale.replay._engine import SimulatedEngine
 from tanagerscale.replay._jobs import Job
-from tanagerscale.replay._jobs import Site
+from tanagerscale.replay._jobs import SchedulerInstance
 
 if TYPE_CHECKING:
-    from tanagerscale.replay._world import World
+    from tanagerscale.replay._world import Simulation
 
 
 @final
-class News:
-    """Sends the periodic reports.
+class PeriodicReports:
+    """Sends load and progress reports to the schedulers.
 
-    :param world: The replay.
+    :param simulation: Simulation whose engines and hosts report.
     """
 
-    def __init__(self, *, world: World) -> None:
-        self._world = world
+    def __init__(self, *, simulation: Simulation) -> None:
+        self._simulation = simulation
 
     def start(self) -> None:
-        """Begin to report."""
-        settings = self._world.settings
-        for index, engine in enumerate(self._world.engines.values()):
-            offset = settings.report_period_ms * index / len(self._world.engines)
-            self._world.at(offset, self._reporter(engine))
-        self._world.at(settings.progress_period_ms, self._progress)
+        """Schedule the first reports, with the load reports of the engines spread over a period."""
+        settings = self._simulation.settings
+        for index, engine in enumerate(self._simulation.engines.values()):
+            offset = settings.report_period_ms * index / len(self._simulation.engines)
+            self._simulation.schedule_at(offset, self._make_load_reporter(engine))
+        self._simulation.schedule_at(settings.progress_period_ms, self._report_progress)
 
-    def _reporter(self, engine: EngineFake) -> Callable[[], None]:
+    def _make_load_reporter(self, engine: SimulatedEngine) -> Callable[[], None]:
         def report() -> None:
-            if not engine.alive:
+            if not engine.is_alive:
                 return
             load = EngineLoad(
                 engine=UpstreamId(engine.name),
-                measured=self._world.millis(),
+                measured=self._simulation.now_ms(),
                 running=engine.running,
                 waiting=engine.waiting,
                 used_tokens=engine.used_tokens,
                 preemptions=engine.preemptions,
             )
-            self._world.after(
-                self._world.settings.report_delay_ms, lambda: self._deliver_load(load)
+            self._simulation.schedule_after(
+                self._simulation.settings.report_delay_ms, lambda: self._deliver_load(load)
             )
-            self._world.after(self._world.settings.report_period_ms, report)
+            self._simulation.schedule_after(self._simulation.settings.report_period_ms, report)
 
         return report
 
     def _deliver_load(self, load: EngineLoad) -> None:
-        for site in self._world.layout.sites:
-            if site.frozen_until <= self._world.now:
-                site.scheduler.on_load(load=load, now=self._world.millis())
+        for instance in self._simulation.topology.instances:
+            if instance.frozen_until <= self._simulation.now:
+                instance.scheduler.on_load(load=load, now=self._simulation.now_ms())
 
-    def _progress(self) -> None:
-        """Tell each site how far its generations are, as hosts do every period."""
-        delay = self._world.settings.engine_delay_ms + self._world.settings.host_delay_ms
-        news: dict[Site, list[tuple[GenerationId, int]]] = {}
-        for engine in self._world.engines.values():
+    def _report_progress(self) -> None:
+        """Send each scheduler the progress of its generations, as hosts do in each period."""
+        delay = self._simulation.settings.engine_delay_ms + self._simulation.settings.host_delay_ms
+        reports: dict[SchedulerInstance, list[tuple[GenerationId, int]]] = {}
+        for engine in self._simulation.engines.values():
             for sequence in engine.sequences():
                 job: Job = sequence.owner
-                if job.site is not None and job.sequence is sequence:
-                    made = (job.generation, engine.produced(sequence))
-                    news.setdefault(job.site, []).append(made)
-        for site, items in news.items():
-            self._world.after(delay, self._progress_news(site, items))
-        self._world.after(self._world.settings.progress_period_ms, self._progress)
+                if job.instance is not None and job.sequence is sequence:
+                    progress = (job.generation, engine.produced(sequence))
+                    reports.setdefault(job.instance, []).append(progress)
+        for instance, items in reports.items():
+            self._simulation.schedule_after(delay, self._make_progress_delivery(instance, items))
+        self._simulation.schedule_after(
+            self._simulation.settings.progress_period_ms, self._report_progress
+        )
 
-    def _progress_news(
-        self, site: Site, items: list[tuple[GenerationId, int]]
+    def _make_progress_delivery(
+        self, instance: SchedulerInstance, items: list[tuple[GenerationId, int]]
     ) -> Callable[[], None]:
         def deliver() -> None:
-            if site.frozen_until > self._world.now:
-                self._world.at(site.frozen_until, deliver)
+            if instance.frozen_until > self._simulation.now:
+                self._simulation.schedule_at(instance.frozen_until, deliver)
                 return
             for generation, tokens in items:
-                site.scheduler.on_progress(
-                    generation=generation, tokens=tokens, now=self._world.millis()
+                instance.scheduler.on_progress(
+                    generation=generation, tokens=tokens, now=self._simulation.now_ms()
                 )
 
         return deliver
--- a/src/tanagerscale/replay/_plot.py
+++ b/src/tanagerscale/replay/_plot.py
@@ -1,4 +1,4 @@
-"""The frontier between stall and preemptions."""
+"""Plots the frontier of stall time against preemptions."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 from tanagerscale.replay._report import ReplayReport
-from tanagerscale.replay._report import mean_of
+from tanagerscale.replay._report import compute_mean
 
-LEAST_SHOWN = 0.1
-"""Values below are drawn here, since the axes are logarithmic."""
+MIN_PLOTTED_VALUE = 0.1
+"""Smaller values are drawn at this value, because the axes are logarithmic."""
 
 
 def plot_frontier(
@@ -18,13 +18,13 @@
     frontier: Sequence[Sequence[ReplayReport]],
     path: Path,
 ) -> None:
-    """Draw policies as points and the default policy's dial as a line.
+    """Plot the policies as points and the default policy's ``deviations`` sweep as a line.
 
-    :param reports: Replays of the policies.
-    :param frontier: For each setting of the dial, its replays.
+    :param reports: Reports of the policies.
+    :param frontier: Reports of the default policy, grouped by value of ``deviations``.
     :param path: Image file to write.
     """
-    # Imported here because drawing is an extra that hosts do not install.
+    # Imported here because matplotlib is an optional dependency that hosts do not install.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(8, 5))
@@ -45,5 +45,5 @@
 
 
 def _point(reports: Sequence[ReplayReport]) -> tuple[float, float]:
-    stall = max(mean_of(reports, "stall_s"), LEAST_SHOWN)
-    return stall, max(mean_of(reports, "preemptions"), LEAST_SHOWN)
+    stall = max(compute_mean(reports, "stall_s"), MIN_PLOTTED_VALUE)
+    return stall, max(compute_mean(reports, "preemptions"), MIN_PLOTTED_VALUE)
--- a/src/tanagerscale/replay/_queue.py
+++ b/src/tanagerscale/replay/_queue.py
@@ -1,4 +1,4 @@
-"""What is going to happen in virtual time."""
+"""Event queue of the simulation."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 @final
 class EventQueue:
-    """Carries out events in the order of their times, those of one time as they were added."""
+    """Runs events in time order; events with the same time run in the order they were added."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._last_number = 0
         self.now = 0.0
-        """Time of the event that is carried out, in milliseconds."""
+        """Time of the current event, in milliseconds."""
 
     def add(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time.
+        """Schedule an event.
 
-        :param when: In milliseconds.
-        :param action: What to do.
+        :param when: Simulated time of the event, in milliseconds.
+        :param action: Callback to run at that time.
         """
-        self._number += 1
-        heapq.heappush(self._heap, (when, self._number, action))
+        self._last_number += 1
+        heapq.heappush(self._heap, (when, self._last_number, action))
 
     def clear(self) -> None:
-        """Drop all that has not happened."""
+        """Discard all pending events."""
         self._heap.clear()
 
-    def run(self, *, until: float, goes_on: Callable[[], bool]) -> None:
-        """Carry out events.
+    def run(self, *, until: float, should_continue: Callable[[], bool]) -> None:
+        """Run events until the queue is empty, the end time is passed or the condition fails.
 
-        :param until: Later ones are left.
-        :param goes_on: Returns whether anything is still to be done.
+        :param until: End time, in milliseconds; the run stops at the first later event.
+        :param should_continue: Returns whether to run the next event.
         """
-        while self._heap and goes_on():
+        while self._heap and should_continue():
             when, _, action = heapq.heappop(self._heap)
             if when > until:
                 return
--- a/src/tanagerscale/replay/_report.py
+++ b/src/tanagerscale/replay/_report.py
@@ -1,4 +1,4 @@
-"""What a replay found, as data and as a table."""
+"""Results of replays, as JSON and as a table."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.measures import Summary
 from tanagerscale.replay._jobs import ServedTokens
-from tanagerscale.replay._settings import Case
-from tanagerscale.replay._world import World
+from tanagerscale.replay._settings import FaultCase
+from tanagerscale.replay._world import Simulation
 
 OUTCOMES_SUFFIX = ".outcomes.json"
-QUIET_STALL_MS = 250.0
-"""Stall of all callers of one second together that counts as none."""
+MIN_STALL_LEVEL_MS = 250.0
+"""Total stall of the requests of one second of arrivals, up to which they count as not stalled."""
 
-LEVEL_SECONDS = 30
+STALL_LEVEL_WINDOW_S = 30
 
 
 class ReplayReport(Struct, frozen=True, kw_only=True):
-    """One replay of one trace with one policy.
-
-    :param policy: The policy's name.
-    :param trace: File or user that the trace came from.
-    :param seed: Seed of the trace, if it was made, and of the world.
-    :param case: What went wrong.
-    :param summary: The measures.
-    :param worst_share: Least part of its max-min fair share that an account was served.
-    :param next_try_served: Part of the refused callers whose next try was not refused.
-    :param slowest_refusal_ms: Longest time from a request to its refusal.
-    :param messages: Messages between hosts, progress not counted.
-    :param recovery_s: Seconds after a fault until new callers stalled no more than before it.
+    """Results of the replay of one trace with one policy.
+
+    :param policy: Name of the policy.
+    :param trace: Name of the trace file, or of the user whose trace was generated.
+    :param seed: Seed of the simulation and, if the trace was generated, of the trace.
+    :param case: Fault that was injected.
+    :param summary: Measures of the replay.
+    :param worst_share: Smallest ratio of the tokens served to a client account to its max-min
+        fair share.
+    :param next_try_served: Fraction of the refused requests whose next attempt was not refused.
+    :param slowest_refusal_ms: Longest time from a submission to its refusal.
+    :param messages: Number of messages between hosts, without progress reports.
+    :param recovery_s: Seconds from the fault until new requests stalled no more than before it.
     """
 
     policy: str
     trace: str
     seed: int
-    case: Case
+    case: FaultCase
     summary: Summary
     worst_share: float
     next_try_served: float
@@ -52,12 +53,12 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """A stated outcome of a kept trace.
+    """Expected bounds on one measure of a replayed trace.
 
-    :param policy: The policy it is about.
+    :param policy: Name of the policy that the bounds apply to.
     :param measure: A field of ``Summary``.
-    :param most: Largest value that meets it, or ``None``.
-    :param least: Smallest value that meets it, or ``None``.
+    :param most: Inclusive upper bound; ``None`` for no bound.
+    :param least: Inclusive lower bound; ``None`` for no bound.
     """
 
     policy: str
@@ -66,7 +67,7 @@
     least: float | None = None
 
     def is_met(self, report: ReplayReport) -> bool:
-        """Return whether a report meets it."""
+        """Return whether the measure in a report is within the bounds."""
         value = float(getattr(report.summary, self.measure))
         above = self.most is not None and value > self.most
         below = self.least is not None and value < self.least
@@ -74,69 +75,73 @@
 
 
 def read_outcomes(trace: Path) -> list[Outcome]:
-    """Return the outcomes stated next to a trace; none when there is no such file."""
+    """Read the expected outcomes from the file next to a trace.
+
+    :returns: The outcomes; empty if the file does not exist.
+    """
     path = trace.with_name(trace.name.removesuffix(".jsonl") + OUTCOMES_SUFFIX)
     if not path.exists():
         return []
     return msgspec.json.decode(path.read_bytes(), type=list[Outcome])
 
 
-def make_report(*, world: World, policy: str, trace: str, seed: int) -> ReplayReport:
-    """Return what a finished replay found."""
-    refused = [job for job in world.jobs if job.refusals > 0]
-    again = sum(1 for job in refused if job.refusals > 1)
+def build_report(*, simulation: Simulation, policy: str, trace: str, seed: int) -> ReplayReport:
+    """Build the report of a finished replay."""
+    refused = [job for job in simulation.jobs if job.refusals > 0]
+    refused_again = sum(1 for job in refused if job.refusals > 1)
     return ReplayReport(
         policy=policy,
         trace=trace,
         seed=seed,
-        case=world.settings.case,
-        summary=world.table.summary(),
-        worst_share=worst_share(world.progress_at_end),
-        next_try_served=1.0 - again / len(refused) if refused else 1.0,
-        slowest_refusal_ms=world.slowest_refusal_ms,
-        messages=world.messages,
-        recovery_s=_recovery(world),
+        case=simulation.settings.case,
+        summary=simulation.table.summary(),
+        worst_share=compute_worst_share(simulation.service_at_trace_end),
+        next_try_served=1.0 - refused_again / len(refused) if refused else 1.0,
+        slowest_refusal_ms=simulation.slowest_refusal_ms,
+        messages=simulation.messages,
+        recovery_s=_compute_recovery_s(simulation),
     )
 
 
-def worst_share(service: Mapping[str, ServedTokens]) -> float:
-    """Return the least part of its max-min fair share that an account was served."""
-    left = float(sum(item.served for item in service.values()))
+def compute_worst_share(service: Mapping[str, ServedTokens]) -> float:
+    """Return the smallest ratio of the tokens served to an account to its max-min fair share."""
+    remaining = float(sum(item.served for item in service.values()))
     worst = 1.0
     accounts = sorted(service.values(), key=lambda item: item.offered)
     for index, item in enumerate(accounts):
-        fair = min(left / (len(accounts) - index), float(item.offered))
-        left -= fair
-        if fair > 0.0:
-            worst = min(worst, item.served / fair)
+        fair_share = min(remaining / (len(accounts) - index), float(item.offered))
+        remaining -= fair_share
+        if fair_share > 0.0:
+            worst = min(worst, item.served / fair_share)
     return worst
 
 
-def _recovery(world: World) -> int:
-    """Return seconds from the fault to the last second whose callers stalled more than before.
+def _compute_recovery_s(simulation: Simulation) -> int:
+    """Return the seconds from the fault to the last second whose arrivals stalled more than before.
 
-    Callers that came before the fault are left out: what they lost has to be made again.
+    Requests that arrived before the fault are ignored, because their lost tokens have to be
+    generated again.
     """
-    if world.settings.case is Case.NONE:
+    if simulation.settings.case is FaultCase.NONE:
         return 0
-    fault = int(world.settings.fault_at_ms // MS_PER_SECOND)
+    fault_s = int(simulation.settings.fault_at_ms // MS_PER_SECOND)
     stalls: dict[int, float] = {}
-    for job in world.jobs:
+    for job in simulation.jobs:
         second = job.request.at_ms // MS_PER_SECOND
         stalls[second] = stalls.get(second, 0.0) + job.timeline.stall_ms
-    earlier = sum(stalls.get(fault - back, 0.0) for back in range(1, LEVEL_SECONDS + 1))
-    level = max(earlier / LEVEL_SECONDS, QUIET_STALL_MS)
-    late = (second + 1 - fault for second, stall in stalls.items() if stall > level)
-    return max((seconds for seconds in late if seconds > 0), default=0)
+    earlier = sum(stalls.get(fault_s - back, 0.0) for back in range(1, STALL_LEVEL_WINDOW_S + 1))
+    level = max(earlier / STALL_LEVEL_WINDOW_S, MIN_STALL_LEVEL_MS)
+    recovery_times = (second + 1 - fault_s for second, stall in stalls.items() if stall > level)
+    return max((seconds for seconds in recovery_times if seconds > 0), default=0)
 
 
 def to_json(reports: Sequence[ReplayReport]) -> bytes:
-    """Return reports as JSON."""
+    """Encode reports as a JSON array."""
     return msgspec.json.encode([asdict(report) for report in reports])
 
 
 def to_table(reports: Sequence[ReplayReport]) -> Table:
-    """Return one line for each policy, means over its seeds."""
+    """Return a table with one row per policy and the means over its seeds."""
     table = Table(title="Means over seeds")
     for name in (
         "policy",
@@ -154,18 +159,18 @@
     ):
         table.add_column(name, justify="left" if name == "policy" else "right")
     for policy in dict.fromkeys(report.policy for report in reports):
-        table.add_row(policy, *_cells([item for item in reports if item.policy == policy]))
+        table.add_row(policy, *_format_cells([item for item in reports if item.policy == policy]))
     return table
 
 
-def mean_of(reports: Sequence[ReplayReport], measure: str) -> float:
-    """Return the mean of one field of ``Summary`` over reports."""
+def compute_mean(reports: Sequence[ReplayReport], measure: str) -> float:
+    """Return the mean of a field of ``Summary`` over reports."""
     return sum(float(getattr(item.summary, measure)) for item in reports) / len(reports)
 
 
-def _cells(reports: Sequence[ReplayReport]) -> list[str]:
+def _format_cells(reports: Sequence[ReplayReport]) -> list[str]:
     def mean(measure: str) -> float:
-        return mean_of(reports, measure)
+        return compute_mean(reports, measure)
 
     return [
         f"{mean('stall_s'):.1f}",
--- a/src/tanagerscale/replay/_run.py
+++ b/src/tanagerscale/replay/_run.py
@@ -1,4 +1,4 @@
-"""Running replays and printing what they found."""
+"""Runs replays and prints their results."""
 
 from __future__ import annotations
 
@@ -17,40 +17,40 @@
 from tanagerscale.replay._layouts import POLICIES
 from tanagerscale.replay._plot import plot_frontier
 from tanagerscale.replay._report import ReplayReport
-from tanagerscale.replay._report import make_report
+from tanagerscale.replay._report import build_report
 from tanagerscale.replay._report import read_outcomes
 from tanagerscale.replay._report import to_json
 from tanagerscale.replay._report import to_table
-from tanagerscale.replay._settings import CAPACITY
+from tanagerscale.replay._settings import CAPACITY_PER_S
 from tanagerscale.replay._settings import ENGINE_MODELS
-from tanagerscale.replay._settings import Case
+from tanagerscale.replay._settings import FaultCase
 from tanagerscale.replay._settings import ReplaySettings
 from tanagerscale.replay._trace import DEFAULT_DURATION_S
-from tanagerscale.replay._trace import USERS
-from tanagerscale.replay._trace import make_trace
+from tanagerscale.replay._trace import USER_PROFILES
+from tanagerscale.replay._trace import generate_trace
 from tanagerscale.replay._trace import read_trace
-from tanagerscale.replay._world import World
+from tanagerscale.replay._world import Simulation
 
-LATE_NEWS_MS = 2_000.0
-GAPPY_CACHE_LOSS = 0.5
-SHOWN_POLICIES = tuple(name for name in POLICIES if name != "in-order")
+LATE_REPORT_DELAY_MS = 2_000.0
+CACHE_GAPS_LOSS_RATIO = 0.5
+DEFAULT_POLICIES = tuple(name for name in POLICIES if name != "in-order")
 DEFAULT_OBJECTIVE = Objective()
 FRONTIER_DEVIATIONS = (0.0, 1.0, 1.75, 2.5, 3.25)
 
 
 class ReplayRun(Struct, frozen=True, kw_only=True):
-    """One replay to do.
+    """Parameters of one replay.
 
-    :param trace: File to replay, or ``None`` to make a trace of ``user`` from the seed.
+    :param trace: Trace file to replay, or ``None`` to generate a trace of ``user``.
     :param policy: A key of ``POLICIES``.
-    :param seed: Seed of the trace, if it is made, and of the world.
-    :param user: A key of ``USERS``.
-    :param load: Mean arrival rate in parts of the measured capacity.
+    :param seed: Seed of the simulation and, if the trace is generated, of the trace.
+    :param user: A key of ``USER_PROFILES``.
+    :param load: Mean arrival rate of a generated trace, relative to the measured capacity.
     :param setting: A key of ``ENGINE_MODELS``.
-    :param case: What goes wrong.
-    :param objective: What the operators weigh.
-    :param tuning: Replaces the tuning that follows from the objective.
-    :param duration_s: Length of a made trace.
+    :param case: Fault to inject.
+    :param objective: Objective that the operators declare.
+    :param tuning: Tuning of the forecast schedulers; ``None`` to derive it from the objective.
+    :param duration_s: Length of a generated trace; the fault begins at half of this time.
     """
 
     trace: Path | None = None
@@ -59,7 +59,7 @@
     user: str = "trois-rivieres"
     load: float = 0.9
     setting: str = "standard"
-    case: Case = Case.NONE
+    case: FaultCase = FaultCase.NONE
     objective: Objective = DEFAULT_OBJECTIVE
     tuning: Tuning | None = None
     duration_s: int = DEFAULT_DURATION_S
@@ -73,13 +73,16 @@
     user: str = "trois-rivieres",
     load: float = 0.9,
     setting: str = "standard",
-    case: Case = Case.NONE,
+    case: FaultCase = FaultCase.NONE,
     objective: Objective | None = None,
     tuning: Tuning | None = None,
     duration_s: int = DEFAULT_DURATION_S,
 ) -> ReplayReport:
-    """Replay one trace with one policy; the parameters are those of ``ReplayRun``."""
-    return do_run(
+    """Replay one trace with one policy.
+
+    The parameters are those of ``ReplayRun``; an objective of ``None`` selects the default.
+    """
+    return execute_run(
         ReplayRun(
             trace=trace,
             policy=policy,
@@ -95,25 +98,30 @@
     )
 
 
-def do_run(run: ReplayRun) -> ReplayReport:
-    """Do one replay."""
+def execute_run(run: ReplayRun) -> ReplayReport:
+    """Run one replay and return its report."""
     if run.trace is not None:
         requests = read_trace(run.trace)
     else:
-        rate = run.load * CAPACITY[(run.user, run.setting)]
-        requests = make_trace(user=run.user, rate=rate, seed=run.seed, duration_s=run.duration_s)
-    world = World(trace=requests, settings=_settings(run), seed=run.seed)
-    world.run(layout=POLICIES[run.policy](world, Random(f"policy/{run.seed}")))
+        rate = run.load * CAPACITY_PER_S[(run.user, run.setting)]
+        requests = generate_trace(
+            user=run.user, rate=rate, seed=run.seed, duration_s=run.duration_s
+        )
+    simulation = Simulation(trace=requests, settings=_settings(run), seed=run.seed)
+    simulation.run(topology=POLICIES[run.policy](simulation, Random(f"policy/{run.seed}")))
     name = run.user if run.trace is None else run.trace.name
-    return make_report(world=world, policy=run.policy, trace=name, seed=run.seed)
+    return build_report(simulation=simulation, policy=run.policy, trace=name, seed=run.seed)
 
 
-def do_runs(runs: Sequence[ReplayRun], *, processes: int) -> list[ReplayReport]:
-    """Do replays, several at once when asked to; the results keep the order."""
+def execute_runs(runs: Sequence[ReplayRun], *, processes: int) -> list[ReplayReport]:
+    """Run replays and return their reports in the same order.
+
+    :param processes: Number of worker processes; up to 1 runs the replays in this process.
+    """
     if processes <= 1:
-        return [do_run(run) for run in runs]
+        return [execute_run(run) for run in runs]
     with Pool(processes) as pool:
-        return pool.map(do_run, runs, chunksize=1)
+        return pool.map(execute_run, runs, chunksize=1)
 
 
 def _settings(run: ReplayRun) -> ReplaySettings:
@@ -124,17 +132,19 @@
         case=run.case,
         fault_at_ms=run.duration_s * 500.0,
     )
-    if run.case is Case.LATE_NEWS:
-        return replace(settings, report_delay_ms=LATE_NEWS_MS, cache_delay_ms=LATE_NEWS_MS)
-    if run.case is Case.CACHE_GAPS:
-        return replace(settings, cache_loss=GAPPY_CACHE_LOSS)
+    if run.case is FaultCase.LATE_REPORTS:
+        return replace(
+            settings, report_delay_ms=LATE_REPORT_DELAY_MS, cache_delay_ms=LATE_REPORT_DELAY_MS
+        )
+    if run.case is FaultCase.CACHE_GAPS:
+        return replace(settings, cache_loss_ratio=CACHE_GAPS_LOSS_RATIO)
     return settings
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Return the seeds named by ``"7"``, ``"1,2"`` or ``"101-105"``.
+    """Parse a list of seeds such as ``"7"``, ``"1,2"`` or ``"101-105"``.
 
-    :raises ValueError: When the text is none of these.
+    :raises ValueError: If the text has another form.
     """
     seeds: list[int] = []
     for part in str(text).split(","):
@@ -154,67 +164,74 @@
     case: str = "none",
     processes: int = 1,
 ) -> int:
-    """Replay a trace and print its measures next to the stated outcomes.
-
-    :param trace: A file of JSON lines, or the name of a user to make traces of.
-    :param policy: Policies by name with commas between, or ``"all"``.
-    :param seeds: Seeds, as in ``"101-105"``.
-    :param load: For made traces, the arrival rate in parts of the capacity.
-    :param json: Print JSON in place of the table.
-    :param plot: File to draw the frontier of stall against preemptions to.
+    """Replay a trace, print its measures and compare them with the expected outcomes.
+
+    :param trace: Trace file in JSON lines, or the name of a user to generate traces for.
+    :param policy: Comma-separated policy names, or ``"all"``.
+    :param seeds: Seeds such as ``"101-105"``.
+    :param load: Arrival rate of generated traces, relative to the capacity.
+    :param json: Print JSON instead of a table.
+    :param plot: Image file for the frontier of stall time against preemptions; empty for none.
     :param setting: Speed and memory of the engines.
-    :param case: What goes wrong.
-    :param processes: How many replays to do at once.
-    :returns: 0; 1 when a stated outcome is missed; 2 when the arguments are wrong.
+    :param case: Fault to inject.
+    :param processes: Number of replays to run in parallel.
+    :returns: 0 on success, 1 if an expected outcome is missed, 2 if an argument is invalid.
     """
-    problem = _check(trace=trace, policy=policy, setting=setting, case=case)
-    if problem:
-        print(problem, file=sys.stderr)
+    error = _validate_arguments(trace=trace, policy=policy, setting=setting, case=case)
+    if error:
+        print(error, file=sys.stderr)
         return 2
-    names = SHOWN_POLICIES if policy == "all" else tuple(policy.split(","))
-    path = None if trace in USERS else Path(trace)
-    first = ReplayRun(
+    names = DEFAULT_POLICIES if policy == "all" else tuple(policy.split(","))
+    path = None if trace in USER_PROFILES else Path(trace)
+    template = ReplayRun(
         trace=path,
         policy="owner",
         seed=0,
         user=trace if path is None else "trois-rivieres",
         load=load,
         setting=setting,
-        case=Case(case),
+        case=FaultCase(case),
     )
-    numbers = parse_seeds(seeds)
-    runs = [replace(first, policy=name, seed=seed) for name in names for seed in numbers]
-    reports = do_runs(runs, processes=processes)
+    seed_list = parse_seeds(seeds)
+    runs = [replace(template, policy=name, seed=seed) for name in names for seed in seed_list]
+    reports = execute_runs(runs, processes=processes)
     if json:
         sys.stdout.write(to_json(reports).decode() + "\n")
     else:
         Console(width=150).print(to_table(reports))
     if plot:
         frontier = [
-            [replace(first, seed=seed, tuning=Tuning(deviations=value)) for seed in numbers]
+            [replace(template, seed=seed, tuning=Tuning(deviations=value)) for seed in seed_list]
             for value in FRONTIER_DEVIATIONS
         ]
-        points = [do_runs(group, processes=processes) for group in frontier]
-        plot_frontier(reports=reports, frontier=points, path=Path(plot))
-    return _judge(reports, path, quiet=json)
+        frontier_reports = [execute_runs(group, processes=processes) for group in frontier]
+        plot_frontier(reports=reports, frontier=frontier_reports, path=Path(plot))
+    return _check_outcomes(reports, path, quiet=json)
 
 
-def _check(*, trace: str, policy: str, setting: str, case: str) -> str:
-    """Return what is wrong with the arguments and what is allowed, or nothing."""
-    if trace not in USERS and not Path(trace).is_file():
-        return f"No trace file {trace!r}; name a file, or one of {', '.join(USERS)}."
+def _validate_arguments(*, trace: str, policy: str, setting: str, case: str) -> str:
+    """Return an error message with the allowed values, or an empty string if all are valid."""
+    if trace not in USER_PROFILES and not Path(trace).is_file():
+        return (
+            f"Trace file {trace!r} does not exist; use a file or one of {', '.join(USER_PROFILES)}."
+        )
     unknown = [name for name in policy.split(",") if name != "all" and name not in POLICIES]
     if unknown:
-        return f"No policy {unknown[0]!r}; allowed are all, {', '.join(POLICIES)}."
+        return f"Unknown policy {unknown[0]!r}; choose from all, {', '.join(POLICIES)}."
     if setting not in ENGINE_MODELS:
-        return f"No engine setting {setting!r}; allowed are {', '.join(ENGINE_MODELS)}."
-    if case not in [item.value for item in Case]:
-        return f"No case {case!r}; allowed are {', '.join(item.value for item in Case)}."
+        return f"Unknown engine setting {setting!r}; choose from {', '.join(ENGINE_MODELS)}."
+    if case not in [item.value for item in FaultCase]:
+        return f"Unknown case {case!r}; choose from {', '.join(item.value for item in FaultCase)}."
     return ""
 
 
-def _judge(reports: Sequence[ReplayReport], path: Path | None, *, quiet: bool) -> int:
-    """Compare reports with the outcomes stated next to the trace."""
+def _check_outcomes(reports: Sequence[ReplayReport], path: Path | None, *, quiet: bool) -> int:
+    """Compare reports with the expected outcomes of the trace and print each comparison.
+
+    :param path: Trace file; ``None`` if the trace was generated.
+    :param quiet: Print nothing.
+    :returns: 1 if an outcome is missed, else 0.
+    """
     missed = 0
     for outcome in read_outcomes(path) if path else []:
         for report in reports:
@@ -223,11 +240,11 @@
             met = outcome.is_met(report)
             missed += not met
             if not quiet:
-                bound = f"<= {outcome.most}" if outcome.most is not None else ""
-                floor = f">= {outcome.least}" if outcome.least is not None else ""
+                upper_bound = f"<= {outcome.most}" if outcome.most is not None else ""
+                lower_bound = f">= {outcome.least}" if outcome.least is not None else ""
                 value = getattr(report.summary, outcome.measure)
                 print(
                     f"{'met' if met else 'MISSED'}: {report.policy} seed {report.seed} "
-                    f"{outcome.measure} {bound}{floor} (measured {value:.6g})"
+                    f"{outcome.measure} {upper_bound}{lower_bound} (measured {value:.6g})"
                 )
     return 1 if missed else 0
--- a/src/tanagerscale/replay/_sequence.py
+++ b/src/tanagerscale/replay/_sequence.py
@@ -1,4 +1,4 @@
-"""A generation on an engine fake, and who hears of it."""
+"""Generations on a simulated engine and the interfaces of their listeners."""
 
 from __future__ import annotations
 
@@ -8,45 +8,50 @@
 from typing import final
 
 if TYPE_CHECKING:
-    from tanagerscale.replay._engine import EngineFake
+    from tanagerscale.replay._engine import SimulatedEngine
 
 
-class GapSink(Protocol):
-    """Takes the times between tokens that an engine's steps make."""
+class StepListener(Protocol):
+    """Receives the durations of an engine's steps, which are the gaps between tokens."""
 
-    def step(self, *, duration_ms: float, generations: int) -> None:
-        """Record one step."""
+    def on_step(self, *, duration_ms: float, generations: int) -> None:
+        """Handle a completed step.
+
+        :param duration_ms: Duration of the step.
+        :param generations: Number of generations that produced a new token in the step.
+        """
 
 
 @final
 class Sequence:
-    """One generation on an engine.
-
-    :param owner: Whatever the caller wants to find it by.
-    :param prompt: Prompt tokens.
-    :param prefix: Name of the shared prefix.
-    :param prefix_tokens: Its length.
-    :param output: True length.
-    :param priority: 0 goes first.
-    :param seen: Tokens that were made for the request before; making them again is no progress.
+    """State of one generation on an engine.
+
+    :param owner: Object that the caller associates with the generation.
+    :param prompt_tokens: Number of prompt tokens, including the prefix.
+    :param prefix: Name of the shared prefix; empty for none.
+    :param prefix_tokens: Length of the shared prefix, in tokens.
+    :param output_tokens: True length of the output, in tokens.
+    :param priority: Scheduling priority; 0 is the highest.
+    :param already_generated: Number of tokens that were generated for the request before;
+        generating them again is not progress.
     """
 
     __slots__ = (
+        "already_generated",
         "arrived",
-        "counted",
         "epoch",
-        "excess_at",
+        "is_progressing",
         "number",
-        "output",
+        "output_tokens",
         "owner",
-        "prefill_left",
+        "prefill_remaining",
         "prefix",
         "prefix_tokens",
         "priority",
-        "private",
+        "private_tokens",
         "produced",
         "running",
-        "seen",
+        "stall_at_resume_ms",
         "start_step",
     )
 
@@ -54,41 +59,45 @@
         self,
         *,
         owner: Any,
-        prompt: int,
+        prompt_tokens: int,
         prefix: str,
         prefix_tokens: int,
-        output: int,
+        output_tokens: int,
         priority: int,
-        seen: int,
+        already_generated: int,
     ) -> None:
         self.owner = owner
         self.prefix = prefix
         self.prefix_tokens = prefix_tokens
-        self.private = prompt - prefix_tokens
-        self.output = output
+        self.private_tokens = prompt_tokens - prefix_tokens
+        self.output_tokens = output_tokens
         self.priority = priority
-        self.seen = seen
+        self.already_generated = already_generated
         self.number = 0
         self.produced = 0
         self.start_step = -1
-        self.prefill_left = 0
+        self.prefill_remaining = 0
         self.running = False
         self.epoch = 0
-        self.counted = False
-        self.excess_at = 0.0
+        self.is_progressing = False
+        self.stall_at_resume_ms = 0.0
 
 
-class SequenceEvents(Protocol):
-    """What an engine tells of its generations."""
+class SequenceListener(Protocol):
+    """Receives the events of an engine's generations and of its prefix cache."""
 
     def on_progress(self, sequence: Sequence, *, total: int, now: float) -> None:
-        """The first new token after a start, a preemption or a move."""
+        """Handle the first new token after a start, a preemption or a move."""
+
+    def on_pause(self, sequence: Sequence, *, total: int, now: float, stall_ms: float) -> None:
+        """Handle the removal of a generation from the batch.
 
-    def on_pause(self, sequence: Sequence, *, total: int, now: float, excess_ms: float) -> None:
-        """Tokens up to ``total`` were made; ``excess_ms`` is their stall."""
+        :param total: Number of tokens produced so far.
+        :param stall_ms: Stall of the tokens produced since the last progress event.
+        """
 
     def on_end(self, sequence: Sequence, *, now: float) -> None:
-        """The answer is complete."""
+        """Handle the completion of an answer."""
 
-    def on_cache(self, engine: EngineFake, *, prefix: str, stored: bool) -> None:
-        """A prefix entered or left the cache."""
+    def on_cache(self, engine: SimulatedEngine, *, prefix: str, stored: bool) -> None:
+        """Handle the insertion of a prefix into the cache or its eviction."""
--- a/src/tanagerscale/replay/_settings.py
+++ b/src/tanagerscale/replay/_settings.py
@@ -1,4 +1,4 @@
-"""What a replay is run with."""
+"""Settings of replays: engine models, capacities, faults and delays."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
         base_ms=24.0, sequence_ms=0.4, context_ms=0.0003, prefill_ms=0.1, memory_tokens=90_000
     ),
 }
-"""Three settings of engine memory and speed."""
+"""Engine models of the three settings of speed and memory, by setting name."""
 
-CAPACITY = {
+CAPACITY_PER_S = {
     ("trois-rivieres", "standard"): 14.8,
     ("trois-rivieres", "small-memory"): 11.6,
     ("trois-rivieres", "slow"): 12.6,
@@ -29,24 +29,27 @@
     ("film-office", "small-memory"): 6.2,
     ("film-office", "slow"): 6.5,
 }
-"""Requests a second that five engines carry, by user and engine setting, as measured."""
+"""Requests per second that five engines sustain, by user and engine setting.
 
+The values come from ``measure_capacity_per_s``.
+"""
 
-DETECTION_MS = 300.0
-"""How long hosts take to notice that an engine's links broke."""
 
-OUTAGE_MS = 10_000.0
-"""How long an owner is frozen, or hosts are cut from one another."""
+FAULT_DETECTION_MS = 300.0
+"""Time that hosts take to detect that the connections to an engine are broken."""
+
+OUTAGE_DURATION_MS = 10_000.0
+"""Duration of an owner freeze or of a network partition between hosts."""
 
 
 @unique
-class Case(Enum):
-    """What goes wrong in a replay."""
+class FaultCase(Enum):
+    """Fault that is injected into a replay."""
 
     NONE = "none"
     ENGINE_LOST = "engine-lost"
     ENGINE_RECLAIMED = "engine-reclaimed"
-    LATE_NEWS = "late-news"
+    LATE_REPORTS = "late-news"
     CACHE_GAPS = "cache-gaps"
     OWNER_LOST = "owner-lost"
     OWNER_FROZEN = "owner-frozen"
@@ -54,22 +57,22 @@
 
 
 class ReplaySettings(Struct, frozen=True, kw_only=True):
-    """The world that a trace is replayed in.
+    """Settings of a simulation.
 
-    :param engines: How many engines.
-    :param hosts: How many hosts.
+    :param engines: Number of engines.
+    :param hosts: Number of hosts.
     :param model: Speed and memory of each engine.
-    :param objective: What the operators weigh.
-    :param tuning: Replaces the tuning that follows from the objective.
-    :param case: What goes wrong.
-    :param fault_at_ms: When it does.
-    :param host_delay_ms: One way between hosts.
-    :param engine_delay_ms: One way between a host and an engine.
-    :param report_period_ms: Time between an engine's load reports.
-    :param report_delay_ms: How late they come.
-    :param cache_delay_ms: How late cache events come.
-    :param cache_loss: Part of the cache events that go missing.
-    :param progress_period_ms: Time between a host's words of progress to the owner.
+    :param objective: Objective that the operators declare.
+    :param tuning: Tuning of the forecast schedulers; ``None`` to derive it from the objective.
+    :param case: Fault to inject.
+    :param fault_at_ms: Time of the fault.
+    :param host_delay_ms: One-way network delay between hosts.
+    :param engine_delay_ms: One-way network delay between a host and an engine.
+    :param report_period_ms: Interval between the load reports of an engine.
+    :param report_delay_ms: Delay of load reports.
+    :param cache_delay_ms: Delay of cache events.
+    :param cache_loss_ratio: Fraction of the cache events that is lost.
+    :param progress_period_ms: Interval between the progress reports of a host to the owner.
     """
 
     engines: int = 5
@@ -77,12 +80,12 @@
     model: EngineModel = field(default_factory=EngineModel)
     objective: Objective = field(default_factory=Objective)
     tuning: Tuning | None = None
-    case: Case = Case.NONE
+    case: FaultCase = FaultCase.NONE
     fault_at_ms: float = 150_000.0
     host_delay_ms: float = 1.5
     engine_delay_ms: float = 1.0
     report_period_ms: float = 500.0
     report_delay_ms: float = 1000.0
     cache_delay_ms: float = 500.0
-    cache_loss: float = 0.05
+    cache_loss_ratio: float = 0.05
     progress_period_ms: float = 500.0
--- a/src/tanagerscale/replay/_world.py
+++ b/src/tanagerscale/replay/_world.py
@@ -1,4 +1,4 @@
-"""Virtual time: hosts, messages and engine fakes around the real schedulers."""
+"""Discrete-event simulation of hosts, messages and engines around the real schedulers."""
 
 from __future__ import annotations
 
@@ -18,70 +18,70 @@
 from tanagerscale.policy import DecisionKind
 from tanagerscale.policy import EngineSpec
 from tanagerscale.policy import PlacementRequest
-from tanagerscale.replay._engine import EngineFake
-from tanagerscale.replay._events import EngineEvents
-from tanagerscale.replay._faults import Faults
+from tanagerscale.replay._engine import SimulatedEngine
+from tanagerscale.replay._events import EngineEventHandler
+from tanagerscale.replay._faults import FaultInjector
 from tanagerscale.replay._jobs import Job
-from tanagerscale.replay._jobs import Layout
+from tanagerscale.replay._jobs import SchedulerInstance
+from tanagerscale.replay._jobs import SchedulerTopology
 from tanagerscale.replay._jobs import ServedTokens
-from tanagerscale.replay._jobs import Site
-from tanagerscale.replay._jobs import service_of_accounts
-from tanagerscale.replay._news import News
+from tanagerscale.replay._jobs import compute_service_by_account
+from tanagerscale.replay._news import PeriodicReports
 from tanagerscale.replay._queue import EventQueue
 from tanagerscale.replay._sequence import Sequence
-from tanagerscale.replay._settings import DETECTION_MS
+from tanagerscale.replay._settings import FAULT_DETECTION_MS
 from tanagerscale.replay._settings import ReplaySettings
 from tanagerscale.replay._trace import TraceRequest
 
-TICK_MS = 100.0
-DRAIN_MS = 900_000.0
-"""How long after the trace the replay goes on at most."""
+DECISION_INTERVAL_MS = 100.0
+MAX_DRAIN_MS = 900_000.0
+"""Maximum simulated time after the last arrival of the trace."""
 
-MOST_TRIES = 4
-"""How often a caller that is told to come back does so."""
+MAX_ATTEMPTS = 4
+"""Maximum number of submissions of a request that is refused; restarts are not counted."""
 
-MODEL = ModelId("model")
+MODEL_ID = ModelId("model")
 MAX_TOKENS = 16_384
 
 
 @final
-class World:
-    """One replay.
+class Simulation:
+    """Replays one trace in simulated time.
 
-    :param trace: What callers ask.
-    :param settings: The world.
-    :param seed: Seed of everything random but the trace.
+    :param trace: Requests in order of arrival.
+    :param settings: Settings of the simulated system.
+    :param seed: Seed of the simulation's random numbers; the trace is not affected.
     """
 
     def __init__(self, *, trace: Items[TraceRequest], settings: ReplaySettings, seed: int) -> None:
         self.settings = settings
         self.table = MeasureTable()
-        self.engines: dict[UpstreamId, EngineFake] = {}
+        self.engines: dict[UpstreamId, SimulatedEngine] = {}
         self.jobs: list[Job] = []
         self.rng = Random(f"world/{seed}")
         self.slowest_refusal_ms = 0.0
-        self.progress_at_end: dict[str, ServedTokens] = {}
-        """Service to each account when the last request of the trace has come."""
+        self.service_at_trace_end: dict[str, ServedTokens] = {}
+        """Tokens requested by and served to each account at the last arrival of the trace."""
         self.messages = 0
-        """Messages between hosts, progress not counted."""
+        """Number of messages between hosts, without progress reports."""
         self._trace = trace
-        self._layout: Layout | None = None
+        self._topology: SchedulerTopology | None = None
         self._queue = EventQueue()
-        self._stepping: set[str] = set()
-        self._by_generation: dict[GenerationId, Job] = {}
-        self._open: list[EngineSpec] = []
-        self._left = len(trace)
-        events = EngineEvents(world=self)
+        self._stepping_engines: set[str] = set()
+        self._jobs_by_generation: dict[GenerationId, Job] = {}
+        self._available_engines: list[EngineSpec] = []
+        self._unfinished_requests = len(trace)
+        handler = EngineEventHandler(simulation=self)
         for index in range(settings.engines):
             name = UpstreamId(f"engine-{index + 1}")
-            self.engines[name] = EngineFake(
+            self.engines[name] = SimulatedEngine(
                 name=name,
                 model=settings.model,
-                events=events,
-                gaps=events,
+                listener=handler,
+                step_listener=handler,
                 token_gap_ms=settings.objective.token_gap_ms,
             )
-            self._open.append(
+            self._available_engines.append(
                 EngineSpec(
                     engine=name,
                     memory_tokens=settings.model.memory_tokens,
@@ -90,64 +90,67 @@
             )
 
     @property
-    def layout(self) -> Layout:
-        """Return the policy's layout."""
-        assert self._layout is not None
-        return self._layout
+    def topology(self) -> SchedulerTopology:
+        """Scheduler topology of the policy."""
+        assert self._topology is not None
+        return self._topology
 
     @property
     def now(self) -> float:
-        """The present time, in milliseconds."""
+        """Current simulated time, in milliseconds."""
         return self._queue.now
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+    def schedule_at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a time in milliseconds."""
         self._queue.add(when, action)
 
-    def after(self, delay: float, action: Callable[[], None]) -> None:
-        """Do something after a delay."""
-        self.at(self.now + delay, action)
+    def schedule_after(self, delay: float, action: Callable[[], None]) -> None:
+        """Schedule an action after a delay in milliseconds."""
+        self.schedule_at(self.now + delay, action)
 
-    def millis(self) -> Millis:
-        """Return the time as schedulers are told it."""
+    def now_ms(self) -> Millis:
+        """Return the current time in whole milliseconds, as passed to schedulers."""
         return Millis(int(self.now))
 
-    def length(self, generation: GenerationId) -> int:
-        """Return a true length; only the clairvoyant may ask."""
-        return self._by_generation[generation].request.output_tokens
+    def output_length(self, generation: GenerationId) -> int:
+        """Return the true output length in tokens; only for the clairvoyant scheduler."""
+        return self._jobs_by_generation[generation].request.output_tokens
 
-    def made(self, generation: GenerationId) -> int:
-        """Return how far a generation truly is; only the clairvoyant may ask."""
-        job = self._by_generation[generation]
+    def generated_tokens(self, generation: GenerationId) -> int:
+        """Return the number of tokens a generation has produced so far, without reporting delay.
+
+        Among schedulers, only the clairvoyant may use it.
+        """
+        job = self._jobs_by_generation[generation]
         if job.sequence is None or job.engine is None or job.generation != generation:
             return 0
         return job.engine.produced(job.sequence)
 
-    def run(self, *, layout: Layout) -> MeasureTable:
-        """Replay the trace with a policy until everything has ended.
+    def run(self, *, topology: SchedulerTopology) -> MeasureTable:
+        """Replay the trace with a policy until all requests have ended.
 
-        :param layout: The policy's schedulers.
+        :param topology: Scheduler topology of the policy.
         """
-        self._layout = layout
-        for site in layout.sites:
-            site.scheduler.set_engines(engines=self._open, now=self.millis())
-        for number, request in enumerate(self._trace):
-            self.at(float(request.at_ms), self._arrival(request, number))
+        self._topology = topology
+        for instance in topology.instances:
+            instance.scheduler.set_engines(engines=self._available_engines, now=self.now_ms())
+        for index, request in enumerate(self._trace):
+            self.schedule_at(float(request.at_ms), self._make_arrival(request, index))
         self._start_timers()
         if self._trace:
-            self.at(float(self._trace[-1].at_ms), self._note_service)
-        end = (self._trace[-1].at_ms if self._trace else 0) + DRAIN_MS
-        self._queue.run(until=end, goes_on=lambda: self._left > 0)
-        self._close()
+            self.schedule_at(float(self._trace[-1].at_ms), self._record_service)
+        end_ms = (self._trace[-1].at_ms if self._trace else 0) + MAX_DRAIN_MS
+        self._queue.run(until=end_ms, should_continue=lambda: self._unfinished_requests > 0)
+        self._finalize()
         return self.table
 
     def stop(self) -> None:
-        """End the replay now, whatever still runs."""
+        """Stop the replay immediately, with requests still running."""
         self._queue.clear()
 
-    # Callers and hosts.
+    # Requests and placement.
 
-    def _arrival(self, request: TraceRequest, number: int) -> Callable[[], None]:
+    def _make_arrival(self, request: TraceRequest, index: int) -> Callable[[], None]:
         host = self.rng.randrange(self.settings.hosts)
 
         def arrive() -> None:
@@ -159,205 +162,232 @@
             )
             job = Job(request=request, host=host, timeline=timeline)
             self.jobs.append(job)
-            job.generation = GenerationId(f"g{number}")
-            self.ask(job)
+            job.generation = GenerationId(f"g{index}")
+            self.request_placement(job)
 
         return arrive
 
-    def ask(self, job: Job, *, excluded: frozenset[UpstreamId] = frozenset()) -> None:
-        """Ask for a place for a new generation of a request."""
-        job.starts += 1
-        job.tries += 1
-        job.asked_at = self.now
-        job.generation = GenerationId(f"{job.generation.split('.')[0]}.{job.starts}")
-        self._by_generation[job.generation] = job
-        wanted = job.request
-        job.asked_for = PlacementRequest(
+    def request_placement(self, job: Job, *, excluded: frozenset[UpstreamId] = frozenset()) -> None:
+        """Submit a new generation of a request for placement.
+
+        :param excluded: Engines that must not be selected.
+        """
+        job.submissions += 1
+        job.attempts += 1
+        job.submitted_at = self.now
+        job.generation = GenerationId(f"{job.generation.split('.')[0]}.{job.submissions}")
+        self._jobs_by_generation[job.generation] = job
+        trace_request = job.request
+        job.placement_request = PlacementRequest(
             generation=job.generation,
-            model=MODEL,
-            account=ClientAccountId(wanted.account),
-            request_class=wanted.request_class,
-            priority=wanted.priority,
-            prompt_tokens=wanted.prompt_tokens,
+            model=MODEL_ID,
+            account=ClientAccountId(trace_request.account),
+            request_class=trace_request.request_class,
+            priority=trace_request.priority,
+            prompt_tokens=trace_request.prompt_tokens,
             max_tokens=MAX_TOKENS,
-            prefix=wanted.prefix,
-            prefix_tokens=wanted.prefix_tokens,
-            movable=wanted.whole,
-            arrived=self.millis(),
+            prefix=trace_request.prefix,
+            prefix_tokens=trace_request.prefix_tokens,
+            movable=trace_request.whole,
+            arrived=self.now_ms(),
             excluded=excluded,
         )
         self.send_request(job)
 
     def send_request(self, job: Job) -> None:
-        """Send a request to the site its host asks now."""
-        job.site = site = self.layout.site_for(host=job.host, now=self.now)
-        asked = job.asked_for
-        assert asked is not None
-        self.to_site(
-            site, job.host, lambda: site.scheduler.submit(request=asked, now=self.millis())
+        """Send a placement request to the scheduler instance currently assigned to its host."""
+        job.instance = instance = self.topology.instance_for(host=job.host, now=self.now)
+        placement = job.placement_request
+        assert placement is not None
+        self.send_to_instance(
+            instance,
+            job.host,
+            lambda: instance.scheduler.submit(request=placement, now=self.now_ms()),
         )
 
-    def to_site(self, site: Site, host: int | None, action: Callable[[], None]) -> None:
-        """Have a site take in a message, once it can."""
+    def send_to_instance(
+        self, instance: SchedulerInstance, host: int | None, action: Callable[[], None]
+    ) -> None:
+        """Deliver a message to a scheduler instance after the delay and after any freeze.
+
+        :param host: Index of the sending host.
+        :param action: Callback that handles the message.
+        """
 
         def deliver() -> None:
-            if site.frozen_until > self.now:
-                self.at(site.frozen_until, deliver)
+            if instance.frozen_until > self.now:
+                self.schedule_at(instance.frozen_until, deliver)
                 return
             action()
-            self.pump(site)
+            self.schedule_decision(instance)
 
-        delay = self._delay(site, host)
+        delay = self._delay(instance, host)
         if delay > 0.0:
             self.messages += 1
         if delay == 0.0:
             deliver()
         else:
-            self.after(delay, deliver)
+            self.schedule_after(delay, deliver)
 
-    def _delay(self, site: Site, host: int | None) -> float:
-        if site.host is None or site.host == host:
+    def _delay(self, instance: SchedulerInstance, host: int | None) -> float:
+        if instance.host is None or instance.host == host:
             return 0.0
         return self.settings.host_delay_ms
 
-    def pump(self, site: Site) -> None:
-        """Have a site decide after the events of this moment."""
-        if site.pending:
+    def schedule_decision(self, instance: SchedulerInstance) -> None:
+        """Schedule a decision after the other events of the current time."""
+        if instance.decision_pending:
             return
-        site.pending = True
-        self.at(self.now, lambda: self._decide(site))
+        instance.decision_pending = True
+        self.schedule_at(self.now, lambda: self._decide(instance))
 
-    def _decide(self, site: Site) -> None:
-        site.pending = False
-        if site.frozen_until > self.now:
-            self.at(site.frozen_until, lambda: self.pump(site))
+    def _decide(self, instance: SchedulerInstance) -> None:
+        instance.decision_pending = False
+        if instance.frozen_until > self.now:
+            self.schedule_at(instance.frozen_until, lambda: self.schedule_decision(instance))
             return
-        for decision in site.scheduler.decide(now=self.millis()):
-            self._carry_out(site, decision)
+        for decision in instance.scheduler.decide(now=self.now_ms()):
+            self._apply_decision(instance, decision)
 
-    def _carry_out(self, site: Site, decision: Decision) -> None:
-        job = self._by_generation[decision.generation]
-        delay = self._delay(site, job.host)
+    def _apply_decision(self, instance: SchedulerInstance, decision: Decision) -> None:
+        job = self._jobs_by_generation[decision.generation]
+        delay = self._delay(instance, job.host)
         self.messages += delay > 0.0
         if decision.kind is DecisionKind.ADMIT:
             assert decision.engine is not None
             engine = self.engines[decision.engine]
-            self.after(
+            self.schedule_after(
                 delay + self.settings.engine_delay_ms,
-                lambda: self._start(job, decision.generation, engine, site),
+                lambda: self._start_generation(job, decision.generation, engine, instance),
             )
         elif decision.kind is DecisionKind.SHED:
-            self.after(delay, lambda: self._refused(job, decision.retry_after_ms))
+            self.schedule_after(delay, lambda: self._handle_refusal(job, decision.retry_after_ms))
         else:
-            self.after(
-                delay + self.settings.engine_delay_ms, lambda: self._moved(job, decision, site)
+            self.schedule_after(
+                delay + self.settings.engine_delay_ms,
+                lambda: self._handle_move(job, decision, instance),
             )
 
-    def _start(self, job: Job, generation: GenerationId, engine: EngineFake, site: Site) -> None:
+    def _start_generation(
+        self,
+        job: Job,
+        generation: GenerationId,
+        engine: SimulatedEngine,
+        instance: SchedulerInstance,
+    ) -> None:
         if job.done or job.generation != generation or job.sequence is not None:
-            self.tell_finished(job, generation, site, tokens=0, complete=False)
+            self.notify_finished(job, generation, instance, tokens=0, complete=False)
             return
-        if not engine.alive:
-            self.after(DETECTION_MS, lambda: self.restart(job, engine))
+        if not engine.is_alive:
+            self.schedule_after(FAULT_DETECTION_MS, lambda: self.restart(job, engine))
             return
-        wanted = job.request
-        job.site = site
+        trace_request = job.request
+        job.instance = instance
         job.engine = engine
         job.sequence = Sequence(
             owner=job,
-            prompt=wanted.prompt_tokens,
-            prefix=wanted.prefix,
-            prefix_tokens=wanted.prefix_tokens,
-            output=wanted.output_tokens,
-            priority=wanted.priority,
-            seen=job.timeline.tokens,
+            prompt_tokens=trace_request.prompt_tokens,
+            prefix=trace_request.prefix,
+            prefix_tokens=trace_request.prefix_tokens,
+            output_tokens=trace_request.output_tokens,
+            priority=trace_request.priority,
+            already_generated=job.timeline.tokens,
         )
         engine.submit(job.sequence)
-        self._wake(engine)
+        self._wake_engine(engine)
 
-    def restart(self, job: Job, engine: EngineFake) -> None:
-        """Ask for another place for a request whose engine is lost."""
+    def restart(self, job: Job, engine: SimulatedEngine) -> None:
+        """Request another placement for a request whose engine is lost."""
         job.sequence = None
         job.engine = None
-        job.tries -= 1
-        self.ask(job, excluded=frozenset({UpstreamId(engine.name)}))
+        job.attempts -= 1
+        self.request_placement(job, excluded=frozenset({UpstreamId(engine.name)}))
 
-    def _refused(self, job: Job, retry_after_ms: int) -> None:
+    def _handle_refusal(self, job: Job, retry_after_ms: int) -> None:
         self.table.shed += 1
         job.refusals += 1
-        self.slowest_refusal_ms = max(self.slowest_refusal_ms, self.now - job.asked_at)
-        if job.tries >= MOST_TRIES:
-            self.end(job, complete=False)
+        self.slowest_refusal_ms = max(self.slowest_refusal_ms, self.now - job.submitted_at)
+        if job.attempts >= MAX_ATTEMPTS:
+            self.finish_job(job, complete=False)
             return
-        self.after(float(retry_after_ms), lambda: self.ask(job))
+        self.schedule_after(float(retry_after_ms), lambda: self.request_placement(job))
 
-    def _moved(self, job: Job, decision: Decision, site: Site) -> None:
+    def _handle_move(self, job: Job, decision: Decision, instance: SchedulerInstance) -> None:
         engine = self.engines.get(decision.engine or UpstreamId(""))
         if job.done or job.sequence is None or engine is not job.engine or engine is None:
             return
-        made = engine.cancel(job.sequence, now=self.now)
+        generated_tokens = engine.cancel(job.sequence, now=self.now)
         self.table.moves += 1
-        self.table.wasted_tokens += made
+        self.table.wasted_tokens += generated_tokens
         job.sequence = None
         job.engine = None
 
-    def tell_finished(
-        self, job: Job, generation: GenerationId, site: Site, *, tokens: int, complete: bool
+    def notify_finished(
+        self,
+        job: Job,
+        generation: GenerationId,
+        instance: SchedulerInstance,
+        *,
+        tokens: int,
+        complete: bool,
     ) -> None:
-        """Tell a site that a generation left its engine."""
-        self.to_site(
-            site,
+        """Notify a scheduler instance that a generation is no longer on its engine."""
+        self.send_to_instance(
+            instance,
             job.host,
-            lambda: site.scheduler.on_finished(
-                generation=generation, tokens=tokens, complete=complete, now=self.millis()
+            lambda: instance.scheduler.on_finished(
+                generation=generation, tokens=tokens, complete=complete, now=self.now_ms()
             ),
         )
 
-    def end(self, job: Job, *, complete: bool) -> None:
-        """Count a request that ended."""
+    def finish_job(self, job: Job, *, complete: bool) -> None:
+        """Finish a request and record its measures.
+
+        :param complete: Whether the whole answer was generated.
+        """
         if not complete:
             job.timeline.give_up(now=self.now)
         job.done = True
         job.complete = complete
         job.ended_at = self.now
-        self._left -= 1
+        self._unfinished_requests -= 1
         self.table.add(job.timeline, short=job.request.short, complete=complete)
 
     # Engines.
 
-    def _wake(self, engine: EngineFake) -> None:
-        if engine.name in self._stepping or not engine.alive:
+    def _wake_engine(self, engine: SimulatedEngine) -> None:
+        if engine.name in self._stepping_engines or not engine.is_alive:
             return
-        self._stepping.add(engine.name)
-        self._step(engine)
+        self._stepping_engines.add(engine.name)
+        self._begin_step(engine)
 
-    def _step(self, engine: EngineFake) -> None:
-        if not engine.alive or engine.idle:
-            self._stepping.discard(engine.name)
+    def _begin_step(self, engine: SimulatedEngine) -> None:
+        if not engine.is_alive or engine.is_idle:
+            self._stepping_engines.discard(engine.name)
             return
         duration = engine.begin_step(now=self.now)
-        self.after(duration, lambda: self._step_ended(engine))
+        self.schedule_after(duration, lambda: self._finish_step(engine))
 
-    def _step_ended(self, engine: EngineFake) -> None:
-        if engine.alive:
+    def _finish_step(self, engine: SimulatedEngine) -> None:
+        if engine.is_alive:
             engine.end_step(now=self.now)
-        self._step(engine)
+        self._begin_step(engine)
 
     # Timers and faults.
 
     def _start_timers(self) -> None:
-        for site in self.layout.sites:
-            self._tick(site)
-        News(world=self).start()
-        Faults(world=self).plan()
+        for instance in self.topology.instances:
+            self._tick(instance)
+        PeriodicReports(simulation=self).start()
+        FaultInjector(simulation=self).schedule()
 
-    def add_site(self, site: Site) -> None:
-        """Start a site that was not there when the replay began."""
-        site.scheduler.set_engines(engines=self._open, now=self.millis())
-        self._tick(site)
+    def add_instance(self, instance: SchedulerInstance) -> None:
+        """Add a scheduler instance during the replay."""
+        instance.scheduler.set_engines(engines=self._available_engines, now=self.now_ms())
+        self._tick(instance)
 
     def running_jobs(self) -> list[Job]:
-        """Return the jobs that engines hold."""
+        """Return the jobs whose generations are on an engine."""
         return [
             sequence.owner
             for engine in self.engines.values()
@@ -366,31 +396,33 @@
         ]
 
     def waiting_jobs(self) -> list[Job]:
-        """Return the jobs that wait for a place."""
+        """Return the jobs that wait for a placement."""
         return [
             job
             for job in self.jobs
-            if not job.done and job.sequence is None and job.site is not None
+            if not job.done and job.sequence is None and job.instance is not None
         ]
 
-    def _tick(self, site: Site) -> None:
-        self.pump(site)
-        self.after(TICK_MS, lambda: self._tick(site))
+    def _tick(self, instance: SchedulerInstance) -> None:
+        self.schedule_decision(instance)
+        self.schedule_after(DECISION_INTERVAL_MS, lambda: self._tick(instance))
 
-    def close_engine(self, name: UpstreamId) -> None:
-        """Have no site send new work to an engine."""
-        self._open = [spec for spec in self._open if spec.engine != name]
-        for site in self.layout.sites:
-            site.scheduler.set_engines(engines=self._open, now=self.millis())
-            self.pump(site)
+    def drain_engine(self, name: UpstreamId) -> None:
+        """Exclude an engine from new placements in all scheduler instances."""
+        self._available_engines = [spec for spec in self._available_engines if spec.engine != name]
+        for instance in self.topology.instances:
+            instance.scheduler.set_engines(engines=self._available_engines, now=self.now_ms())
+            self.schedule_decision(instance)
 
-    def _note_service(self) -> None:
-        self.progress_at_end = service_of_accounts(self.jobs, made=self.made)
+    def _record_service(self) -> None:
+        self.service_at_trace_end = compute_service_by_account(
+            self.jobs, generated_tokens=self.generated_tokens
+        )
 
-    def _close(self) -> None:
+    def _finalize(self) -> None:
         for job in self.jobs:
             if not job.done:
-                self.end(job, complete=False)
+                self.finish_job(job, complete=False)
         for engine in self.engines.values():
             self.table.engine_ms += engine.busy_ms
             self.table.preemptions += engine.preemptions
--- a/testing/test_replay.py
+++ b/testing/test_replay.py
@@ -1,4 +1,4 @@
-"""The replay: engine fakes, measures, policies and faults."""
+"""Tests of the replay: simulated engines, measures, policies and faults."""
 
 from __future__ import annotations
 
@@ -14,54 +14,54 @@
 from tanagerscale.measures import MeasureTable
 from tanagerscale.measures import RequestTimeline
 from tanagerscale.replay import POLICIES
-from tanagerscale.replay import Case
+from tanagerscale.replay import FaultCase
 from tanagerscale.replay import ReplayReport
 from tanagerscale.replay import ReplayRun
-from tanagerscale.replay import do_runs
+from tanagerscale.replay import execute_runs
+from tanagerscale.replay import generate_trace
 from tanagerscale.replay import main
-from tanagerscale.replay import make_trace
 from tanagerscale.replay import read_trace
 from tanagerscale.replay import run_replay
 from tanagerscale.replay import write_trace
-from tanagerscale.replay._engine import EngineFake
 from tanagerscale.replay._engine import EngineModel
+from tanagerscale.replay._engine import SimulatedEngine
 from tanagerscale.replay._sequence import Sequence
 
-SHORT = ReplayRun(policy="owner", seed=1, load=1.1, duration_s=60)
+SHORT_RUN = ReplayRun(policy="owner", seed=1, load=1.1, duration_s=60)
 
 
-class Listener:
-    """Records what an engine fake tells."""
+class RecordingListener:
+    """Records the events of a simulated engine."""
 
     def __init__(self) -> None:
-        self.ended: list[tuple[str, float]] = []
-        self.firsts: list[tuple[str, int, float]] = []
+        self.finished: list[tuple[str, float]] = []
+        self.first_tokens: list[tuple[str, int, float]] = []
         self.gaps: list[tuple[float, int]] = []
         self.cached: list[tuple[str, bool]] = []
 
     def on_progress(self, sequence: Sequence, *, total: int, now: float) -> None:
-        self.firsts.append((sequence.owner, total, now))
+        self.first_tokens.append((sequence.owner, total, now))
 
-    def on_pause(self, sequence: Sequence, *, total: int, now: float, excess_ms: float) -> None:
-        assert total <= sequence.output
+    def on_pause(self, sequence: Sequence, *, total: int, now: float, stall_ms: float) -> None:
+        assert total <= sequence.output_tokens
 
     def on_end(self, sequence: Sequence, *, now: float) -> None:
-        self.ended.append((sequence.owner, now))
+        self.finished.append((sequence.owner, now))
 
-    def on_cache(self, engine: EngineFake, *, prefix: str, stored: bool) -> None:
+    def on_cache(self, engine: SimulatedEngine, *, prefix: str, stored: bool) -> None:
         self.cached.append((prefix, stored))
 
-    def step(self, *, duration_ms: float, generations: int) -> None:
+    def on_step(self, *, duration_ms: float, generations: int) -> None:
         self.gaps.append((duration_ms, generations))
 
 
 @pytest.fixture
-def listener() -> Listener:
-    return Listener()
+def listener() -> RecordingListener:
+    return RecordingListener()
 
 
 @pytest.fixture
-def engine(listener: Listener) -> EngineFake:
+def engine(listener: RecordingListener) -> SimulatedEngine:
     model = EngineModel(
         base_ms=10.0,
         sequence_ms=1.0,
@@ -71,72 +71,81 @@
         memory_tokens=1_600,
         max_batch=4,
     )
-    return EngineFake(name="e", model=model, events=listener, gaps=listener, token_gap_ms=50.0)
+    return SimulatedEngine(
+        name="e", model=model, listener=listener, step_listener=listener, token_gap_ms=50.0
+    )
 
 
-def sequence(
-    name: str, *, prompt: int, output: int, prefix: str = "", priority: int = 1
+def make_sequence(
+    name: str, *, prompt_tokens: int, output_tokens: int, prefix: str = "", priority: int = 1
 ) -> Sequence:
     return Sequence(
         owner=name,
-        prompt=prompt,
+        prompt_tokens=prompt_tokens,
         prefix=prefix,
         prefix_tokens=80 if prefix else 0,
-        output=output,
+        output_tokens=output_tokens,
         priority=priority,
-        seen=0,
+        already_generated=0,
     )
 
 
-def run_until_idle(engine: EngineFake) -> float:
+def run_until_idle(engine: SimulatedEngine) -> float:
     now = 0.0
-    while not engine.idle:
+    while not engine.is_idle:
         now += engine.begin_step(now=now)
         engine.end_step(now=now)
     return now
 
 
-def test_engine_makes_one_token_a_step_when_one_generation_runs(
-    engine: EngineFake, listener: Listener
+def test_engine_produces_one_token_per_step_when_one_generation_runs(
+    engine: SimulatedEngine, listener: RecordingListener
 ) -> None:
-    engine.submit(sequence("a", prompt=150, output=5))
-    # Two chunks of prompt, then four steps of one token each after the first.
+    engine.submit(make_sequence("a", prompt_tokens=150, output_tokens=5))
+    # Two prefill chunks (20 ms and 15 ms), then four decode steps of 11 ms after the first token.
     assert run_until_idle(engine) == pytest.approx(20.0 + 15.0 + 4 * 11.0)
-    assert [item[:2] for item in listener.firsts] == [("a", 1)]
-    assert listener.firsts[0][2] == pytest.approx(35.0)
+    assert [item[:2] for item in listener.first_tokens] == [("a", 1)]
+    assert listener.first_tokens[0][2] == pytest.approx(35.0)
     assert [count for _, count in listener.gaps] == [1, 1, 1, 1]
 
 
-def test_engine_preempts_the_latest_when_memory_runs_out(
-    engine: EngineFake, listener: Listener
+def test_engine_preempts_latest_generation_when_memory_runs_out(
+    engine: SimulatedEngine, listener: RecordingListener
 ) -> None:
-    engine.submit(sequence("a", prompt=600, output=500))
-    engine.submit(sequence("b", prompt=600, output=400))
+    engine.submit(make_sequence("a", prompt_tokens=600, output_tokens=500))
+    engine.submit(make_sequence("b", prompt_tokens=600, output_tokens=400))
     run_until_idle(engine)
     assert engine.preemptions >= 1
-    assert [name for name, _ in listener.ended] == ["a", "b"]
-    assert [name for name, total, _ in listener.firsts if total > 1] == ["b"] * engine.preemptions
+    assert [name for name, _ in listener.finished] == ["a", "b"]
+    assert [name for name, total, _ in listener.first_tokens if total > 1] == [
+        "b"
+    ] * engine.preemptions
     assert engine.used_tokens == 0
 
 
-def test_engine_skips_a_cached_prefix_when_it_was_computed(
-    engine: EngineFake, listener: Listener
+def test_engine_skips_prefill_of_prefix_when_prefix_is_cached(
+    engine: SimulatedEngine, listener: RecordingListener
 ) -> None:
-    engine.submit(sequence("a", prompt=90, output=1, prefix="p"))
+    engine.submit(make_sequence("a", prompt_tokens=90, output_tokens=1, prefix="p"))
     run_until_idle(engine)
     first = engine.prefilled_tokens
-    engine.submit(sequence("b", prompt=90, output=1, prefix="p"))
+    engine.submit(make_sequence("b", prompt_tokens=90, output_tokens=1, prefix="p"))
     run_until_idle(engine)
     assert (first, engine.prefilled_tokens) == (90, 100)
-    engine.submit(sequence("c", prompt=1_590, output=1))
+    engine.submit(make_sequence("c", prompt_tokens=1_590, output_tokens=1))
     run_until_idle(engine)
     assert ("p", False) in listener.cached
 
 
-def test_engine_frees_memory_when_generations_are_cancelled_in_a_step(engine: EngineFake) -> None:
+def test_engine_frees_memory_when_generations_are_cancelled_during_a_step(
+    engine: SimulatedEngine,
+) -> None:
     now = 0.0
     for steps in range(20, 36):
-        items = [sequence(str(number), prompt=100 + number, output=300) for number in range(4)]
+        items = [
+            make_sequence(str(number), prompt_tokens=100 + number, output_tokens=300)
+            for number in range(4)
+        ]
         for item in items:
             engine.submit(item)
         for _ in range(steps):
@@ -146,15 +155,15 @@
         for item in items:
             engine.cancel(item, now=now)
         engine.end_step(now=now)
-    assert engine.idle
+    assert engine.is_idle
     assert engine.used_tokens == 0
 
 
-def test_stall_counts_only_waits_beyond_the_objectives() -> None:
+def test_stall_counts_only_time_beyond_objectives_when_tokens_are_late() -> None:
     timeline = RequestTimeline(arrived=0.0, first_token_ms=1_000.0, token_gap_ms=50.0)
     assert timeline.on_tokens(total=1, now=1_200.0) is None
     assert timeline.on_tokens(total=2, now=1_240.0) == 40.0
-    # A second generation makes the first tokens again, which is no progress.
+    # A restarted generation produces the first tokens again, which is not progress.
     assert timeline.on_tokens(total=1, now=1_300.0) is None
     assert timeline.on_tokens(total=3, now=1_390.0) == 150.0
     assert timeline.stall_ms == 300.0
@@ -162,7 +171,7 @@
     assert timeline.stall_ms == 360.0
 
 
-def test_summary_counts_an_answer_as_good_when_it_is_whole_and_in_time() -> None:
+def test_summary_counts_answer_as_good_when_complete_and_on_time() -> None:
     table = MeasureTable()
     for wait, complete in ((500.0, True), (9_000.0, True), (500.0, False)):
         timeline = RequestTimeline(arrived=0.0, first_token_ms=1_000.0, token_gap_ms=50.0)
@@ -173,7 +182,7 @@
     assert summary.stall_s == summary.short_stall_s == 8.0
 
 
-def test_quantiles_are_close_when_durations_vary() -> None:
+def test_quantiles_are_accurate_when_durations_vary() -> None:
     histogram = GapHistogram()
     for duration in range(1, 1_001):
         histogram.record(float(duration))
@@ -181,28 +190,28 @@
     assert histogram.quantile(0.999) == pytest.approx(999, rel=0.05)
 
 
-def test_trace_is_the_same_when_written_and_read(tmp_path: Path) -> None:
-    made = make_trace(user="film-office", rate=5.0, seed=3, duration_s=30)
-    assert made == make_trace(user="film-office", rate=5.0, seed=3, duration_s=30)
-    assert made != make_trace(user="film-office", rate=5.0, seed=4, duration_s=30)
-    write_trace(tmp_path / "trace.jsonl", made)
-    assert read_trace(tmp_path / "trace.jsonl") == made
+def test_trace_is_unchanged_when_written_and_read(tmp_path: Path) -> None:
+    trace = generate_trace(user="film-office", rate=5.0, seed=3, duration_s=30)
+    assert trace == generate_trace(user="film-office", rate=5.0, seed=3, duration_s=30)
+    assert trace != generate_trace(user="film-office", rate=5.0, seed=4, duration_s=30)
+    write_trace(tmp_path / "trace.jsonl", trace)
+    assert read_trace(tmp_path / "trace.jsonl") == trace
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_every_request_ends_once_when_replayed(policy: str) -> None:
-    run = replace(SHORT, policy=policy, duration_s=20)
-    first, second = do_runs([run, run], processes=1)
+    run = replace(SHORT_RUN, policy=policy, duration_s=20)
+    first, second = execute_runs([run, run], processes=1)
     assert first == second
-    trace = make_trace(user=run.user, rate=14.8 * run.load, seed=run.seed, duration_s=20)
+    trace = generate_trace(user=run.user, rate=14.8 * run.load, seed=run.seed, duration_s=20)
     assert first.summary.requests == len(trace)
     assert first.summary.completed == len(trace)
     assert first.summary.useful_tokens == sum(request.output_tokens for request in trace)
 
 
-@pytest.mark.parametrize("case", Case)
-def test_every_request_ends_when_something_fails(case: Case) -> None:
-    report = do_runs([replace(SHORT, case=case, load=0.7, duration_s=30)], processes=1)[0]
+@pytest.mark.parametrize("case", FaultCase)
+def test_every_request_completes_when_a_fault_is_injected(case: FaultCase) -> None:
+    report = execute_runs([replace(SHORT_RUN, case=case, load=0.7, duration_s=30)], processes=1)[0]
     assert report.summary.completed == report.summary.requests > 250
 
 
@@ -219,24 +228,24 @@
     )
 
 
-def test_objective_moves_stall_and_preemptions_when_weights_change() -> None:
+def test_objective_trades_stall_against_preemptions_when_weights_change() -> None:
     careful = replay_with(Objective(preemption_weight=10.0)).summary
     eager = replay_with(Objective(stall_weight=10.0)).summary
     assert careful.preemptions < eager.preemptions
     assert careful.stall_s > eager.stall_s
 
 
-def test_objective_moves_the_tail_when_its_weight_changes() -> None:
+def test_objective_shortens_tail_gaps_when_tail_weight_is_raised() -> None:
     heavy = replay_with(Objective(tail_weight=10.0)).summary
     default = replay_with(Objective()).summary
     assert heavy.gap_p999_ms < default.gap_p999_ms
     assert heavy.stall_s > default.stall_s
 
 
-def test_default_policy_beats_the_baselines_when_engines_are_full() -> None:
+def test_default_policy_outperforms_baselines_when_engines_are_saturated() -> None:
     policies = ("owner", "two-choices", "least-outstanding")
-    full = replace(SHORT, load=1.6, setting="small-memory")
-    reports = do_runs([replace(full, policy=name) for name in policies], processes=1)
+    full = replace(SHORT_RUN, load=1.6, setting="small-memory")
+    reports = execute_runs([replace(full, policy=name) for name in policies], processes=1)
     owner, *baselines = (report.summary for report in reports)
     for baseline in baselines:
         assert owner.stall_s < 0.6 * baseline.stall_s
@@ -244,40 +253,40 @@
 
 
 @pytest.mark.parametrize("user", ["trois-rivieres", "film-office"])
-def test_kept_trace_meets_its_outcomes_when_the_default_policy_runs_it(user: str) -> None:
+def test_stored_trace_meets_expected_outcomes_when_default_policy_is_replayed(user: str) -> None:
     trace = Path(__file__).parent.parent / "traces" / f"{user}-peak.jsonl"
     assert main(str(trace), policy="owner", seeds="101") == 0
 
 
-def test_replay_says_which_outcome_is_missed(
+def test_replay_prints_missed_outcome_when_bound_is_exceeded(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "small.jsonl"
-    write_trace(path, make_trace(user="trois-rivieres", rate=4.0, seed=1, duration_s=10))
+    write_trace(path, generate_trace(user="trois-rivieres", rate=4.0, seed=1, duration_s=10))
     outcomes = tmp_path / "small.outcomes.json"
 
-    def judged(measure: str, most: float) -> int:
-        stated = [{"policy": "owner", "measure": measure, "most": most}]
-        outcomes.write_bytes(msgspec.json.encode(stated))
+    def run_with_bound(measure: str, most: float) -> int:
+        expected = [{"policy": "owner", "measure": measure, "most": most}]
+        outcomes.write_bytes(msgspec.json.encode(expected))
         return main(str(path), policy="owner", seeds="101")
 
-    assert judged("stall_s", 1.0) == 0
+    assert run_with_bound("stall_s", 1.0) == 0
     assert "met: owner seed 101 stall_s" in capsys.readouterr().out
-    assert judged("completed", 1.0) == 1
+    assert run_with_bound("completed", 1.0) == 1
     assert "MISSED: owner seed 101 completed" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
-    ("call", "remedy"),
+    ("call", "message"),
     [
-        (lambda: main("nothing.jsonl"), "name a file, or one of trois-rivieres"),
-        (lambda: main("film-office", policy="best"), "allowed are all, round-robin"),
-        (lambda: main("film-office", setting="odd"), "allowed are standard"),
-        (lambda: main("film-office", case="odd"), "allowed are none"),
+        (lambda: main("nothing.jsonl"), "use a file or one of trois-rivieres"),
+        (lambda: main("film-office", policy="best"), "choose from all, round-robin"),
+        (lambda: main("film-office", setting="odd"), "choose from standard"),
+        (lambda: main("film-office", case="odd"), "choose from none"),
     ],
 )
-def test_replay_names_what_is_allowed_when_arguments_are_wrong(
-    call: Callable[[], int], remedy: str, capsys: pytest.CaptureFixture[str]
+def test_replay_lists_allowed_values_when_arguments_are_invalid(
+    call: Callable[[], int], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert call() == 2
-    assert remedy in capsys.readouterr().err
+    assert message in capsys.readouterr().err
--- a/tools/replay_matrix.py
+++ b/tools/replay_matrix.py
@@ -20,14 +20,14 @@
 from tanagerscale.policy import LengthEstimator
 from tanagerscale.policy import Tuning
 from tanagerscale.replay import BASELINES
-from tanagerscale.replay import Case
+from tanagerscale.replay import FaultCase
 from tanagerscale.replay import ReplayReport
 from tanagerscale.replay import ReplayRun
-from tanagerscale.replay._capacity import measure_capacity
-from tanagerscale.replay._report import mean_of
-from tanagerscale.replay._run import do_run
+from tanagerscale.replay._capacity import measure_capacity_per_s
+from tanagerscale.replay._report import compute_mean
+from tanagerscale.replay._run import execute_run
 from tanagerscale.replay._run import parse_seeds
-from tanagerscale.replay._settings import CAPACITY
+from tanagerscale.replay._settings import CAPACITY_PER_S
 
 USERS = ("trois-rivieres", "film-office")
 LOADS = (0.5, 0.7, 0.9, 1.1, 1.5)
@@ -64,7 +64,7 @@
 
 def _do(variant: Variant) -> ReplayReport:
     with _without_lengths(not variant.learn):
-        return do_run(variant.run)
+        return execute_run(variant.run)
 
 
 def _run(policy: str, user: str, load: float) -> ReplayRun:
@@ -125,12 +125,12 @@
 
 
 def _cases() -> Iterator[Variant]:
-    for case in Case:
+    for case in FaultCase:
         for load in (0.7, 0.9):
             for policy in ("two-choices", "hosts-alone", "owner"):
                 run = replace(_run(policy, "trois-rivieres", load), case=case)
                 yield Variant(name=policy, run=run)
-            if case in (Case.ENGINE_LOST, Case.ENGINE_RECLAIMED):
+            if case in (FaultCase.ENGINE_LOST, FaultCase.ENGINE_RECLAIMED):
                 run = replace(_run("clairvoyant", "trois-rivieres", load), case=case)
                 yield Variant(name="clairvoyant", run=run)
 
@@ -154,7 +154,7 @@
     run = variant.run
 
     def mean(measure: str) -> float:
-        return mean_of(reports, measure)
+        return compute_mean(reports, measure)
 
     cells = [
         run.user,
@@ -182,14 +182,14 @@
 
 def _capacity(setting: tuple[str, str, int]) -> float:
     user, engines, seed = setting
-    return measure_capacity(user=user, setting=engines, seed=seed)
+    return measure_capacity_per_s(user=user, setting=engines, seed=seed)
 
 
 def _print_capacity(seeds: Sequence[int], processes: int) -> None:
     print("| user | setting | requests/s by seed | mean | stated |")
     print("|---|---|---|---|---|")
     with Pool(processes) as pool:
-        for (user, setting), stated in CAPACITY.items():
+        for (user, setting), stated in CAPACITY_PER_S.items():
             found = pool.map(_capacity, [(user, setting, seed) for seed in seeds])
             listed = ", ".join(f"{value:.1f}" for value in found)
             mean = sum(found) / len(found)
