--- a/src/tanagerscale/claims/_attempt.py
+++ b/src/tanagerscale/claims/_attempt.py
@@ -15,8 +15,8 @@
 from tanagerscale.core import Millis
 from tanagerscale.generated.records import ClaimRecord
 from tanagerscale.generated.records import ClaimState
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import StoreRevision
 
 DISPATCH_WINDOW_MS: Final = 10_000
@@ -39,7 +39,7 @@
     record: ClaimRecord
     ttl_s: int
     started: Millis
-    last_put: PutIf | None = None
+    last_put: ConditionalPut | None = None
 
     @property
     def expires(self) -> Millis:
--- a/src/tanagerscale/claims/_batcher.py
+++ b/src/tanagerscale/claims/_batcher.py
@@ -18,7 +18,7 @@
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
 from tanagerscale.store import MAX_PUTS
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import Store
 from tanagerscale.store import StoreError
@@ -45,7 +45,7 @@
 
 
 class _Queued(Struct, frozen=True, kw_only=True):
-    put: PutIf
+    put: ConditionalPut
     due: Millis
     result: asyncio.Future[PutResult] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
@@ -98,7 +98,7 @@
         if self._failures >= FAILURES_THAT_FAIL_THE_QUEUE:
             self._fail_queue()
 
-    async def submit(self, *, put: PutIf, urgent: bool) -> PutResult:
+    async def submit(self, *, put: ConditionalPut, urgent: bool) -> PutResult:
         """Commit one write together with others.
 
         :param put: The write.
--- a/src/tanagerscale/claims/_claims.py
+++ b/src/tanagerscale/claims/_claims.py
@@ -39,8 +39,8 @@
 from tanagerscale.core import Problem
 from tanagerscale.generated.records import ClaimRecord
 from tanagerscale.generated.records import ClaimState
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import Store
 from tanagerscale.store import StoreError
@@ -236,7 +236,7 @@
             if outcome.written:
                 lease = leased.unwrap()
                 return Success(attempt.to_granted(revision=outcome.revision, lease=lease))
-            present = outcome.present
+            present = outcome.current_entry
             if present is None:
                 expected = ABSENT
                 continue
@@ -254,7 +254,9 @@
     ) -> Result[PutOutcome, StoreError]:
         """Commit a claim; when the reply is lost, the same claim settles what became of it."""
         value = msgspec.json.encode(attempt.record)
-        put = PutIf(key=attempt.store_key, value=value, expected_mod_revision=expected, lease=lease)
+        put = ConditionalPut(
+            key=attempt.store_key, value=value, expected_mod_revision=expected, lease=lease
+        )
         attempt.last_put = put
         result = await self._batcher.submit(put=put, urgent=True)
         if not _is_uncertain(result):
--- a/src/tanagerscale/claims/_recorder.py
+++ b/src/tanagerscale/claims/_recorder.py
@@ -21,8 +21,8 @@
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
 from tanagerscale.generated.records import ClaimRecord
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import Store
 from tanagerscale.store import StoreError
@@ -111,7 +111,7 @@
         lease = pending.lease
         refusals = 0
         while self._clock.now() < pending.expires and refusals < MAX_REFUSALS:
-            put = PutIf(
+            put = ConditionalPut(
                 key=pending.store_key, value=value, expected_mod_revision=expected, lease=lease
             )
             result = await self._batcher.submit(put=put, urgent=False)
@@ -140,12 +140,12 @@
 
 def _own_claim(outcome: PutOutcome, *, nonce: str) -> StoreRevision | None:
     """Return the revision of a claim of ours that still lacks its outcome."""
-    if outcome.written or outcome.present is None:
+    if outcome.written or outcome.current_entry is None:
         return None
-    record = decode_record(outcome.present.value)
+    record = decode_record(outcome.current_entry.value)
     if record is None or record.nonce != nonce or is_final(record):
         return None
-    return outcome.present.mod_revision
+    return outcome.current_entry.mod_revision
 
 
 def _tell(
--- a/src/tanagerscale/coordination/_feed.py
+++ b/src/tanagerscale/coordination/_feed.py
@@ -135,7 +135,7 @@
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Take in changes, as the store has them."""
-        revision = batch.newest or batch.revision
+        revision = batch.newest_revision or batch.revision
         if revision <= self._reached:
             return
         before = self._reached
@@ -145,7 +145,7 @@
         self._listener.on_changes(batch)
         self._tell_all(self._since(before))
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Note whether the watch of this host's own is answered."""
         self._note_own(replace(self._own, is_watched=reachable))
 
@@ -158,7 +158,7 @@
 
     def end_following(self) -> None:
         """Take in that this host watches the store no more."""
-        self.on_store(reachable=False)
+        self.on_reachability_changed(reachable=False)
 
     def follow(self, source: HostId | None) -> None:
         """Hear changes from a host from now on.
@@ -263,7 +263,7 @@
         view = self._own if self._own.is_current or not self._told.is_watched else self._told
         before, self._view = self._view, view
         if view.is_watched is not before.is_watched:
-            self._listener.on_store(reachable=view.is_watched)
+            self._listener.on_reachability_changed(reachable=view.is_watched)
         if view.is_answered is not before.is_answered:
             self._listener.on_calls(answered=view.is_answered)
 
--- a/src/tanagerscale/daemon/__main__.py
+++ b/src/tanagerscale/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Run ``python -m tanagerscale.daemon``."""
+"""Entry point of ``python -m tanagerscale.daemon``."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/daemon/_notes.py
+++ b/src/tanagerscale/daemon/_adapters.py
@@ -1,4 +1,4 @@
-"""Small adapters between the parts of a host."""
+"""Small adapters between the components of a host."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from tanagerscale.upstreams import HttpEngineClient
 
 UNDECLARED_ADDRESS = "127.0.0.1:0"
-"""No engine is there; a call fails as one to an engine that can't be reached."""
+"""Address on which nothing listens, so that a call fails like one to an unreachable engine."""
 
 
 @final
-class GateNotes:
-    """Tells the gate how upstreams behave.
+class GateHealthRecorder:
+    """Records the results of upstream calls in the upstream gate.
 
-    :param gate: Knows which upstreams take new work.
+    :param gate: Tracks which upstreams accept new work.
     """
 
     def __init__(self, *, gate: UpstreamGate) -> None:
         self._gate = gate
 
     def note_leaving(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream said that it takes no new work."""
+        """Record that an upstream announced that it accepts no new work."""
         self._gate.note_leaving(upstream=upstream)
 
     def note_failure(self, *, upstream: UpstreamId) -> None:
@@ -39,16 +39,16 @@
         self._gate.note_down(upstream=upstream)
 
     def note_success(self, *, upstream: UpstreamId) -> None:
-        """Record that an upstream answered."""
+        """Record that a call to an upstream succeeded."""
         self._gate.note_up(upstream=upstream)
 
 
 @final
 class EngineClients:
-    """Keeps one client for each engine address.
+    """Caches one client per engine address.
 
-    :param session: Carries all calls.
-    :param declarations: Returns what is in force.
+    :param session: HTTP session shared by all clients.
+    :param declarations: Returns the declarations in force, or ``None`` if there are none yet.
     """
 
     def __init__(
@@ -64,8 +64,8 @@
     def client_of(self, engine: UpstreamId) -> EngineClient:
         """Return the client of an engine.
 
-        :param engine: Its declared name. An engine that is not declared any more can't be
-            reached.
+        :param engine: Declared name of the engine. Calls to an engine that is no longer declared
+            fail as unreachable.
         """
         declarations = self._declarations()
         declared = declarations.engines.get(engine) if declarations is not None else None
@@ -78,19 +78,19 @@
 
 
 @final
-class NoCrashWatch:
-    """Lets every request run anywhere; for benches and tests of other parts."""
+class NoQuarantine:
+    """Allows every request on every engine; for benchmarks and tests of other components."""
 
     def check(self, *, fingerprint: str) -> Problem | None:
-        """Refuse nothing."""
+        """Return ``None``: no request is quarantined."""
         return None
 
     def excluded_engines(self, *, fingerprint: str, model: ModelId) -> frozenset[UpstreamId]:
-        """Exclude nothing."""
+        """Return no engines."""
         return frozenset()
 
     async def wait_change(self) -> None:
-        """Wait for nothing."""
+        """Return immediately."""
 
     async def admit(
         self,
@@ -100,11 +100,11 @@
         stop: asyncio.Event,
         progress: Callable[[], int],
     ) -> bool:
-        """Admit everything."""
+        """Return ``True``: every request may run."""
         return True
 
     def on_finished(self, *, fingerprint: str, engine: UpstreamId, complete: bool) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def on_engine_crash(self, *, engine: UpstreamId) -> None:
-        """Take no note."""
+        """Do nothing."""
--- a/src/tanagerscale/daemon/_admission.py
+++ b/src/tanagerscale/daemon/_admission.py
@@ -1,4 +1,4 @@
-"""The door of a host: how many requests it takes, and whether it takes any."""
+"""Admission of caller requests up to the concurrency limit of the host."""
 
 from __future__ import annotations
 
@@ -13,69 +13,70 @@
 from tanagerscale.core import ProblemKind
 from tanagerscale.dispatch import spread_return
 
-RETRY_BUSY_MS = 1000
+OVERLOADED_RETRY_AFTER_MS = 1000
 
 
 @final
-class DoorKeeper:
-    """Counts the requests inside.
+class RequestAdmission:
+    """Admits requests up to a limit and counts those in progress.
 
-    :param limit: Most requests at once.
-    :param rng: Spreads the return of refused callers.
+    :param limit: Maximum number of concurrent requests on this host.
+    :param rng: Random number generator used to jitter the retry time sent to rejected callers.
     """
 
     def __init__(self, *, limit: int, rng: Random) -> None:
         self._rng = rng
         self._limit = limit
-        self._inside: Counter[ClientAccountId] = Counter()
-        self._total = 0
-        self._empty = asyncio.Event()
-        self._empty.set()
+        self._running_by_account: Counter[ClientAccountId] = Counter()
+        self._running = 0
+        self._idle = asyncio.Event()
+        self._idle.set()
 
     @property
     def running(self) -> int:
-        """Requests inside."""
-        return self._total
+        """Number of requests in progress."""
+        return self._running
 
     def admit(self, *, account: ClientAccountId) -> Problem | None:
-        """Count a request in, or return the final answer that refuses it.
+        """Admit a request, or return the problem to reject it with.
 
-        :param account: Who asks.
+        :param account: Client account that sent the request.
+        :returns: ``None`` if the request was admitted. The caller must then call ``release``.
         """
-        if self._total >= self._limit:
+        if self._running >= self._limit:
             return spread_return(problem=_BUSY, rng=self._rng)
-        self._inside[account] += 1
-        self._total += 1
-        self._empty.clear()
+        self._running_by_account[account] += 1
+        self._running += 1
+        self._idle.clear()
         return None
 
-    def leave(self, *, account: ClientAccountId) -> None:
-        """Count a request out.
+    def release(self, *, account: ClientAccountId) -> None:
+        """Release the slot of an admitted request.
 
-        :param account: Who asked.
+        :param account: Client account that sent the request.
         """
-        self._inside[account] -= 1
-        if not self._inside[account]:
-            del self._inside[account]
-        self._total -= 1
-        if self._total == 0:
-            self._empty.set()
+        self._running_by_account[account] -= 1
+        if not self._running_by_account[account]:
+            del self._running_by_account[account]
+        self._running -= 1
+        if self._running == 0:
+            self._idle.set()
 
-    def running_of(self, *, account: ClientAccountId) -> int:
-        """Return how many requests of an account are inside.
+    def count_running(self, *, account: ClientAccountId) -> int:
+        """Return the number of requests in progress for a client account.
 
-        :param account: The account.
+        :param account: Client account to count requests for.
         """
-        return self._inside[account]
+        return self._running_by_account[account]
 
-    async def wait_empty(self) -> None:
-        """Wait until no request is inside."""
-        await self._empty.wait()
+    async def wait_idle(self) -> None:
+        """Wait until no request is in progress."""
+        await self._idle.wait()
 
 
 _BUSY = Problem(
     kind=ProblemKind.OVERLOADED,
     detail="This host has as many requests as it takes; come back after the pause.",
     execution=Execution.NOT_EXECUTED,
-    retry_after_ms=RETRY_BUSY_MS,
+    retry_after_ms=OVERLOADED_RETRY_AFTER_MS,
 )
--- a/src/tanagerscale/daemon/_host.py
+++ b/src/tanagerscale/daemon/_host.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the parts of a host and ends them in order."""
+"""Composition root: builds the components of a host and stops them in order."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 from tanagerscale.core import FailureDomainId
 from tanagerscale.core import HostId
 from tanagerscale.core import get_logger
-from tanagerscale.daemon._admission import DoorKeeper
-from tanagerscale.daemon._control import EngineControl
-from tanagerscale.daemon._crashes import QuarantineWatch
-from tanagerscale.daemon._limits import HostLimits
-from tanagerscale.daemon._notes import EngineClients
-from tanagerscale.daemon._notes import GateNotes
-from tanagerscale.daemon._peers import PeerGlue
+from tanagerscale.daemon._adapters import EngineClients
+from tanagerscale.daemon._adapters import GateHealthRecorder
+from tanagerscale.daemon._admission import RequestAdmission
+from tanagerscale.daemon._cell_controllers import CellControllers
+from tanagerscale.daemon._limits import HostAccountLimits
+from tanagerscale.daemon._peers import PeerEventHandler
+from tanagerscale.daemon._quarantine_adapter import QuarantineAdapter
 from tanagerscale.daemon._scheduling import HostSchedulers
-from tanagerscale.daemon._secrets import callers_ssl_context
-from tanagerscale.daemon._secrets import cursor_key
+from tanagerscale.daemon._secrets import load_cursor_key
+from tanagerscale.daemon._secrets import make_callers_ssl_context
 from tanagerscale.declarations import Declarations
 from tanagerscale.declarations import Follower
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchParts
-from tanagerscale.entry import CompletionParts
-from tanagerscale.entry import Completions
-from tanagerscale.entry import Entry
-from tanagerscale.entry import EntryParts
+from tanagerscale.entry import CallerApi
+from tanagerscale.entry import CallerApiContext
+from tanagerscale.entry import CompletionContext
+from tanagerscale.entry import CompletionHandlers
 from tanagerscale.entry import RequestChecker
 from tanagerscale.generated.callers import HostStatus
 from tanagerscale.generated.messages import Attached
@@ -63,26 +63,27 @@
 from tanagerscale.usage import UsageMeter
 
 SHUTDOWN_TIMEOUT_S = 0.5
-"""Time for the last bytes of replies; a planned stop has waited its limit before."""
-CLAIMS_DRAIN_S = 10.0
-"""Longest wait of a planned stop for the store to take the outcomes of claims."""
+"""Time to flush the remaining bytes of responses, after the grace period of a planned stop."""
+CLAIMS_DRAIN_TIMEOUT_S = 10.0
+"""Maximum time a planned stop waits for claim outcomes to be written to the store."""
 FINGERPRINT_KEY_BYTES = 32
 RETRY_RESERVE = 128.0
-"""Retries saved up: what one host may run on engines that die together, since their callers are
-owed whole answers. In the long run retries stay at a tenth of the work.
+"""Size of the retry reserve: the number of runs that one host can retry when engines fail together,
+so that their callers still get complete answers. Over time, retries are limited to a tenth of the
+work.
 
-Two engines with batches of 64 that die together under one host are 128 retries. With 32 saved up 81
-of those callers were refused, with 128 none; ``tools/bench_recovery.py`` shows it.
+Two engines with batches of 64 that fail together cause 128 retries on one host. With a reserve of
+32, 81 of those callers were rejected, with 128 none; see ``tools/bench_recovery.py``.
 """
 
 _log = get_logger(part="daemon")
 
 
 class BoundAddresses(Struct, frozen=True, kw_only=True):
-    """Where a host listens.
+    """Addresses on which a host listens.
 
-    :param callers: IP number and port for callers.
-    :param peers: IP number and port for the other hosts.
+    :param callers: IP address and port for callers.
+    :param peers: IP address and port for the other hosts.
     """
 
     callers: str
@@ -91,9 +92,9 @@
 
 @final
 class HostProcess:
-    """One host with all its parts.
+    """One host with all its components.
 
-    :param settings: Its checked settings.
+    :param settings: Validated settings of the host.
     """
 
     def __init__(self, *, settings: HostSettings) -> None:
@@ -104,47 +105,54 @@
         self._incarnation = self._clock.wall()
         self._leaving = False
         self._tasks: list[asyncio.Task[None]] = []
-        self._door = DoorKeeper(limit=settings.limits.concurrent_requests, rng=self._rng)
+        self._request_admission = RequestAdmission(
+            limit=settings.limits.concurrent_requests, rng=self._rng
+        )
 
     async def start(self) -> BoundAddresses:
-        """Build the parts and begin to serve."""
+        """Build all components and start serving.
+
+        :returns: Addresses the host listens on, with the ports that were assigned.
+        """
         settings = self._settings
-        self._build_outer_edges()
+        self._build_clients()
         self._build_membership()
         self._build_dispatch()
-        self._glue.start()
-        self._crashes.start()
+        self._peer_events.start()
+        self._crash_adapter.start()
         self._router.start()
         peers = await self._mesh.start()
         self._host_list.start()
         self._spawn(self._follower.run())
         self._spawn(self._quarantine.load())
-        self._spawn(self._control.run())
+        self._spawn(self._controllers.run())
         callers = await self._serve_callers()
         _log.info("The host serves.", host=self._host, callers=callers, peers=peers)
         if settings.host_list.url == "":
-            self._glue.use_seeds()
+            self._peer_events.connect_to_seeds()
         return BoundAddresses(callers=callers, peers=peers)
 
     async def stop(self) -> None:
-        """Carry out a planned stop: no new work, then the end of all that runs."""
+        """Stop gracefully: reject new requests, drain running ones, then stop all components."""
         self._leaving = True
         self._router.set_leaving(leaving=True)
         self._mesh.beat_now()
         grace_s = self._settings.host.stop_grace_ms / MS_PER_SECOND
         try:
-            await asyncio.wait_for(self._door.wait_empty(), grace_s)
+            await asyncio.wait_for(self._request_admission.wait_idle(), grace_s)
         except TimeoutError:
-            _log.warning("Streams are handed over; their callers hold cursors.")
+            _log.warning(
+                "Stop grace period exceeded; handing running streams over to other hosts by cursor."
+            )
             self._canceller.hand_over()
-        await self._control.stop()
+        await self._controllers.stop()
         await self._services.drain()
         await self._runner.cleanup()
         await self._canceller.drain()
-        await self._record_claims()
+        await self._drain_claims()
         await self._quarantine.close()
         await self._router.stop()
-        await self._glue.stop()
+        await self._peer_events.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -154,21 +162,23 @@
         await self._service_session.close()
         await self._store.close()
 
-    async def _record_claims(self) -> None:
+    async def _drain_claims(self) -> None:
         try:
-            await asyncio.wait_for(self._claims.drain(), CLAIMS_DRAIN_S)
+            await asyncio.wait_for(self._claims.drain(), CLAIMS_DRAIN_TIMEOUT_S)
         except TimeoutError:
-            _log.warning("Outcomes of claims were not recorded; repeats will be told unknown.")
+            _log.warning(
+                "Timeout recording claim outcomes; repeated calls will get an unknown outcome."
+            )
         await self._claims.close()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.append(asyncio.create_task(work))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.append(asyncio.create_task(coroutine))
 
-    def _build_outer_edges(self) -> None:
+    def _build_clients(self) -> None:
         settings = self._settings
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
-        # A connection that is used twice may break under the second call, and then nobody knows
-        # whether it ran; so calls to plain services get connections of their own.
+        # A reused connection may break during a later call, which leaves the outcome of that call
+        # unknown. Calls to plain services therefore never reuse a connection.
         self._service_session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True), auto_decompress=False
         )
@@ -191,7 +201,7 @@
             listen=settings.host.peers,
             clock=self._clock,
             rng=self._rng,
-            heartbeat_source=self._heartbeat,
+            heartbeat_source=self._build_heartbeat,
             server_ssl=contexts[0] if contexts else None,
             client_ssl=contexts[1] if contexts else None,
         )
@@ -215,9 +225,9 @@
             clock=self._clock,
             rng=self._rng,
             engine_clients=self._engines.client_of,
-            learn=self._schedulers.learn,
+            learn=self._schedulers.record_answer_length,
         )
-        self._control = EngineControl(
+        self._controllers = CellControllers(
             store=self._store,
             prefix=settings.store.prefix,
             host=self._host,
@@ -225,12 +235,12 @@
             clock=self._clock,
             rng=self._rng,
             declarations=self._follower.in_force,
-            owned=lambda: self._router.owned,
-            client_of=self._engines.client_of,
+            get_owned_cells=lambda: self._router.owned,
+            get_client=self._engines.client_of,
         )
         self._keys = KeyChecker()
-        self._limits = HostLimits(clock=self._clock)
-        self._glue = PeerGlue(
+        self._limits = HostAccountLimits(clock=self._clock)
+        self._peer_events = PeerEventHandler(
             mesh=self._mesh,
             gate=self._gate,
             follower=self._follower,
@@ -245,7 +255,7 @@
         )
 
     def _build_dispatch(self) -> None:
-        notes = GateNotes(gate=self._gate)
+        health_recorder = GateHealthRecorder(gate=self._gate)
         retries = RetryBudget(reserve=RETRY_RESERVE)
         self._quarantine = Quarantine(
             store=self._store,
@@ -254,7 +264,7 @@
             clock=self._clock,
             rng=self._rng,
         )
-        self._crashes = QuarantineWatch(
+        self._crash_adapter = QuarantineAdapter(
             quarantine=self._quarantine,
             mesh=self._mesh,
             declarations=self._declarations,
@@ -270,13 +280,13 @@
             incarnation=self._incarnation,
             clock=self._clock,
             rng=self._rng,
-            is_live=self._glue.is_live,
+            is_live=self._peer_events.is_live,
         )
         self._dispatch = DispatchParts(
             router=self._router,
             client_of=self._engines.client_of,
-            notes=notes,
-            crashes=self._crashes,
+            notes=health_recorder,
+            crashes=self._crash_adapter,
             retries=retries,
             canceller=self._canceller,
             meter=self._meter,
@@ -287,7 +297,7 @@
             parts=ServiceParts(
                 client=HttpServiceClient(session=self._service_session),
                 claims=self._claims,
-                notes=notes,
+                notes=health_recorder,
                 is_open=self._gate.is_open,
                 retries=retries,
                 clock=self._clock,
@@ -295,31 +305,31 @@
             )
         )
 
-    def _entry(self) -> Entry:
-        key = cursor_key(settings=self._settings)
+    def _build_caller_api(self) -> CallerApi:
+        key = load_cursor_key(settings=self._settings)
         fingerprint_key = blake2b(b"fingerprint", key=key).digest()[:FINGERPRINT_KEY_BYTES]
-        completions = Completions(
-            parts=CompletionParts(
+        completions = CompletionHandlers(
+            context=CompletionContext(
                 host=self._host,
                 cursor_key=key,
                 checker=RequestChecker(fingerprint_key=fingerprint_key, rng=self._rng),
                 dispatch=self._dispatch,
                 declarations=self._declarations,
                 limits=self._limits,
-                attached=self._tell_attached,
+                notify_attached=self._send_attached,
             )
         )
         registry = CollectorRegistry()
-        registry.register(HostCollector(meter=self._meter, gauges=self._gauges))
-        return Entry(
-            parts=EntryParts(
+        registry.register(HostCollector(meter=self._meter, gauges=self._build_gauges))
+        return CallerApi(
+            context=CallerApiContext(
                 keys=self._keys,
-                admission=self._door,
+                admission=self._request_admission,
                 account_limits=self._limits,
                 completions=completions,
                 services=self._services,
                 declarations=self._declarations,
-                status=self._status,
+                status=self._build_status,
                 usage=lambda: msgspec.json.encode(self._meter.usage()),
                 registry=registry,
                 limits=self._settings.limits,
@@ -329,7 +339,7 @@
     async def _serve_callers(self) -> str:
         limits = self._settings.limits
         self._runner = web.AppRunner(
-            self._entry().application(),
+            self._build_caller_api().application(),
             handler_cancellation=True,
             access_log=None,
             max_field_size=limits.header_bytes,
@@ -341,7 +351,7 @@
             self._runner,
             address.strip("[]"),
             int(port),
-            ssl_context=callers_ssl_context(tls=self._settings.tls),
+            ssl_context=make_callers_ssl_context(tls=self._settings.tls),
         )
         await site.start()
         bound = self._runner.addresses[0]
@@ -350,19 +360,19 @@
     def _declarations(self) -> Declarations:
         return self._follower.declarations
 
-    def _heartbeat(self) -> Heartbeat:
+    def _build_heartbeat(self) -> Heartbeat:
         return Heartbeat(
             revision=self._follower.head_revision,
             leaving=self._leaving,
             usage=self._limits.usage(),
         )
 
-    def _tell_attached(self, host: HostId, attempt: AttemptId) -> None:
+    def _send_attached(self, host: HostId, attempt: AttemptId) -> None:
         if host != self._host:
             self._mesh.send(host=host, message=Attached(attempt=attempt))
 
-    def _gauges(self) -> HostGauges:
-        status = self._status()
+    def _build_gauges(self) -> HostGauges:
+        status = self._build_status()
         counters = self._mesh.counters
         return HostGauges(
             running=status.running,
@@ -373,7 +383,7 @@
             peer_received_bytes=counters.received_bytes,
         )
 
-    def _status(self) -> HostStatus:
+    def _build_status(self) -> HostStatus:
         declarations = self._declarations()
         return HostStatus(
             host=self._host,
@@ -382,7 +392,7 @@
             digest=declarations.digest,
             ready=bool(self._follower.ready.value) and declarations.revision > 0,
             leaving=self._leaving,
-            running=self._door.running,
+            running=self._request_admission.running,
             live_hosts=[peer.host for peer in self._mesh.live.value],
             closed_upstreams=[
                 name for name in declarations.engines if not self._gate.is_open(name)
--- a/src/tanagerscale/daemon/_limits.py
+++ b/src/tanagerscale/daemon/_limits.py
@@ -1,4 +1,4 @@
-"""The accounts' limits, shared with the other hosts by heartbeats."""
+"""Limits of client accounts, shared with the other hosts through heartbeats."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tanagerscale.core import HostId
 from tanagerscale.core import Problem
 from tanagerscale.core import ProblemKind
-from tanagerscale.daemon._scheduling import account_specs
+from tanagerscale.daemon._scheduling import build_account_specs
 from tanagerscale.declarations import Declarations
 from tanagerscale.generated.messages import AccountUse
 from tanagerscale.generated.messages import Heartbeat
@@ -19,10 +19,10 @@
 
 
 @final
-class HostLimits:
-    """The host's part of each account's limits.
+class HostAccountLimits:
+    """Enforces this host's share of the limits of each client account.
 
-    :param clock: Time.
+    :param clock: Clock used to measure rates and the age of peer usage.
     """
 
     def __init__(self, *, clock: Clock) -> None:
@@ -32,22 +32,22 @@
     def set_declarations(self, *, declarations: Declarations) -> None:
         """Replace the limits.
 
-        :param declarations: What is in force.
+        :param declarations: Declarations in force, with the limits of each client account.
         """
-        self._limits.set_accounts(accounts=account_specs(declarations=declarations))
+        self._limits.set_accounts(accounts=build_account_specs(declarations=declarations))
 
     def set_peers(self, *, peers: frozenset[HostId]) -> None:
-        """Replace the hosts that share the limits.
+        """Replace the set of hosts that share the limits.
 
-        :param peers: The other hosts that are listed as live, reachable or not.
+        :param peers: Other hosts that are listed as live, whether reachable or not.
         """
         self._limits.set_peers(peers=peers)
 
     def on_heartbeat(self, *, host: HostId, heartbeat: Heartbeat) -> None:
-        """Take in what a peer tells.
+        """Update the usage reported by a peer.
 
-        :param host: The peer.
-        :param heartbeat: Its heartbeat.
+        :param host: Peer that sent the heartbeat.
+        :param heartbeat: Heartbeat with the peer's usage per client account.
         """
         usage = {
             ClientAccountId(account): AccountUsage(demand=use.d, running=use.r)
@@ -56,18 +56,19 @@
         self._limits.on_peer(host=host, usage=usage, now=self._clock.now())
 
     def usage(self) -> dict[str, AccountUse]:
-        """Return what to tell the peers."""
-        told = self._limits.usage(now=self._clock.now())
+        """Return the local usage per client account, to be sent to the peers."""
+        local_usage = self._limits.usage(now=self._clock.now())
         return {
             str(account): AccountUse(d=round(usage.demand, 2), r=usage.running)
-            for account, usage in told.items()
+            for account, usage in local_usage.items()
         }
 
     def start(self, *, account: ClientAccountId, tokens: int) -> Problem | None:
-        """Count a request as running, or return the final answer that refuses it.
+        """Start a request if the limits allow it, or return the problem to reject it with.
 
-        :param account: Who asks.
-        :param tokens: Tokens of the prompt.
+        :param account: Client account that sent the request.
+        :param tokens: Number of prompt tokens; 0 for a call to a plain service.
+        :returns: ``None`` if the request was started. The caller must then call ``finish``.
         """
         refusal = self._limits.try_start(account=account, tokens=tokens, now=self._clock.now())
         if refusal is None:
@@ -80,9 +81,9 @@
         )
 
     def finish(self, *, account: ClientAccountId, tokens: int) -> None:
-        """Count a request that was started as ended.
+        """Record the end of a started request.
 
-        :param account: Who asked.
-        :param tokens: Tokens of its answer.
+        :param account: Client account that sent the request.
+        :param tokens: Number of generated tokens; 0 for a call to a plain service.
         """
         self._limits.on_finished(account=account, tokens=tokens, now=self._clock.now())
--- a/src/tanagerscale/daemon/_main.py
+++ b/src/tanagerscale/daemon/_main.py
@@ -1,4 +1,4 @@
-"""The daemon's command line and its life from start to planned stop."""
+"""Command line of the daemon, and its lifecycle from start to planned stop."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 def main() -> None:
     """Run ``tanagerscaled --settings FILE``."""
-    # The whole command line is understood before anything runs.
+    # The complete command line is parsed before the host starts.
     path = fire.Fire(_settings_path, name="tanagerscaled", serialize=lambda _path: None)
     if isinstance(path, Path):
         serve(settings=path)
@@ -45,7 +45,7 @@
     """Serve as one host until SIGTERM or SIGINT.
 
     :param settings: INI file with the host's settings.
-    :raises SystemExit: When the settings are wrong.
+    :raises SystemExit: If the settings are invalid, with status ``EXIT_BAD_SETTINGS``.
     """
     match read_settings(path=settings):
         case Success(checked):
@@ -60,13 +60,13 @@
 async def _serve(settings: HostSettings) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGUSR1, log_tasks)
     host = HostProcess(settings=settings)
     addresses = await host.start()
     print(f"listening callers={addresses.callers} peers={addresses.peers}", flush=True)
     await stop.wait()
-    _log.notice("A planned stop begins.")
+    _log.notice("Planned stop started.")
     await host.stop()
-    _log.notice("The host has stopped.")
+    _log.notice("Host stopped.")
--- a/src/tanagerscale/daemon/_peers.py
+++ b/src/tanagerscale/daemon/_peers.py
@@ -1,4 +1,4 @@
-"""What a host does with the host list, its peers' messages and new declarations."""
+"""Handling of host list updates, peer messages and new declarations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tanagerscale.core import Clock
 from tanagerscale.core import HostId
 from tanagerscale.core import get_logger
-from tanagerscale.daemon._limits import HostLimits
+from tanagerscale.daemon._limits import HostAccountLimits
 from tanagerscale.daemon._scheduling import HostSchedulers
 from tanagerscale.declarations import Declarations
 from tanagerscale.declarations import Follower
@@ -32,20 +32,20 @@
 
 
 @final
-class PeerGlue:
-    """Connects the host list, the mesh, the declarations and the parts that depend on them.
-
-    :param mesh: The other hosts.
-    :param gate: Which upstreams take new work.
-    :param follower: The declarations.
-    :param host_list: The platform's list.
-    :param router: Is told which engines and hosts there are.
-    :param schedulers: Are told the objective and the accounts.
-    :param canceller: Is told when callers have gone to other hosts.
-    :param keys: Is told the accounts.
-    :param limits: Is told the accounts and what they do at other hosts.
-    :param seeds: Peer addresses to try besides the listed ones.
-    :param clock: Time.
+class PeerEventHandler:
+    """Passes updates of the host list, the mesh and the declarations to the other components.
+
+    :param mesh: Connections to the other hosts.
+    :param gate: Tracks which upstreams accept new work.
+    :param follower: Follows the declarations in the store.
+    :param host_list: Follows the host list of the platform.
+    :param router: Receives the declared engines and the number of live hosts.
+    :param schedulers: Receive the objective and the client accounts.
+    :param canceller: Receives the attempts whose callers have moved to other hosts.
+    :param keys: Receives the client accounts.
+    :param limits: Receives the client accounts and their usage on other hosts.
+    :param seeds: Peer addresses to connect to in addition to the listed ones.
+    :param clock: Clock used by the announcement of new revisions.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         schedulers: HostSchedulers,
         canceller: Canceller,
         keys: KeyChecker,
-        limits: HostLimits,
+        limits: HostAccountLimits,
         seeds: tuple[str, ...],
         clock: Clock,
     ) -> None:
@@ -73,36 +73,36 @@
         self._keys = keys
         self._limits = limits
         self._seeds = seeds
-        self._spread = HeadSpread(network=mesh, follower=follower, clock=clock)
+        self._head_spread = HeadSpread(network=mesh, follower=follower, clock=clock)
 
     def start(self) -> None:
-        """Subscribe to everything."""
+        """Subscribe to all sources of updates."""
         spread_leaving(gate=self._gate, mesh=self._mesh, entries=self._host_list.entries)
-        self._host_list.entries.subscribe(self._on_list)
+        self._host_list.entries.subscribe(self._on_host_list)
         self._mesh.messages.subscribe(self._on_message)
-        self._spread.start()
+        self._head_spread.start()
         self._follower.in_force.subscribe(self._on_declarations)
 
     async def stop(self) -> None:
-        """Spread no more."""
-        await self._spread.stop()
+        """Stop announcing revisions to the peers."""
+        await self._head_spread.stop()
 
-    def use_seeds(self) -> None:
-        """Connect to the seeds, when there is no host list."""
+    def connect_to_seeds(self) -> None:
+        """Connect to the seeds only; used when there is no host list."""
         self._mesh.set_peers(peer_addresses(entries=(), seeds=self._seeds))
-        self._spread.hosts_are_known()
+        self._head_spread.hosts_are_known()
 
     def is_live(self, host: HostId, incarnation: int) -> bool:
-        """Return whether a host is in the same life as when it made a record.
+        """Return whether a host is live and has not restarted since it wrote a record.
 
-        :param host: The host.
-        :param incarnation: Its life at that time.
+        :param host: Host that wrote the record.
+        :param incarnation: Incarnation of the host in the record.
         """
         return any(
             peer.host == host and peer.incarnation == incarnation for peer in self._mesh.live.value
         )
 
-    def _on_list(self, entries: tuple[ListedEntry, ...]) -> None:
+    def _on_host_list(self, entries: tuple[ListedEntry, ...]) -> None:
         self._mesh.set_peers(peer_addresses(entries=entries, seeds=self._seeds))
         hosts = [entry for entry in entries if entry.kind is ListedKind.HOST]
         if not hosts:
@@ -111,7 +111,7 @@
         self._router.set_known_hosts(max(1, len(live)))
         others = frozenset(HostId(entry.id) for entry in live) - {self._mesh.host}
         self._limits.set_peers(peers=others)
-        self._spread.hosts_are_known()
+        self._head_spread.hosts_are_known()
 
     def _on_message(self, received: Received) -> None:
         if isinstance(received.message, Heartbeat):
@@ -126,5 +126,5 @@
         self._router.set_engines(tuple(declarations.engines.values()))
         if declarations.revision == 0:
             return
-        self._spread.announce(revision=declarations.revision, digest=declarations.digest)
-        _log.info("A revision is in force.", revision=declarations.revision)
+        self._head_spread.announce(revision=declarations.revision, digest=declarations.digest)
+        _log.info("Declarations are in force.", revision=declarations.revision)
--- a/src/tanagerscale/daemon/_crashes.py
+++ b/src/tanagerscale/daemon/_quarantine_adapter.py
@@ -1,4 +1,4 @@
-"""Connects the quarantine to dispatch, the mesh and the declarations."""
+"""Adapter between the quarantine and dispatch, the mesh and the declarations."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 from tanagerscale.quarantine import RunEnd
 from tanagerscale.quarantine import StopRequest
 
-CHANGE_WAIT_MS = 250
-"""Longest wait for word of a change; exclusions also end by time alone."""
+MAX_CHANGE_WAIT_MS = 250
+"""Maximum wait for a change notification. Exclusions also expire without a notification."""
 
-RunKey = tuple[str, UpstreamId]
+RunId = tuple[str, UpstreamId]
 
 
 @final
-class QuarantineWatch:
-    """Answers dispatch's questions by the quarantine, and tells the peers what it learns.
+class QuarantineAdapter:
+    """Applies the quarantine to dispatched requests and exchanges verdicts with the peers.
 
-    :param quarantine: What is known of requests that crash upstreams.
-    :param mesh: The other hosts.
-    :param declarations: Returns what is in force.
-    :param clock: Time.
+    :param quarantine: Tracks requests that crash upstreams.
+    :param mesh: Connections to the other hosts.
+    :param declarations: Returns the declarations in force.
+    :param clock: Clock of the host.
     """
 
     def __init__(
@@ -52,24 +52,24 @@
         self._declarations = declarations
         self._clock = clock
         self._changed = asyncio.Event()
-        self._stops: defaultdict[RunKey, set[asyncio.Event]] = defaultdict(set)
+        self._stop_events: defaultdict[RunId, set[asyncio.Event]] = defaultdict(set)
         self._peers: frozenset[HostId] = frozenset()
 
     def start(self) -> None:
-        """Listen to the quarantine and to the peers."""
+        """Subscribe to the quarantine and to peer messages."""
         self._quarantine.verdicts.subscribe(lambda verdict: self._mesh.broadcast(message=verdict))
-        self._quarantine.changes.subscribe(lambda _none: self._on_change())
+        self._quarantine.changes.subscribe(lambda _change: self._on_change())
         self._quarantine.stops.subscribe(self._on_stop)
         self._mesh.messages.subscribe(self._on_message)
-        self._mesh.joined.subscribe(self._on_joined)
-        self._mesh.live.subscribe(self._on_live)
+        self._mesh.joined.subscribe(self._on_peer_joined)
+        self._mesh.live.subscribe(self._on_live_changed)
 
     def check(self, *, fingerprint: str) -> Problem | None:
-        """Return the final answer for a request that must not run."""
+        """Return the problem to reject a quarantined request with, or ``None`` if it may run."""
         return self._quarantine.check(fingerprint=Fingerprint(fingerprint))
 
     def excluded_engines(self, *, fingerprint: str, model: ModelId) -> frozenset[UpstreamId]:
-        """Return the engines of a model where the request may not run now."""
+        """Return the engines of a model on which the request must not run now."""
         if self._quarantine.runs_anywhere(fingerprint=Fingerprint(fingerprint)):
             return frozenset()
         engines = self._declarations().engines
@@ -79,9 +79,9 @@
         )
 
     async def wait_change(self) -> None:
-        """Wait until an excluded engine may have become free, or for a short while."""
+        """Wait until exclusions may have changed, for at most ``MAX_CHANGE_WAIT_MS``."""
         try:
-            async with asyncio.timeout(CHANGE_WAIT_MS / MS_PER_SECOND):
+            async with asyncio.timeout(MAX_CHANGE_WAIT_MS / MS_PER_SECOND):
                 await self._changed.wait()
         except TimeoutError:
             return
@@ -94,47 +94,54 @@
         stop: asyncio.Event,
         progress: Callable[[], int],
     ) -> bool:
-        """Ask, immediately before sending, to run a request on an engine."""
+        """Check immediately before sending whether a request may run on an engine.
+
+        :param fingerprint: Fingerprint of the request.
+        :param engine: Engine the request is about to be sent to.
+        :param stop: Set when the quarantine requires the run to stop.
+        :param progress: Returns the number of tokens generated so far.
+        :returns: Whether the request may be sent.
+        """
         admitted = await self._quarantine.admit(
             fingerprint=Fingerprint(fingerprint), engine=engine, progress=progress
         )
         if admitted:
-            self._stops[fingerprint, engine].add(stop)
+            self._stop_events[fingerprint, engine].add(stop)
         return admitted
 
     def on_finished(self, *, fingerprint: str, engine: UpstreamId, complete: bool) -> None:
-        """Record that a request no longer runs on an engine, for any reason but a crash."""
-        self._stops.pop((fingerprint, engine), None)
+        """Record that a run on an engine ended for any reason other than a crash."""
+        self._stop_events.pop((fingerprint, engine), None)
         end = RunEnd.COMPLETE if complete else RunEnd.BROKEN
         self._quarantine.on_finished(fingerprint=Fingerprint(fingerprint), engine=engine, end=end)
 
     def on_engine_crash(self, *, engine: UpstreamId) -> None:
-        """Record that an engine died with all that it ran."""
-        for key in [key for key in self._stops if key[1] == engine]:
-            del self._stops[key]
+        """Record that an engine crashed and lost all its runs."""
+        for key in [key for key in self._stop_events if key[1] == engine]:
+            del self._stop_events[key]
         self._quarantine.on_engine_crash(engine=engine)
 
     def _on_change(self) -> None:
-        # Whoever waits now is woken; those who wait from now on wait for the next change.
+        # Current waiters are woken. Later waiters use a new event and wait for the next change.
         self._changed.set()
         self._changed = asyncio.Event()
 
     def _on_stop(self, request: StopRequest) -> None:
-        for stop in self._stops.get((request.fingerprint, request.engine), ()):
+        for stop in self._stop_events.get((request.fingerprint, request.engine), ()):
             stop.set()
 
     def _on_message(self, received: Received) -> None:
         if isinstance(received.message, Verdict):
             self._quarantine.on_peer_verdict(verdict=received.message, peer=received.host)
 
-    def _on_joined(self, peer: PeerInfo) -> None:
-        # Its announcement that a run ended may have been lost with the previous connection.
+    def _on_peer_joined(self, peer: PeerInfo) -> None:
+        # The peer's announcement that a run ended may have been lost with the previous connection.
         self._quarantine.on_peer_gone(peer=peer.host)
         for verdict in self._quarantine.snapshot():
             self._mesh.send(host=peer.host, message=verdict)
 
-    def _on_live(self, peers: tuple[PeerInfo, ...]) -> None:
+    def _on_live_changed(self, peers: tuple[PeerInfo, ...]) -> None:
         live = frozenset(peer.host for peer in peers)
-        for gone in self._peers - live:
-            self._quarantine.on_peer_gone(peer=gone)
+        for lost_peer in self._peers - live:
+            self._quarantine.on_peer_gone(peer=lost_peer)
         self._peers = live
--- a/src/tanagerscale/daemon/_scheduling.py
+++ b/src/tanagerscale/daemon/_scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler a host runs for the cells it owns."""
+"""Schedulers for the cells that a host owns."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 @final
 class HostSchedulers:
-    """Makes the schedulers of the cells a host owns; all of them share what is known of lengths.
+    """Creates the schedulers of the cells that a host owns; they share one length estimator.
 
-    :param rng: Source of randomness.
+    :param rng: Random number generator passed to the schedulers.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
@@ -30,7 +30,7 @@
         self._accounts: dict[ClientAccountId, AccountSpec] = {}
 
     def make(self) -> PoolScheduler:
-        """Return a scheduler for one cell, as the declarations ask."""
+        """Return a new scheduler for one cell, configured by the declarations in force."""
         return make_scheduler(
             objective=self._objective,
             accounts=self._accounts,
@@ -38,32 +38,32 @@
             lengths=self._lengths,
         )
 
-    def learn(self, request: PlacementRequest, tokens: int) -> None:
-        """Learn the length of an answer that another host placed.
+    def record_answer_length(self, request: PlacementRequest, tokens: int) -> None:
+        """Record the length of an answer whose run was placed by another host.
 
-        :param request: What was asked for.
-        :param tokens: Length of the whole answer.
+        :param request: Request that was placed.
+        :param tokens: Length of the complete answer in tokens.
         """
         self._lengths.observe(request=request, tokens=tokens)
 
     def set_declarations(self, *, declarations: Declarations, router: PoolRouter) -> None:
-        """Go by new declarations, also in the schedulers in use.
+        """Apply new declarations to existing and future schedulers.
 
-        :param declarations: What is in force.
-        :param router: Holds the schedulers in use.
+        :param declarations: Declarations in force.
+        :param router: Router that holds the existing schedulers.
         """
         self._objective = declarations.objective
-        self._accounts = account_specs(declarations=declarations)
+        self._accounts = build_account_specs(declarations=declarations)
         router.configure(self._reconfigure)
 
     def _reconfigure(self, scheduler: PoolScheduler) -> None:
         scheduler.reconfigure(objective=self._objective, accounts=self._accounts)
 
 
-def account_specs(*, declarations: Declarations) -> dict[ClientAccountId, AccountSpec]:
-    """Return what the policy needs to know of the declared accounts.
+def build_account_specs(*, declarations: Declarations) -> dict[ClientAccountId, AccountSpec]:
+    """Return the weights and limits of all declared client accounts.
 
-    :param declarations: What is in force.
+    :param declarations: Declarations in force.
     """
     return {
         name: AccountSpec(
--- a/src/tanagerscale/daemon/_secrets.py
+++ b/src/tanagerscale/daemon/_secrets.py
@@ -1,4 +1,4 @@
-"""The keys and certificates of a host."""
+"""Loading of the keys and certificates of a host."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 _log = get_logger(part="daemon")
 
 
-def callers_ssl_context(*, tls: TlsSection) -> ssl.SSLContext | None:
-    """Return the context for callers' connections, or ``None`` without a certificate.
+def make_callers_ssl_context(*, tls: TlsSection) -> ssl.SSLContext | None:
+    """Return the TLS context for connections from callers.
 
-    :param tls: The ``[tls]`` section.
-    :raises OSError: When a file can't be read.
+    :param tls: ``[tls]`` section of the settings.
+    :returns: ``None`` if no certificate is configured.
+    :raises OSError: If a certificate or key file cannot be read.
     """
     if not tls.callers_certificate:
         return None
@@ -29,16 +30,16 @@
     return context
 
 
-def cursor_key(*, settings: HostSettings) -> bytes:
-    """Return the key that signs cursors.
+def load_cursor_key(*, settings: HostSettings) -> bytes:
+    """Return the key used to sign cursors.
 
-    :param settings: The host's settings. Without a key in them a random one is made, and then
-        no other host can read this host's cursors.
+    :param settings: Settings of the host. If they contain no key, a random key is generated and
+        no other host can verify the cursors of this host.
     """
     secrets_section = settings.secrets
     if secrets_section.cursor_key_file:
         return Path(secrets_section.cursor_key_file).read_bytes().strip()
     if secrets_section.cursor_key:
         return secrets_section.cursor_key.encode()
-    _log.warning("No cursor_key is set; callers can't continue at other hosts.")
+    _log.warning("No cursor_key is configured; callers cannot resume streams at other hosts.")
     return secrets.token_bytes(CURSOR_KEY_BYTES)
--- a/src/tanagerscale/declarations/_chunk_store.py
+++ b/src/tanagerscale/declarations/_chunk_store.py
@@ -24,7 +24,7 @@
 from tanagerscale.declarations._keys import chunk_key
 from tanagerscale.declarations._keys import chunk_prefix
 from tanagerscale.generated.records import Head
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import Store
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -55,7 +55,7 @@
     """
     wanted = [digest for digest in dict.fromkeys(chunked.digests) if digest not in sound]
     puts = [
-        PutIf(
+        ConditionalPut(
             key=chunk_key(prefix=prefix, digest=digest),
             value=chunked.chunk(digest=digest),
             expected_mod_revision=StoreRevision(0),
@@ -69,8 +69,8 @@
     return Success(None)
 
 
-def _batches(puts: Sequence[PutIf]) -> Iterator[list[PutIf]]:
-    batch: list[PutIf] = []
+def _batches(puts: Sequence[ConditionalPut]) -> Iterator[list[ConditionalPut]]:
+    batch: list[ConditionalPut] = []
     size = 0
     for put in puts:
         length = len(put.value or b"")
@@ -84,7 +84,7 @@
 
 
 async def _write_batch(
-    *, store: Store, puts: list[PutIf], clock: Clock
+    *, store: Store, puts: list[ConditionalPut], clock: Clock
 ) -> Result[None, StoreError]:
     failure = StoreError(kind=StoreErrorKind.REFUSED, detail="Others keep writing the same chunks.")
     for _ in range(WRITE_TRIES):
@@ -98,7 +98,7 @@
             continue
         outcomes = result.unwrap()
         left = [
-            _put_over(put=put, present=outcome.present)
+            _put_over(put=put, present=outcome.current_entry)
             for put, outcome in zip(puts, outcomes, strict=True)
             if not outcome.written
         ]
@@ -108,9 +108,9 @@
     return Failure(failure)
 
 
-def _put_over(*, put: PutIf, present: StoreEntry | None) -> PutIf:
+def _put_over(*, put: ConditionalPut, present: StoreEntry | None) -> ConditionalPut:
     revision = present.mod_revision if present is not None else StoreRevision(0)
-    return PutIf(key=put.key, value=put.value, expected_mod_revision=revision)
+    return ConditionalPut(key=put.key, value=put.value, expected_mod_revision=revision)
 
 
 async def collect_garbage(
@@ -136,7 +136,7 @@
         entries = await _read_obsolete(store=store, prefix=prefix, head=head, previous=previous)
     needed = {chunk_key(prefix=prefix, digest=digest) for digest in head.chunks}
     deletions = [
-        PutIf(key=entry.key, value=None, expected_mod_revision=entry.mod_revision)
+        ConditionalPut(key=entry.key, value=None, expected_mod_revision=entry.mod_revision)
         for entry in entries
         if entry.key not in needed and entry.mod_revision < head_mod_revision
     ]
@@ -145,14 +145,14 @@
         await store.commit(puts=batch)
 
 
-async def _old_audit(*, store: Store, prefix: str, revision: int) -> list[PutIf]:
+async def _old_audit(*, store: Store, prefix: str, revision: int) -> list[ConditionalPut]:
     if revision <= AUDIT_KEPT:
         return []
     key = audit_key(prefix=prefix, revision=Revision(revision - AUDIT_KEPT))
     entry = (await store.get(key=key)).value_or(None)
     if entry is None:
         return []
-    return [PutIf(key=key, value=None, expected_mod_revision=entry.mod_revision)]
+    return [ConditionalPut(key=key, value=None, expected_mod_revision=entry.mod_revision)]
 
 
 async def _read_obsolete(
--- a/src/tanagerscale/declarations/_publish.py
+++ b/src/tanagerscale/declarations/_publish.py
@@ -34,7 +34,7 @@
 from tanagerscale.generated.records import AuditRecord
 from tanagerscale.generated.records import Head
 from tanagerscale.generated.records import SectionDelta
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import Store
 from tanagerscale.store import StoreErrorKind
@@ -192,7 +192,7 @@
     return Failure(ApplyError(kind=ApplyErrorKind.UNCERTAIN, detail=detail))
 
 
-def _commit_puts(*, prefix: str, proposal: _Proposal) -> list[PutIf]:
+def _commit_puts(*, prefix: str, proposal: _Proposal) -> list[ConditionalPut]:
     """Return the writes that have a revision accepted.
 
     The audit key of a revision exists exactly when that revision was accepted, so both conditions
@@ -200,12 +200,12 @@
     """
     head = proposal.head
     return [
-        PutIf(
+        ConditionalPut(
             key=head_key(prefix=prefix),
             value=msgspec.json.encode(head),
             expected_mod_revision=proposal.base.mod_revision,
         ),
-        PutIf(
+        ConditionalPut(
             key=audit_key(prefix=prefix, revision=Revision(head.revision)),
             value=encode_audit(record=proposal.audit),
             expected_mod_revision=StoreRevision(0),
@@ -227,12 +227,12 @@
             previous=proposal.base.head,
         )
         return Success(head)
-    recorded = audit_outcome.present
+    recorded = audit_outcome.current_entry
     audit = decode_audit(value=recorded.value) if recorded is not None else None
     if audit is not None and audit.apply_id == head.apply_id:
         # An earlier try was accepted and its reply lost.
         return Success(head)
-    present = head_outcome.present
+    present = head_outcome.current_entry
     now = decode_head(value=present.value) if present is not None else None
     base = proposal.base
     accepted = now.unwrap() if isinstance(now, Success) else None
--- a/src/tanagerscale/entry/_app.py
+++ b/src/tanagerscale/entry/_app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a host."""
+"""HTTP interface of a host."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tanagerscale.core import get_logger
 from tanagerscale.core import new_id
 from tanagerscale.declarations import Declarations
-from tanagerscale.entry._completions import Completions
+from tanagerscale.entry._completions import CompletionHandlers
 from tanagerscale.entry._limits import AccountLimiter
 from tanagerscale.entry._problems import problem_response
 from tanagerscale.generated.callers import HostStatus
@@ -33,12 +33,12 @@
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.upstreams import ServiceCall
 
-RETRY_ELSEWHERE_MS = 1000
-RETRY_BUSY_MS = 2000
-BEARER = "Bearer "
+NOT_READY_RETRY_AFTER_MS = 1000
+INTERNAL_ERROR_RETRY_AFTER_MS = 2000
+BEARER_PREFIX = "Bearer "
 MAX_KEY_CHARS = 512
-CALLER_LEFT_STATUS = 499
-"""Nobody receives it; the connection is gone."""
+CLIENT_CLOSED_REQUEST_STATUS = 499
+"""Status set after the caller has disconnected; it is never received."""
 MAX_IDEMPOTENCY_KEY_CHARS = 256
 
 _log = get_logger(part="entry")
@@ -46,42 +46,42 @@
 Handler = Callable[[web.Request, ClientAccountId], Awaitable[web.StreamResponse]]
 
 
-class KeyCheck(Protocol):
-    """Finds the client account of a key."""
+class AccountAuthenticator(Protocol):
+    """Authenticates callers by their key."""
 
     async def check(self, *, bearer: str) -> ClientAccountId | None:
-        """Return the account, or ``None`` for an unknown key."""
+        """Return the client account of a key, or ``None`` if the key is unknown."""
 
 
 class Admission(Protocol):
-    """Decides at the door whether a request may come in."""
+    """Limits the number of concurrent requests on this host."""
 
     def admit(self, *, account: ClientAccountId) -> Problem | None:
-        """Count a request in, or return the final answer that refuses it."""
+        """Admit a request, or return the problem to reject it with."""
 
-    def leave(self, *, account: ClientAccountId) -> None:
-        """Count a request out."""
+    def release(self, *, account: ClientAccountId) -> None:
+        """Release the slot of an admitted request."""
 
 
-class EntryParts(Struct, frozen=True, kw_only=True):
-    """What the HTTP interface uses.
+class CallerApiContext(Struct, frozen=True, kw_only=True):
+    """Dependencies of the HTTP interface.
 
-    :param keys: Finds accounts.
-    :param admission: Decides at the door.
-    :param account_limits: Limits of accounts.
-    :param completions: Serves completions.
-    :param services: Serves plain services.
-    :param declarations: Returns what is in force, or ``None`` before anything is.
-    :param status: Returns the host's status.
-    :param usage: Returns what accounts have used, as JSON text.
-    :param registry: Metrics.
-    :param limits: What the host takes at most.
+    :param keys: Authenticates callers.
+    :param admission: Limits concurrent requests on this host.
+    :param account_limits: Enforces the limits of client accounts.
+    :param completions: Handles completion requests.
+    :param services: Dispatches calls to plain services.
+    :param declarations: Returns the declarations in force, or ``None`` if there are none yet.
+    :param status: Returns the current status of the host.
+    :param usage: Returns the usage of all client accounts as JSON.
+    :param registry: Registry of the exported metrics.
+    :param limits: ``[limits]`` section of the settings.
     """
 
-    keys: KeyCheck
+    keys: AccountAuthenticator
     admission: Admission
     account_limits: AccountLimiter
-    completions: Completions
+    completions: CompletionHandlers
     services: ServiceDispatch
     declarations: Callable[[], Declarations | None]
     status: Callable[[], HostStatus]
@@ -91,27 +91,29 @@
 
 
 @final
-class Entry:
-    """Routes callers' requests to their handlers.
+class CallerApi:
+    """Routes HTTP requests to their handlers.
 
-    :param parts: What the handlers use.
+    :param context: Dependencies of the handlers.
     """
 
-    def __init__(self, *, parts: EntryParts) -> None:
-        self._parts = parts
+    def __init__(self, *, context: CallerApiContext) -> None:
+        self._context = context
 
     def application(self) -> web.Application:
-        """Return the aiohttp application."""
+        """Return the aiohttp application with all routes."""
         app = web.Application(
-            client_max_size=self._parts.limits.body_bytes, middlewares=[_final_answers]
+            client_max_size=self._context.limits.body_bytes, middlewares=[_convert_errors]
         )
-        app.router.add_post("/v1/completions", self._guarded(self._complete))
-        app.router.add_post("/v1/chat/completions", self._guarded(self._chat))
-        resume = self._guarded(self._resume, refusals=Execution.UNKNOWN)
+        app.router.add_post("/v1/completions", self._with_admission(self._complete))
+        app.router.add_post("/v1/chat/completions", self._with_admission(self._chat))
+        resume = self._with_admission(self._resume, refusal_execution=Execution.UNKNOWN)
         app.router.add_get("/v1/completions/{request_id}/events", resume)
         app.router.add_post("/v1/completions/{request_id}/events", resume)
-        app.router.add_route("*", "/services/{service}", self._guarded(self._service))
-        app.router.add_route("*", "/services/{service}/{path:.*}", self._guarded(self._service))
+        app.router.add_route("*", "/services/{service}", self._with_admission(self._service))
+        app.router.add_route(
+            "*", "/services/{service}/{path:.*}", self._with_admission(self._service)
+        )
         app.router.add_get("/v1/status", self._status)
         app.router.add_get("/v1/usage", self._usage)
         app.router.add_get("/healthz", self._healthz)
@@ -119,65 +121,68 @@
         app.router.add_get("/metrics", self._metrics)
         return app
 
-    def _guarded(
-        self, handler: Handler, *, refusals: Execution = Execution.NOT_EXECUTED
+    def _with_admission(
+        self, handler: Handler, *, refusal_execution: Execution = Execution.NOT_EXECUTED
     ) -> Callable[[web.Request], Awaitable[web.StreamResponse]]:
-        """Let a request in and out at the door.
+        """Wrap a handler with readiness check, authentication and admission.
 
-        :param handler: Answers it.
-        :param refusals: What a refusal says of the execution; a continuation's request ran.
+        :param handler: Handles admitted requests.
+        :param refusal_execution: Execution state reported when the request is rejected. It differs
+            for resumed streams, whose original request has already run.
         """
 
-        async def guarded(request: web.Request) -> web.StreamResponse:
+        async def handle_admitted(request: web.Request) -> web.StreamResponse:
             account = None
-            problem = self._host_problem()
+            problem = self._check_readiness()
             if problem is None:
-                account = await self._account(request)
+                account = await self._authenticate(request)
                 problem = _UNAUTHORIZED if account is None else None
             if problem is None and account is not None:
-                problem = self._parts.admission.admit(account=account)
+                problem = self._context.admission.admit(account=account)
             if problem is not None or account is None:
-                told = replace(problem or _UNAUTHORIZED, execution=refusals)
-                return problem_response(problem=told, request_id=new_id(prefix="req"))
+                refusal_problem = replace(problem or _UNAUTHORIZED, execution=refusal_execution)
+                return problem_response(problem=refusal_problem, request_id=new_id(prefix="req"))
             try:
                 return await handler(request, account)
             finally:
-                self._parts.admission.leave(account=account)
+                self._context.admission.release(account=account)
 
-        return guarded
+        return handle_admitted
 
-    def _host_problem(self) -> Problem | None:
-        status = self._parts.status()
+    def _check_readiness(self) -> Problem | None:
+        status = self._context.status()
         if status.leaving:
             return _STOPPING
         return None if status.ready else _STARTING
 
-    async def _account(self, request: web.Request) -> ClientAccountId | None:
+    async def _authenticate(self, request: web.Request) -> ClientAccountId | None:
         header = request.headers.get("Authorization", "")
-        if not header.startswith(BEARER) or len(header) > MAX_KEY_CHARS:
+        if not header.startswith(BEARER_PREFIX) or len(header) > MAX_KEY_CHARS:
             return None
-        return await self._parts.keys.check(bearer=header.removeprefix(BEARER))
+        return await self._context.keys.check(bearer=header.removeprefix(BEARER_PREFIX))
 
     async def _complete(self, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
-        return await self._parts.completions.complete(request=request, account=account, chat=False)
+        return await self._context.completions.complete(
+            request=request, account=account, chat=False
+        )
 
     async def _chat(self, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
-        return await self._parts.completions.complete(request=request, account=account, chat=True)
+        return await self._context.completions.complete(request=request, account=account, chat=True)
 
     async def _resume(self, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
-        return await self._parts.completions.resume(request=request, account=account)
+        return await self._context.completions.resume(request=request, account=account)
 
     async def _service(self, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
         request_id = new_id(prefix="call")
         name = ServiceId(request.match_info["service"])
         key = request.headers.get("Idempotency-Key", "")
-        problem = self._service_problem(name, account, key)
+        problem = self._check_service_request(name, account, key)
         if problem is None:
-            problem = self._parts.account_limits.start(account=account, tokens=0)
-        declarations = self._parts.declarations()
+            problem = self._context.account_limits.start(account=account, tokens=0)
+        declarations = self._context.declarations()
         if problem is not None or declarations is None:
             return problem_response(problem=problem or _STARTING, request_id=request_id)
-        # The raw path keeps what the caller encoded.
+        # The raw path preserves the percent-encoding chosen by the caller.
         path = request.raw_path.removeprefix("/services/").partition("/")[2]
         call = ServiceCall(
             method=request.method,
@@ -186,24 +191,24 @@
             body=await request.read(),
         )
         try:
-            result = await self._parts.services.call(
+            result = await self._context.services.call(
                 service=declarations.services[name], account=account, key=key, call=call
             )
         finally:
-            self._parts.account_limits.finish(account=account, tokens=0)
+            self._context.account_limits.finish(account=account, tokens=0)
         match result:
-            case Success(reply):
-                headers = [item for item in reply.headers if item[0].lower() != "x-request-id"]
+            case Success(response):
+                headers = [item for item in response.headers if item[0].lower() != "x-request-id"]
                 headers.append(("X-Request-Id", request_id))
-                return web.Response(status=reply.status, body=reply.body, headers=headers)
+                return web.Response(status=response.status, body=response.body, headers=headers)
             case Failure(refusal):
                 return problem_response(problem=refusal, request_id=request_id)
-        raise AssertionError("A Result is a Success or a Failure.")
+        raise AssertionError("Result is neither Success nor Failure")
 
-    def _service_problem(
+    def _check_service_request(
         self, name: ServiceId, account: ClientAccountId, key: str
     ) -> Problem | None:
-        declarations = self._parts.declarations()
+        declarations = self._context.declarations()
         if declarations is None:
             return _STARTING
         if name not in declarations.services:
@@ -228,24 +233,24 @@
         return None
 
     async def _status(self, _request: web.Request) -> web.Response:
-        body = msgspec.json.encode(self._parts.status())
+        body = msgspec.json.encode(self._context.status())
         return web.Response(body=body, content_type="application/json")
 
     async def _usage(self, _request: web.Request) -> web.Response:
-        return web.Response(body=self._parts.usage(), content_type="application/json")
+        return web.Response(body=self._context.usage(), content_type="application/json")
 
     async def _healthz(self, _request: web.Request) -> web.Response:
         return web.Response(text="alive\n")
 
     async def _readyz(self, _request: web.Request) -> web.Response:
-        status = self._parts.status()
+        status = self._context.status()
         if status.ready and not status.leaving:
             return web.Response(text="ready\n")
         return web.Response(status=503, text="leaving\n" if status.leaving else "starting\n")
 
     async def _metrics(self, _request: web.Request) -> web.Response:
         return web.Response(
-            body=generate_latest(self._parts.registry),
+            body=generate_latest(self._context.registry),
             headers={"Content-Type": CONTENT_TYPE_LATEST},
         )
 
@@ -259,13 +264,13 @@
     kind=ProblemKind.STOPPING,
     detail="This host does not know the declarations yet; go to another host.",
     execution=Execution.NOT_EXECUTED,
-    retry_after_ms=RETRY_ELSEWHERE_MS,
+    retry_after_ms=NOT_READY_RETRY_AFTER_MS,
 )
 _STOPPING = Problem(
     kind=ProblemKind.STOPPING,
     detail="This host is stopping; go to another host.",
     execution=Execution.NOT_EXECUTED,
-    retry_after_ms=RETRY_ELSEWHERE_MS,
+    retry_after_ms=NOT_READY_RETRY_AFTER_MS,
 )
 _TOO_LARGE = Problem(
     kind=ProblemKind.TOO_LARGE,
@@ -276,15 +281,15 @@
     kind=ProblemKind.INTERNAL,
     detail="The host failed on this request; report its request id to the operators.",
     execution=Execution.UNKNOWN,
-    retry_after_ms=RETRY_BUSY_MS,
+    retry_after_ms=INTERNAL_ERROR_RETRY_AFTER_MS,
 )
 
 
 @web.middleware
-async def _final_answers(
+async def _convert_errors(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Turn what handlers raise into problem details."""
+    """Convert exceptions raised by handlers to problem details."""
     try:
         return await handler(request)
     except web.HTTPRequestEntityTooLarge:
@@ -298,9 +303,9 @@
         )
         return problem_response(problem=problem, request_id=new_id(prefix="req"))
     except ConnectionError:
-        _log.info("A caller left before the end of its answer.")
-        return web.Response(status=CALLER_LEFT_STATUS)
+        _log.info("Caller disconnected before the end of the response.")
+        return web.Response(status=CLIENT_CLOSED_REQUEST_STATUS)
     except Exception:
         request_id = new_id(prefix="req")
-        _log.exception("A request failed.", request=request_id)
+        _log.exception("Unhandled exception in a request handler.", request=request_id)
         return problem_response(problem=_INTERNAL, request_id=request_id)
--- a/src/tanagerscale/entry/_completions.py
+++ b/src/tanagerscale/entry/_completions.py
@@ -1,4 +1,4 @@
-"""Completions: from a caller's request to the last token of its answer."""
+"""Handlers for completions and for resuming their streams."""
 
 from __future__ import annotations
 
@@ -41,27 +41,28 @@
 from tanagerscale.dispatch import ResumePoint
 from tanagerscale.entry._limits import AccountLimiter
 from tanagerscale.entry._problems import problem_response
-from tanagerscale.entry._replies import LazyReply
-from tanagerscale.entry._replies import end_stream
-from tanagerscale.entry._replies import whole_body
 from tanagerscale.entry._requests import RequestChecker
 from tanagerscale.entry._requests import bad_request
+from tanagerscale.entry._responses import DeferredStreamResponse
+from tanagerscale.entry._responses import build_completion_body
+from tanagerscale.entry._responses import finish_stream_response
 
 RESUME_RETRY_AFTER_MS = 1000
 
 _log = get_logger(part="entry")
 
 
-class CompletionParts(Struct, frozen=True, kw_only=True):
-    """What the completion handlers use.
+class CompletionContext(Struct, frozen=True, kw_only=True):
+    """Dependencies of the completion handlers.
 
-    :param host: This host.
-    :param cursor_key: Signs cursors.
-    :param checker: Checks bodies.
-    :param dispatch: What generations use.
-    :param declarations: Returns what is in force.
-    :param limits: Limits of accounts.
-    :param attached: Tells another host that the caller of one of its attempts has come here.
+    :param host: Id of this host.
+    :param cursor_key: Key used to sign and verify cursors.
+    :param checker: Validates request bodies.
+    :param dispatch: Dependencies of generations.
+    :param declarations: Returns the declarations in force.
+    :param limits: Enforces the limits of client accounts.
+    :param notify_attached: Notifies another host that the caller of one of its attempts has
+        reconnected to this host.
     """
 
     host: HostId
@@ -70,56 +71,56 @@
     dispatch: DispatchParts
     declarations: Callable[[], Declarations]
     limits: AccountLimiter
-    attached: Callable[[HostId, AttemptId], None]
+    notify_attached: Callable[[HostId, AttemptId], None]
 
 
 @final
-class Completions:
-    """Serves completions and their continuation.
+class CompletionHandlers:
+    """Handles completion requests and requests to resume their streams.
 
-    :param parts: What the handlers use.
+    :param context: Dependencies of the handlers.
     """
 
-    def __init__(self, *, parts: CompletionParts) -> None:
-        self._parts = parts
+    def __init__(self, *, context: CompletionContext) -> None:
+        self._context = context
 
     async def complete(
         self, *, request: web.Request, account: ClientAccountId, chat: bool
     ) -> web.StreamResponse:
         """Answer ``POST /v1/completions`` and ``POST /v1/chat/completions``.
 
-        :param request: The caller's request.
-        :param account: Who asks.
-        :param chat: Whether it is a chat.
+        :param request: HTTP request from the caller.
+        :param account: Client account that sent the request.
+        :param chat: Whether it is a chat completion.
         """
         generation = GenerationId(new_id(prefix="cmpl"))
-        checked = self._parts.checker.check(
+        checked = self._context.checker.check(
             body=await request.read(),
             chat=chat,
             account=account,
             generation=generation,
-            declarations=self._parts.declarations(),
+            declarations=self._context.declarations(),
         )
         match checked:
-            case Success((asked, checked_request)):
-                problem = self._parts.limits.start(
+            case Success((completion_request, checked_request)):
+                problem = self._context.limits.start(
                     account=account, tokens=checked_request.prompt_tokens
                 )
-                if problem is None and asked.stream:
+                if problem is None and completion_request.stream:
                     return await self._stream(request, checked_request, chat)
                 if problem is None:
-                    return await self._reply_whole(checked_request, chat)
+                    return await self._complete_whole(checked_request, chat)
                 return problem_response(problem=problem, request_id=generation)
             case Failure(problem):
                 return problem_response(problem=problem, request_id=generation)
-        raise AssertionError("A Result is a Success or a Failure.")
+        raise AssertionError("Result is neither Success nor Failure")
 
-    async def _reply_whole(self, checked: GenerationRequest, chat: bool) -> web.Response:
+    async def _complete_whole(self, checked: GenerationRequest, chat: bool) -> web.Response:
         sink = WholeSink()
-        generation = Generation(request=checked, sink=sink, parts=self._parts.dispatch)
-        match await self._run_counted(generation, checked):
+        generation = Generation(request=checked, sink=sink, parts=self._context.dispatch)
+        match await self._run_admitted(generation, checked):
             case Success(finish):
-                body = whole_body(checked, finish, sink.text, chat)
+                body = build_completion_body(checked, finish, sink.text, chat)
                 return web.Response(
                     body=body,
                     content_type="application/json",
@@ -127,16 +128,16 @@
                 )
             case Failure(problem):
                 return problem_response(problem=problem, request_id=checked.generation)
-        raise AssertionError("A Result is a Success or a Failure.")
+        raise AssertionError("Result is neither Success nor Failure")
 
-    async def _run_counted(
+    async def _run_admitted(
         self, generation: Generation, checked: GenerationRequest
     ) -> Result[Finish, Problem]:
-        """Run a generation that the account's limits have let in."""
+        """Run a generation and record its end in the limits of the client account."""
         try:
             return await generation.run()
         finally:
-            self._parts.limits.finish(account=checked.account, tokens=generation.tokens)
+            self._context.limits.finish(account=checked.account, tokens=generation.tokens)
 
     async def _stream(
         self,
@@ -145,20 +146,20 @@
         chat: bool,
         cursor: Cursor | None = None,
     ) -> web.StreamResponse:
-        reply = LazyReply(request=request, request_id=checked.generation)
+        response = DeferredStreamResponse(request=request, request_id=checked.generation)
         binding = self._binding(checked, chat)
         event_format = EventFormat(binding=binding)
 
         def signer_of(attempt: AttemptId, engine: UpstreamId) -> CursorSigner:
-            bound = msgspec.structs.replace(binding, attempt=attempt, engine=engine)
-            return CursorSigner(key=self._parts.cursor_key, binding=bound)
+            attempt_binding = msgspec.structs.replace(binding, attempt=attempt, engine=engine)
+            return CursorSigner(key=self._context.cursor_key, binding=attempt_binding)
 
         sink: StreamSink | WholeSink
         if checked.whole and (cursor is None or cursor.offset == 0):
-            sink = WholeSink(signer_of=signer_of, writer=reply)
+            sink = WholeSink(signer_of=signer_of, writer=response)
         else:
             sink = StreamSink(
-                writer=reply,
+                writer=response,
                 signer_of=signer_of,
                 event_format=event_format,
                 offset=cursor.offset if cursor is not None else 0,
@@ -167,20 +168,23 @@
         generation = Generation(
             request=checked,
             sink=sink,
-            parts=self._parts.dispatch,
+            parts=self._context.dispatch,
             resume=self._resume_point(cursor) if cursor is not None else None,
         )
-        # A continuation was let in with its first request, and a limit would only waste that.
+        # A resumed stream was admitted with its original request. Applying the limits again could
+        # only waste the work already done.
         if cursor is None:
-            result = await self._run_counted(generation, checked)
+            result = await self._run_admitted(generation, checked)
         else:
             result = await generation.run()
-        return await end_stream(result, sink, reply, event_format, checked.generation)
+        return await finish_stream_response(
+            result, sink, response, event_format, checked.generation
+        )
 
     def _resume_point(self, cursor: Cursor) -> ResumePoint:
         attempt = AttemptId(cursor.binding.attempt)
-        self._parts.dispatch.canceller.keep(attempt=attempt)
-        self._parts.attached(HostId(cursor.binding.host), attempt)
+        self._context.dispatch.canceller.keep(attempt=attempt)
+        self._context.notify_attached(HostId(cursor.binding.host), attempt)
         return ResumePoint(
             attempt=attempt,
             engine=UpstreamId(cursor.binding.engine),
@@ -194,7 +198,7 @@
             account=checked.account,
             attempt="",
             engine="",
-            host=self._parts.host,
+            host=self._context.host,
             model=checked.model,
             chat=chat,
             seed=checked.seed,
@@ -204,17 +208,18 @@
     async def resume(self, *, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
         """Answer ``GET`` and ``POST /v1/completions/{request_id}/events``.
 
-        With the body of the first request a generation that was lost meanwhile is made again.
+        If a ``POST`` contains the body of the original request, a generation that has been lost is
+        generated again.
 
-        :param request: The caller's request, with its cursor in ``Last-Event-ID``.
-        :param account: Who asks.
+        :param request: HTTP request from the caller, with its cursor in ``Last-Event-ID``.
+        :param account: Client account that sent the request.
         """
         request_id = request.match_info["request_id"]
         text = request.headers.get("Last-Event-ID", "")
         if not text:
             problem = bad_request("Send the last event's id in the header Last-Event-ID.")
-            return _refuse_continuation(problem, request_id)
-        cursor = verify_cursor(key=self._parts.cursor_key, text=text)
+            return _refuse_resume(problem, request_id)
+        cursor = verify_cursor(key=self._context.cursor_key, text=text)
         if (
             cursor is None
             or cursor.binding.account != account
@@ -222,70 +227,74 @@
         ):
             return problem_response(problem=_CURSOR_REFUSED, request_id=request_id)
         if request.method == "GET":
-            return await self._follow(request, cursor)
-        return await self._go_on(request, cursor)
+            return await self._resume_stream(request, cursor)
+        return await self._resume_with_body(request, cursor)
 
-    async def _go_on(self, request: web.Request, cursor: Cursor) -> web.StreamResponse:
+    async def _resume_with_body(self, request: web.Request, cursor: Cursor) -> web.StreamResponse:
         binding = cursor.binding
-        checked = self._parts.checker.check(
+        checked = self._context.checker.check(
             body=await request.read(),
             chat=binding.chat,
             account=ClientAccountId(binding.account),
             generation=GenerationId(binding.request),
-            declarations=self._parts.declarations(),
+            declarations=self._context.declarations(),
         )
         match checked:
             case Failure(problem):
-                return _refuse_continuation(problem, binding.request)
-            case Success((_, found)) if found.fingerprint == binding.fingerprint:
-                again = replace(found, seed=binding.seed)
-                return await self._stream(request, again, binding.chat, cursor)
-        return problem_response(problem=_OTHER_BODY, request_id=binding.request)
-
-    async def _follow(self, request: web.Request, cursor: Cursor) -> web.StreamResponse:
+                return _refuse_resume(problem, binding.request)
+            case Success((_, matching_request)) if (
+                matching_request.fingerprint == binding.fingerprint
+            ):
+                regenerated = replace(matching_request, seed=binding.seed)
+                return await self._stream(request, regenerated, binding.chat, cursor)
+        return problem_response(problem=_BODY_MISMATCH, request_id=binding.request)
+
+    async def _resume_stream(self, request: web.Request, cursor: Cursor) -> web.StreamResponse:
         binding = cursor.binding
-        point = self._resume_point(cursor)
-        reply = LazyReply(request=request, request_id=binding.request)
+        resume_point = self._resume_point(cursor)
+        response = DeferredStreamResponse(request=request, request_id=binding.request)
         event_format = EventFormat(binding=binding)
-        bound = msgspec.structs.replace(binding, host=self._parts.host)
-        signer = CursorSigner(key=self._parts.cursor_key, binding=bound)
+        attempt_binding = msgspec.structs.replace(binding, host=self._context.host)
+        signer = CursorSigner(key=self._context.cursor_key, binding=attempt_binding)
         sink = StreamSink(
-            writer=reply,
+            writer=response,
             signer_of=lambda _attempt, _engine: signer,
             event_format=event_format,
-            offset=point.offset,
-            checksum=point.checksum,
+            offset=resume_point.offset,
+            checksum=resume_point.checksum,
         )
-        await sink.begin(attempt=point.attempt, engine=point.engine)
-        relay = Relay(offset=point.offset, checksum=point.checksum)
-        result = await self._run_resumed(point.attempt, point.engine, relay, sink)
-        return await end_stream(result, sink, reply, event_format, binding.request)
+        await sink.begin(attempt=resume_point.attempt, engine=resume_point.engine)
+        relay = Relay(offset=resume_point.offset, checksum=resume_point.checksum)
+        result = await self._resume_attempt(resume_point.attempt, resume_point.engine, relay, sink)
+        return await finish_stream_response(result, sink, response, event_format, binding.request)
 
-    async def _run_resumed(
+    async def _resume_attempt(
         self, attempt_id: AttemptId, engine: UpstreamId, relay: Relay, sink: StreamSink
     ) -> Result[Finish, Problem]:
-        dispatch = self._parts.dispatch
-        if engine not in self._parts.declarations().engines:
+        dispatch = self._context.dispatch
+        if engine not in self._context.declarations().engines:
             return Failure(_GENERATION_LOST)
         attempt = Attempt(
             attempt=attempt_id,
             client=dispatch.client_of(engine),
             relay=relay,
             sink=sink,
-            report=_no_report,
+            report=_ignore_progress,
             clock=dispatch.clock,
         )
-        ended = False
+        is_ended = False
         try:
             outcome = await attempt.resume()
-            ended = True
+            is_ended = True
         finally:
-            if not ended:
-                pause = sink.cancel_after_ms or 0
-                dispatch.canceller.cancel(attempt=attempt_id, engine=engine, after_ms=pause)
+            if not is_ended:
+                cancel_delay_ms = sink.cancel_after_ms or 0
+                dispatch.canceller.cancel(
+                    attempt=attempt_id, engine=engine, after_ms=cancel_delay_ms
+                )
         if outcome.end is AttemptEnd.FINISHED and relay.finish is not None:
             return Success(Finish(relay.finish, relay.delivered))
-        _log.info("A continued generation was lost.", attempt=attempt_id, end=outcome.end.value)
+        _log.info("Resumed generation was lost.", attempt=attempt_id, end=outcome.end.value)
         return Failure(_GENERATION_LOST)
 
 
@@ -294,7 +303,7 @@
     detail="The cursor is not one of this request; send the id of its last event unchanged.",
     execution=Execution.UNKNOWN,
 )
-_OTHER_BODY = Problem(
+_BODY_MISMATCH = Problem(
     kind=ProblemKind.CURSOR_REFUSED,
     detail="The body is not the one that this cursor's request was made with; send that one.",
     execution=Execution.UNKNOWN,
@@ -307,11 +316,14 @@
 )
 
 
-def _refuse_continuation(problem: Problem, request_id: str) -> web.Response:
-    """Refuse a continuation; its request has run, at least in part."""
-    told = replace(problem, execution=Execution.UNKNOWN)
-    return problem_response(problem=told, request_id=request_id)
+def _refuse_resume(problem: Problem, request_id: str) -> web.Response:
+    """Return a response that rejects a resume request.
+
+    The execution is reported as unknown because the original request has run, at least in part.
+    """
+    refusal = replace(problem, execution=Execution.UNKNOWN)
+    return problem_response(problem=refusal, request_id=request_id)
 
 
-def _no_report(_tokens: int) -> None:
-    """Take no note; routing does not know of a generation that another host placed."""
+def _ignore_progress(_tokens: int) -> None:
+    """Ignore progress: this host's router has no entry for a run that another host placed."""
--- a/src/tanagerscale/entry/_limits.py
+++ b/src/tanagerscale/entry/_limits.py
@@ -1,4 +1,4 @@
-"""What the entry asks of the accounts' limits."""
+"""Interface to the limits of client accounts."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class AccountLimiter(Protocol):
-    """Holds accounts to their limits over all hosts together."""
+    """Enforces the limits of client accounts, which apply across all hosts."""
 
     def start(self, *, account: ClientAccountId, tokens: int) -> Problem | None:
-        """Count a request as running, or return the final answer that refuses it."""
+        """Start a request, or return the problem to reject it with."""
 
     def finish(self, *, account: ClientAccountId, tokens: int) -> None:
-        """Count a request that was started as ended."""
+        """Record the end of a started request."""
--- a/src/tanagerscale/entry/_problems.py
+++ b/src/tanagerscale/entry/_problems.py
@@ -1,4 +1,4 @@
-"""Final answers that report a failure, as RFC 9457 problem details."""
+"""Responses that report a failure as RFC 9457 problem details."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tanagerscale.generated.callers import ProblemDetails
 
 PROBLEM_CONTENT_TYPE = "application/problem+json"
-TYPE_PREFIX = "urn:tanagerscale:problem:"
+PROBLEM_TYPE_PREFIX = "urn:tanagerscale:problem:"
 
-STATUS_OF_KIND = {
+STATUS_BY_KIND = {
     ProblemKind.BAD_REQUEST: 400,
     ProblemKind.UNAUTHORIZED: 401,
     ProblemKind.FORBIDDEN: 403,
@@ -38,16 +38,16 @@
 }
 
 
-def problem_details(*, problem: Problem, request_id: str) -> ProblemDetails:
-    """Return the body of a problem.
+def build_problem_details(*, problem: Problem, request_id: str) -> ProblemDetails:
+    """Return the problem details for a problem.
 
-    :param problem: What went wrong.
-    :param request_id: Names the request in logs.
+    :param problem: Problem to report.
+    :param request_id: Id that identifies the request in logs.
     """
     return ProblemDetails(
-        type=TYPE_PREFIX + problem.kind.value,
+        type=PROBLEM_TYPE_PREFIX + problem.kind.value,
         title=problem.kind.value.replace("-", " ").capitalize(),
-        status=STATUS_OF_KIND[problem.kind],
+        status=STATUS_BY_KIND[problem.kind],
         detail=problem.detail,
         execution=problem.execution.value,
         request_id=request_id,
@@ -56,12 +56,12 @@
 
 
 def problem_response(*, problem: Problem, request_id: str) -> web.Response:
-    """Return the reply for a problem; Retry-After is in whole seconds, rounded up.
+    """Return the HTTP response for a problem; Retry-After is in whole seconds, rounded up.
 
-    :param problem: What went wrong.
-    :param request_id: Names the request in logs.
+    :param problem: Problem to report.
+    :param request_id: Id that identifies the request in logs.
     """
-    details = problem_details(problem=problem, request_id=request_id)
+    details = build_problem_details(problem=problem, request_id=request_id)
     headers = {"X-Request-Id": request_id}
     if problem.retry_after_ms is not None:
         headers["Retry-After"] = str(math.ceil(problem.retry_after_ms / MS_PER_SECOND))
@@ -74,10 +74,10 @@
 
 
 def problem_event(*, problem: Problem, request_id: str) -> bytes:
-    """Return the event that ends a reply which has begun, in place of an end marker.
+    """Return the event that terminates an already started stream in place of an end marker.
 
-    :param problem: What went wrong.
-    :param request_id: Names the request in logs.
+    :param problem: Problem to report.
+    :param request_id: Id that identifies the request in logs.
     """
-    details = problem_details(problem=problem, request_id=request_id)
+    details = build_problem_details(problem=problem, request_id=request_id)
     return b"event: error\ndata: " + msgspec.json.encode(details) + b"\n\n"
--- a/src/tanagerscale/entry/_requests.py
+++ b/src/tanagerscale/entry/_requests.py
@@ -1,4 +1,4 @@
-"""Checks of callers' requests."""
+"""Validation of completion requests."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from tanagerscale.quarantine import fingerprint_of
 
 CHARS_PER_TOKEN = 4
-"""Rough length of a token; only forecasts depend on it."""
+"""Approximate number of characters per token, used for estimates only."""
 MAX_SEED = 2**31 - 1
 PRIORITY_RANK = {Priority.URGENT: 0, Priority.NORMAL: 1, Priority.BATCH: 2}
 PREFIX_DIGEST_BYTES = 16
@@ -35,10 +35,11 @@
 
 @final
 class RequestChecker:
-    """Turns bodies of completion requests into generation requests.
+    """Validates the bodies of completion requests and converts them to generation requests.
 
-    :param fingerprint_key: Keys the fingerprints, so that they tell nothing of a prompt.
-    :param rng: Draws seeds.
+    :param fingerprint_key: Key of the fingerprint hash, so that a fingerprint does not reveal the
+        prompt.
+    :param rng: Random number generator for the seeds of requests that specify none.
     """
 
     def __init__(self, *, fingerprint_key: bytes, rng: random.Random) -> None:
@@ -55,31 +56,35 @@
         generation: GenerationId,
         declarations: Declarations,
     ) -> Result[tuple[CompletionRequest, GenerationRequest], Problem]:
-        """Return the request as sent and as checked, or the problem with it.
-
-        :param body: JSON text.
-        :param chat: Whether messages are expected in place of a prompt.
-        :param account: Who asks.
-        :param generation: Id for the generation.
-        :param declarations: What is in force.
+        """Validate a request body.
+
+        :param body: JSON body.
+        :param chat: Whether to expect messages in place of a prompt.
+        :param account: Client account that sent the request.
+        :param generation: Id of the new generation.
+        :param declarations: Declarations in force.
+        :returns: The decoded body and the generation request, or the problem to reject the request
+            with.
         """
         try:
-            asked = self._decoder.decode(body)
+            completion_request = self._decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
             return Failure(bad_request(f"Send a JSON body that fits docs/API.md: {error}."))
-        declared = declarations.accounts.get(account)
-        model = declarations.models.get(ModelId(asked.model))
-        if declared is None:
+        declared_account = declarations.accounts.get(account)
+        model = declarations.models.get(ModelId(completion_request.model))
+        if declared_account is None:
             return Failure(_forbidden("The account is no longer declared; ask the operators."))
         if model is None:
-            return Failure(_not_found(asked.model, sorted(declarations.models)))
-        if declared.models and model.name not in declared.models:
+            return Failure(_not_found(completion_request.model, sorted(declarations.models)))
+        if declared_account.models and model.name not in declared_account.models:
             return Failure(_forbidden(f"The account may not call {model.name}."))
-        return self._build(asked, chat, declared, model, generation, declarations, body)
+        return self._build(
+            completion_request, chat, declared_account, model, generation, declarations, body
+        )
 
     def _build(
         self,
-        asked: CompletionRequest,
+        completion_request: CompletionRequest,
         chat: bool,
         account: ClientAccount,
         model: Model,
@@ -87,51 +92,65 @@
         declarations: Declarations,
         body: bytes,
     ) -> Result[tuple[CompletionRequest, GenerationRequest], Problem]:
-        adapter = declarations.adapters.get(asked.adapter) if asked.adapter else None
-        if asked.adapter and (adapter is None or adapter.model != model.name):
-            return Failure(bad_request(f"No adapter {asked.adapter!r} is declared for the model."))
-        prompt = _chat_prompt(asked) if chat else asked.prompt
+        adapter = (
+            declarations.adapters.get(completion_request.adapter)
+            if completion_request.adapter
+            else None
+        )
+        if completion_request.adapter and (adapter is None or adapter.model != model.name):
+            return Failure(
+                bad_request(f"No adapter {completion_request.adapter!r} is declared for the model.")
+            )
+        prompt = _chat_prompt(completion_request) if chat else completion_request.prompt
         if not prompt:
             field = "messages" if chat else "prompt"
             return Failure(bad_request(f"Send a {field} that is not empty."))
         prompt_tokens = max(1, len(prompt) // CHARS_PER_TOKEN)
-        room = model.context_tokens - prompt_tokens
-        if room < 1:
+        available_tokens = model.context_tokens - prompt_tokens
+        if available_tokens < 1:
             return Failure(bad_request("Shorten the prompt; it fills the model's context."))
-        limit = min(asked.max_tokens or model.max_output_tokens, model.max_output_tokens, room)
-        prefix = prompt[: asked.prefix_chars]
+        max_tokens = min(
+            completion_request.max_tokens or model.max_output_tokens,
+            model.max_output_tokens,
+            available_tokens,
+        )
+        prefix = prompt[: completion_request.prefix_chars]
         request = GenerationRequest(
             generation=generation,
             account=ClientAccountId(account.name),
             model=ModelId(model.name),
             version=model.version,
-            adapter=asked.adapter,
+            adapter=completion_request.adapter,
             prompt=prompt,
             prompt_tokens=prompt_tokens,
-            max_tokens=limit,
-            seed=self._rng.randrange(MAX_SEED) if asked.seed is None else asked.seed,
+            max_tokens=max_tokens,
+            seed=(
+                self._rng.randrange(MAX_SEED)
+                if completion_request.seed is None
+                else completion_request.seed
+            ),
             priority=PRIORITY_RANK[account.priority],
-            request_class=asked.request_class,
+            request_class=completion_request.request_class,
             prefix=_digest(prefix.encode(errors="replace")) if prefix else "",
             prefix_tokens=len(prefix) // CHARS_PER_TOKEN,
-            whole=not asked.stream or model.delivery is Delivery.WHOLE,
+            whole=not completion_request.stream or model.delivery is Delivery.WHOLE,
             fingerprint=self.fingerprint(account=ClientAccountId(account.name), body=body),
         )
-        return Success((asked, request))
+        return Success((completion_request, request))
 
     def fingerprint(self, *, account: ClientAccountId, body: bytes) -> str:
-        """Return what recognises the same body from the same account.
+        """Return the fingerprint that identifies a body sent by an account.
 
-        :param account: Who asks.
-        :param body: What was sent.
+        :param account: Client account that sent the request.
+        :param body: Request body as received.
         """
         return fingerprint_of(key=self._fingerprint_key, account=account, body=body)
 
 
 def bad_request(detail: str) -> Problem:
-    """Return the problem of a request that breaks the interface.
+    """Return the problem for an invalid request.
 
-    :param detail: One sentence that names the remedy.
+    :param detail: One sentence that tells the caller how to correct the request.
     """
     return Problem(kind=ProblemKind.BAD_REQUEST, detail=detail, execution=Execution.NOT_EXECUTED)
 
@@ -148,8 +167,10 @@
     )
 
 
-def _chat_prompt(asked: CompletionRequest) -> str:
-    return "\n".join(f"{message.role}: {message.content}" for message in asked.messages)
+def _chat_prompt(completion_request: CompletionRequest) -> str:
+    return "\n".join(
+        f"{message.role}: {message.content}" for message in completion_request.messages
+    )
 
 
 def _digest(data: bytes) -> str:
--- a/src/tanagerscale/entry/_replies.py
+++ b/src/tanagerscale/entry/_responses.py
@@ -1,4 +1,4 @@
-"""The forms of replies to completions."""
+"""Responses to completion requests."""
 
 from __future__ import annotations
 
@@ -26,62 +26,65 @@
 from tanagerscale.generated.callers import CompletionChoice
 from tanagerscale.generated.callers import Usage
 
-EVENT_STREAM = "text/event-stream"
+EVENT_STREAM_CONTENT_TYPE = "text/event-stream"
 
 
 @final
-class LazyReply:
-    """A reply of events that begins with its first byte, so that a refusal can still be plain.
+class DeferredStreamResponse:
+    """Event stream response that sends its header only with the first byte of the body.
 
-    :param request: The caller's request.
-    :param request_id: Goes into the reply's header.
+    Until then, the request can still be rejected with a plain response.
+
+    :param request: HTTP request from the caller.
+    :param request_id: Value of the response header ``X-Request-Id``.
     """
 
     def __init__(self, *, request: web.Request, request_id: str) -> None:
         self._request = request
         self._response = web.StreamResponse(
             headers={
-                "Content-Type": EVENT_STREAM,
+                "Content-Type": EVENT_STREAM_CONTENT_TYPE,
                 "Cache-Control": "no-store",
                 "X-Request-Id": request_id,
             }
         )
 
     @property
-    def begun(self) -> bool:
-        """Whether a byte has been sent."""
+    def is_started(self) -> bool:
+        """Whether the header has been sent."""
         return self._response.prepared
 
     def write(self, data: bytes) -> Awaitable[None]:
-        """Send bytes, and the header before the first."""
+        """Write bytes to the body; the first call sends the header before them."""
         if self._response.prepared:
             return self._response.write(data)
-        return self._begin(data)
+        return self._start(data)
 
     async def end(self) -> web.StreamResponse:
-        """Close the reply."""
+        """Complete the response."""
         await self._response.write_eof()
         return self._response
 
-    async def _begin(self, data: bytes) -> None:
+    async def _start(self, data: bytes) -> None:
         await self._response.prepare(self._request)
         await self._response.write(data)
 
 
-async def end_stream(
+async def finish_stream_response(
     result: Result[Finish, Problem],
     sink: StreamSink | WholeSink,
-    reply: LazyReply,
+    response: DeferredStreamResponse,
     event_format: EventFormat,
     request_id: str,
 ) -> web.StreamResponse:
-    """End a reply of events by its end marker, or by a problem in place of one.
-
-    :param result: How the generation ended.
-    :param sink: Took its tokens.
-    :param reply: The reply, which has not begun when nothing was delivered.
-    :param event_format: Frames the events.
-    :param request_id: Names the request.
+    """Finish an event stream with its end marker, or with a problem if the generation failed.
+
+    :param result: Result of the generation.
+    :param sink: Sink that received the generated tokens.
+    :param response: Response to finish. If it has not started, a failure is sent as a plain
+        response instead.
+    :param event_format: Encodes the events.
+    :param request_id: Id that identifies the request in logs.
     """
     match result:
         case Success(finish):
@@ -90,19 +93,21 @@
             else:
                 await sink.finish(reason=finish.reason.value)
         case Failure(problem):
-            if not reply.begun:
+            if not response.is_started:
                 return problem_response(problem=problem, request_id=request_id)
-            await reply.write(problem_event(problem=problem, request_id=request_id))
-    return await reply.end()
+            await response.write(problem_event(problem=problem, request_id=request_id))
+    return await response.end()
 
 
-def whole_body(checked: GenerationRequest, finish: Finish, text: str, chat: bool) -> bytes:
-    """Return the body of a reply that holds the whole answer.
+def build_completion_body(
+    checked: GenerationRequest, finish: Finish, text: str, chat: bool
+) -> bytes:
+    """Return the JSON body of a response that contains the complete answer.
 
-    :param checked: The request.
-    :param finish: How the generation ended.
-    :param text: The answer.
-    :param chat: Whether the answer is shaped as a chat.
+    :param checked: Validated request.
+    :param finish: Finish reason and number of generated tokens.
+    :param text: Generated text.
+    :param chat: Whether to return a chat completion.
     """
     usage = Usage(
         prompt_tokens=checked.prompt_tokens,
--- a/src/tanagerscale/fleet/_lease.py
+++ b/src/tanagerscale/fleet/_lease.py
@@ -16,8 +16,8 @@
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
 from tanagerscale.generated.records import ControlLeaseRecord
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import Store
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
@@ -140,7 +140,7 @@
 
     async def _create(self, lease: LeaseId) -> int | None:
         """Create the key and return the revision that did so; ``None`` when another stands."""
-        put = PutIf(
+        put = ConditionalPut(
             key=self._key,
             value=self._value,
             expected_mod_revision=StoreRevision(0),
--- a/src/tanagerscale/gateway/_configuration.py
+++ b/src/tanagerscale/gateway/_configuration.py
@@ -78,7 +78,7 @@
         """Take in a change; a configuration that was removed stays in force."""
         self._take_all(batch.entries)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing: what is known stays in force."""
 
     async def offer_from_peer(
--- a/src/tanagerscale/gateway/_following.py
+++ b/src/tanagerscale/gateway/_following.py
@@ -66,7 +66,7 @@
 
     async def is_served(self) -> bool:
         """Return whether the store answers a read that costs it little."""
-        found = await self._edges.store.get(key=self._presence.prefix, stale=True)
+        found = await self._edges.store.get(key=self._presence.prefix, allow_stale=True)
         return isinstance(found, Success)
 
     def _operator_keys(self) -> OperatorKeys:
@@ -86,5 +86,5 @@
             listener=listener,
             clock=self._clock,
             rng=self._rng,
-            rest_ms=lambda: rest_ms,
+            change_delay_ms=lambda: rest_ms,
         )
--- a/src/tanagerscale/gateway/_operator_keys.py
+++ b/src/tanagerscale/gateway/_operator_keys.py
@@ -57,10 +57,10 @@
         if evacuated or ended:
             self._evacuations.on_changes(replace(batch, entries=evacuated, deleted=ended))
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Note that the store was lost or answers again."""
-        self._configuration.on_store(reachable=reachable)
-        self._evacuations.on_store(reachable=reachable)
+        self._configuration.on_reachability_changed(reachable=reachable)
+        self._evacuations.on_reachability_changed(reachable=reachable)
 
     def _configuration_entries(self, entries: Sequence[StoreEntry]) -> tuple[StoreEntry, ...]:
         return tuple(entry for entry in entries if entry.key == self._configuration_key)
--- a/src/tanagerscale/gateway/_presence.py
+++ b/src/tanagerscale/gateway/_presence.py
@@ -19,8 +19,8 @@
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
 from tanagerscale.generated.records import HostRecord
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import Store
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -175,7 +175,7 @@
             self._records.pop(key, None)
         self._publish(batch.revision)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing: connections to the others live on without the store."""
 
     def _take(self, entry: StoreEntry) -> None:
@@ -195,7 +195,7 @@
         revision = StoreRevision(0)
         # The entry of this host's process before may still be there.
         for _ in range(2):
-            put = PutIf(
+            put = ConditionalPut(
                 key=f"{self._prefix}{self._record.host}",
                 value=msgspec.json.encode(self._record),
                 expected_mod_revision=revision,
@@ -208,7 +208,9 @@
             if outcome.written:
                 self._lease = lease
                 return Success(None)
-            revision = outcome.present.mod_revision if outcome.present else StoreRevision(0)
+            revision = (
+                outcome.current_entry.mod_revision if outcome.current_entry else StoreRevision(0)
+            )
         return Failure(_CONTESTED)
 
     async def _renew(self) -> Result[None, StoreError]:
--- a/src/tanagerscale/membership/_evacuations.py
+++ b/src/tanagerscale/membership/_evacuations.py
@@ -78,7 +78,7 @@
         begun = self._known(entry.key for entry in batch.entries)
         self._set(self._domains - self._known(batch.deleted) | begun)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing: what is known stays in force."""
 
     def on_calls(self, *, answered: bool) -> None:
--- a/src/tanagerscale/membership/_roster.py
+++ b/src/tanagerscale/membership/_roster.py
@@ -198,7 +198,7 @@
             self._written[name] = batch.revision
         self._note_missing(deleted, batch.revision)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Note when the store answers again; entries may have lapsed meanwhile."""
         before = self.is_current
         if reachable and self._store_away:
--- a/src/tanagerscale/platform/_store.py
+++ b/src/tanagerscale/platform/_store.py
@@ -24,8 +24,8 @@
 from tanagerscale.platform._wire import WireItem
 from tanagerscale.platform._wire import WireLease
 from tanagerscale.platform._wire import WireRange
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -69,9 +69,11 @@
         self._pool = pool
         self.calls = 0
 
-    async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
+    async def get(
+        self, *, key: str, allow_stale: bool = False
+    ) -> Result[StoreEntry | None, StoreError]:
         """Read one key; a stale answer costs a tenth."""
-        query = {"key": key, **({"serializable": "1"} if stale else {})}
+        query = {"key": key, **({"serializable": "1"} if allow_stale else {})}
         answer = await self._call("GET", "/v1/kv-key", query=query)
         if isinstance(answer, Failure):
             return answer
@@ -102,7 +104,9 @@
                 return Success(StoreRange(entries=tuple(entries), revision=revision))
             after = page.items[-1].key
 
-    async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
+    async def commit(
+        self, *, puts: Sequence[ConditionalPut]
+    ) -> Result[Sequence[PutOutcome], StoreError]:
         """Carry out conditional writes, each by itself on its own condition."""
         outcomes = []
         for put in puts:
@@ -160,7 +164,7 @@
         """Close idle connections."""
         self._pool.drop(address=self._address)
 
-    async def _commit_one(self, put: PutIf) -> Result[PutOutcome, StoreError]:
+    async def _commit_one(self, put: ConditionalPut) -> Result[PutOutcome, StoreError]:
         condition = [{"key": put.key, "revision": put.expected_mod_revision}]
         body: dict[str, Any] = {"expectedRevision": condition, "puts": [], "remove": []}
         if put.value is None:
@@ -262,13 +266,13 @@
         entries=tuple(_to_entry(item) for item in last.values() if not item.deleted),
         deleted=tuple(item.key for item in last.values() if item.deleted),
         revision=reached,
-        newest=StoreRevision(max((item.revision for item in changes.events), default=0)),
+        newest_revision=StoreRevision(max((item.revision for item in changes.events), default=0)),
     )
 
 
 def _to_conflict(present: WireRange) -> PutOutcome:
     found = next((_to_entry(item) for item in present.items if item.revision), None)
-    return PutOutcome(written=False, revision=StoreRevision(present.as_of), present=found)
+    return PutOutcome(written=False, revision=StoreRevision(present.as_of), current_entry=found)
 
 
 def _unreachable(cause: str) -> StoreError:
--- a/src/tanagerscale/quarantine/_persistence.py
+++ b/src/tanagerscale/quarantine/_persistence.py
@@ -16,7 +16,7 @@
 from tanagerscale.core import Clock
 from tanagerscale.core import Millis
 from tanagerscale.generated.messages import Verdict
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import Store
 from tanagerscale.store import StoreError
 from tanagerscale.store import StoreErrorKind
@@ -82,7 +82,7 @@
         granted = await self._store.grant_lease(ttl_s=ttl_s)
         if isinstance(granted, Failure):
             return Failure(granted.failure())
-        put = PutIf(
+        put = ConditionalPut(
             key=self._prefix + verdict.fingerprint,
             value=msgspec.json.encode(verdict),
             expected_mod_revision=StoreRevision(0),
--- a/src/tanagerscale/store/__init__.py
+++ b/src/tanagerscale/store/__init__.py
@@ -1,4 +1,4 @@
-"""Access to the platform's key-value service."""
+"""Client of the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from tanagerscale.store._etcd import EtcdStore
 from tanagerscale.store._follow import PrefixFollower
 from tanagerscale.store._follow import PrefixListener
+from tanagerscale.store._protocol import ConditionalPut
 from tanagerscale.store._protocol import LeaseId
-from tanagerscale.store._protocol import PutIf
 from tanagerscale.store._protocol import PutOutcome
 from tanagerscale.store._protocol import Store
 from tanagerscale.store._protocol import StoreEntry
@@ -19,11 +19,11 @@
 
 __all__ = [
     "MAX_PUTS",
+    "ConditionalPut",
     "EtcdStore",
     "LeaseId",
     "PrefixFollower",
     "PrefixListener",
-    "PutIf",
     "PutOutcome",
     "Store",
     "StoreEntry",
--- a/src/tanagerscale/store/_follow.py
+++ b/src/tanagerscale/store/_follow.py
@@ -1,4 +1,4 @@
-"""Following all keys under a prefix through outages and lost history."""
+"""Follower of all keys under a prefix that recovers from outages and compaction."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
 from tanagerscale.store._protocol import StoreRevision
 from tanagerscale.store._protocol import WatchBatch
 
-FIRST_PAUSE_MS: Final = 100
-LONGEST_PAUSE_MS: Final = 800
-"""Pauses between tries of a store that fails. A configuration must be in force two seconds after
-the store is back, so the longest pause with its spread stays well below that."""
+BASE_BACKOFF_MS: Final = 100
+MAX_BACKOFF_MS: Final = 800
+"""Backoff between attempts to reach a failing store. A configuration must be in force two seconds
+after the store has recovered, so the maximum backoff with jitter must be well below that."""
 
-PAUSE_SPREAD: Final = (0.5, 1.5)
+BACKOFF_JITTER: Final = (0.5, 1.5)
 
 _log = get_logger(part="store")
 
 
 class PrefixListener(Protocol):
-    """Takes what is known of a prefix."""
+    """Receives the state of a prefix and its changes."""
 
-    def on_snapshot(self, found: StoreRange) -> None:
-        """Replace all that was known, since changes may have been missed."""
+    def on_snapshot(self, snapshot: StoreRange) -> None:
+        """Replace the complete state, because changes may have been missed."""
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Take in what has changed."""
+        """Apply a batch of changes."""
 
-    def on_store(self, *, reachable: bool) -> None:
-        """Note that the store was lost or answers again."""
+    def on_reachability_changed(self, *, reachable: bool) -> None:
+        """Handle the loss or the recovery of the store."""
 
 
 @final
 class PrefixFollower:
-    """Reads a prefix once and watches it from there, for as long as the host lives.
-
-    After a watch that broke everything is read again: that shows at once that the store answers,
-    and brings what was missed.
-
-    :param store: The store.
-    :param prefix: What the keys begin with.
-    :param listener: Takes what is read.
-    :param clock: Time.
-    :param rng: Spreads tries.
-    :param rest_ms: Returns how long to wait after each change before watching on, so that changes
-        that come together cost one call.
+    """Reads all keys under a prefix and then watches them until cancelled.
+
+    After a failed watch, all keys are read again. This detects immediately that the store is
+    reachable again and returns all missed changes.
+
+    :param store: Store to follow.
+    :param prefix: Prefix of the keys.
+    :param listener: Receives the snapshots and changes.
+    :param clock: Clock used for delays and to measure outages.
+    :param rng: Random number generator used to jitter the backoff.
+    :param change_delay_ms: Returns the delay in milliseconds after each change before the watch
+        continues, so that changes in quick succession are delivered in one batch.
     """
 
     def __init__(
@@ -67,83 +67,89 @@
         listener: PrefixListener,
         clock: Clock,
         rng: Random,
-        rest_ms: Callable[[], int] = lambda: 0,
+        change_delay_ms: Callable[[], int] = lambda: 0,
     ) -> None:
         self._store = store
-        self._rest_ms = rest_ms
+        self._change_delay_ms = change_delay_ms
         self._prefix = prefix
         self._listener = listener
         self._clock = clock
         self._rng = rng
-        self._reached: StoreRevision | None = None
+        self._revision: StoreRevision | None = None
         self._failures = 0
         self._reachable = False
-        self._lost_at = Millis(0)
+        self._unreachable_since = Millis(0)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the prefix until cancelled."""
         while True:
-            error = await self._read() if self._reached is None else await self._watch()
+            error = await self._read() if self._revision is None else await self._watch()
             if error is None:
                 continue
             if error.kind is StoreErrorKind.COMPACTED:
-                _log.info("History is gone; the prefix is read again.", prefix=self._prefix)
-                self._reached = None
+                _log.info(
+                    "Watch revision was compacted; rereading the prefix.", prefix=self._prefix
+                )
+                self._revision = None
                 continue
-            self._note_failure(error)
-            # A watch alone would say nothing until something changes, up to half a minute later.
-            self._reached = None
-            await self._clock.sleep(self._pause())
+            self._record_failure(error)
+            # A new watch alone would not show that the store is reachable before the next change,
+            # which may take up to half a minute.
+            self._revision = None
+            await self._clock.sleep(self._backoff_ms())
 
     async def _read(self) -> StoreError | None:
         result = await self._store.list(prefix=self._prefix)
         if isinstance(result, Failure):
             error: StoreError = result.failure()
             return error
-        found = result.unwrap()
-        self._note_success()
-        self._reached = found.revision
-        self._listener.on_snapshot(found)
+        snapshot = result.unwrap()
+        self._record_success()
+        self._revision = snapshot.revision
+        self._listener.on_snapshot(snapshot)
         return None
 
     async def _watch(self) -> StoreError | None:
-        assert self._reached is not None
-        start = StoreRevision(self._reached + 1)
+        assert self._revision is not None
+        start = StoreRevision(self._revision + 1)
         async for result in self._store.watch(prefix=self._prefix, from_revision=start):
             if isinstance(result, Failure):
                 error: StoreError = result.failure()
                 return error
             batch = result.unwrap()
-            self._note_success()
-            self._reached = batch.revision
+            self._record_success()
+            self._revision = batch.revision
             if batch.entries or batch.deleted:
                 self._listener.on_changes(batch)
-                await self._clock.sleep(self._rest_ms())
+                await self._clock.sleep(self._change_delay_ms())
         return None
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         self._failures = 0
         if self._reachable:
             return
         self._reachable = True
         _log.info(
-            "The store answers.",
+            "Store is reachable.",
             prefix=self._prefix,
-            away_ms=self._clock.now() - self._lost_at if self._lost_at else 0,
+            away_ms=self._clock.now() - self._unreachable_since if self._unreachable_since else 0,
         )
-        self._listener.on_store(reachable=True)
+        self._listener.on_reachability_changed(reachable=True)
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         self._failures += 1
         if not self._reachable:
             return
         self._reachable = False
-        self._lost_at = self._clock.now()
+        self._unreachable_since = self._clock.now()
         _log.warning(
-            "The store is lost.", prefix=self._prefix, kind=error.kind.value, detail=error.detail
+            "Lost connection to the store.",
+            prefix=self._prefix,
+            kind=error.kind.value,
+            detail=error.detail,
         )
-        self._listener.on_store(reachable=False)
+        self._listener.on_reachability_changed(reachable=False)
 
-    def _pause(self) -> int:
-        pause = min(FIRST_PAUSE_MS * 2 ** min(self._failures - 1, 8), LONGEST_PAUSE_MS)
-        return int(pause * self._rng.uniform(*PAUSE_SPREAD))
+    def _backoff_ms(self) -> int:
+        backoff_ms = min(BASE_BACKOFF_MS * 2 ** min(self._failures - 1, 8), MAX_BACKOFF_MS)
+        return int(backoff_ms * self._rng.uniform(*BACKOFF_JITTER))
--- a/src/tanagerscale/store/_gateway.py
+++ b/src/tanagerscale/store/_gateway.py
@@ -1,4 +1,4 @@
-"""Calls to the etcd v3 JSON gateway over HTTP, with the truth about whether they were sent."""
+"""HTTP calls to the etcd v3 JSON gateway, with errors that tell whether a call was sent."""
 
 from __future__ import annotations
 
@@ -18,38 +18,40 @@
 from tanagerscale.core import Millis
 from tanagerscale.store._protocol import StoreError
 from tanagerscale.store._protocol import StoreErrorKind
-from tanagerscale.store._wire import ErrorReply
+from tanagerscale.store._wire import ErrorResponse
 from tanagerscale.store._wire import StatusCode
 
 T = TypeVar("T")
 
-CONNECT_SHARE: Final = 0.5
-"""Share of a call's remaining time that connecting may take, so that the phase is known."""
+CONNECT_TIMEOUT_SHARE: Final = 0.5
+"""Share of the remaining time of a call that connecting may take, so that a connect timeout can be
+told from a lost response."""
 
 HTTP_OK: Final = 200
 
 NO_EFFECT_CODES: Final = frozenset(StatusCode)
-"""Codes with which the store refuses a call before applying it. The others (timeout, leader
-changed, unavailable) may follow a write that has been proposed and still takes effect."""
+"""Status codes with which the store rejects a call before applying it. Other codes (timeout, leader
+changed, unavailable) may be returned for a proposed write that still takes effect."""
 
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
-# A connection that was never made is the only proof that nothing was sent.
-NEVER_SENT: Final = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+# Only a failure to connect proves that nothing was sent.
+CONNECT_ERRORS: Final = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 @final
-class Gateway:
-    """Several equal endpoints of one store.
+class GatewayClient:
+    """HTTP client for the equivalent endpoints of one store.
 
-    :param endpoints: Base URLs.
-    :param timeout_ms: Longest time of one call over all endpoints, in milliseconds.
-    :param clock: Measures what is left of it.
+    :param endpoints: Base URLs of the endpoints.
+    :param timeout_ms: Timeout of one call over all endpoints, in milliseconds.
+    :param clock: Clock used to compute the remaining time of a call.
+    :raises ValueError: If there are no endpoints.
     """
 
     def __init__(self, *, endpoints: Sequence[str], timeout_ms: int, clock: Clock) -> None:
         if not endpoints:
-            raise ValueError("no store endpoints; name at least one in [store] endpoints")
+            raise ValueError("no store endpoints configured; set at least one in [store] endpoints")
         self._endpoints = [endpoint.rstrip("/") for endpoint in endpoints]
         self._timeout_ms = timeout_ms
         self._clock = clock
@@ -58,12 +60,12 @@
 
     @property
     def endpoints(self) -> Sequence[str]:
-        """Base URLs, the one that answered last first."""
+        """Base URLs in the order in which calls try them, starting with the preferred endpoint."""
         return self._endpoints[self._preferred :] + self._endpoints[: self._preferred]
 
     @property
     def timeout_ms(self) -> int:
-        """Longest time of one call, in milliseconds."""
+        """Timeout of one call, in milliseconds."""
         return self._timeout_ms
 
     async def close(self) -> None:
@@ -73,51 +75,54 @@
             self._session = None
 
     async def read(
-        self, *, path: str, body: msgspec.Struct, reply: type[T]
+        self, *, path: str, body: msgspec.Struct, response_type: type[T]
     ) -> Result[T, StoreError]:
-        """Make a call without effect; any endpoint may answer it, after any failure."""
-        return await self._call(path=path, body=body, reply=reply, repeatable=True)
+        """Make a read-only call; if it is unsent or its response is lost, try the next endpoint."""
+        return await self._call(path=path, body=body, response_type=response_type, idempotent=True)
 
     async def write(
-        self, *, path: str, body: msgspec.Struct, reply: type[T]
+        self, *, path: str, body: msgspec.Struct, response_type: type[T]
     ) -> Result[T, StoreError]:
-        """Make a call with an effect; another endpoint is tried only while it was never sent."""
-        return await self._call(path=path, body=body, reply=reply, repeatable=False)
+        """Make a call with side effects; try the next endpoint only if the call was never sent."""
+        return await self._call(path=path, body=body, response_type=response_type, idempotent=False)
 
     def prefer(self, *, endpoint: str) -> None:
-        """Begin later calls at an endpoint."""
+        """Make an endpoint the first one tried by later calls."""
         self._preferred = self._endpoints.index(endpoint)
 
     def avoid(self, *, endpoint: str) -> None:
-        """Begin later calls at the next endpoint, unless others have moved on already."""
+        """Prefer the next endpoint, unless a concurrent call has already changed the preference."""
         if self._endpoints[self._preferred] == endpoint:
             self._preferred = (self._preferred + 1) % len(self._endpoints)
 
     def session(self) -> aiohttp.ClientSession:
-        """Return the session that all calls share."""
+        """Return the HTTP session shared by all calls; it is created on first use."""
         if self._session is None:
-            # The compression of replies costs more than it saves between neighbours.
+            # Compression of responses costs more than it saves on a local network.
             self._session = aiohttp.ClientSession(
                 auto_decompress=False, headers=JSON_HEADERS, skip_auto_headers=("Accept-Encoding",)
             )
         return self._session
 
     async def _call(
-        self, *, path: str, body: msgspec.Struct, reply: type[T], repeatable: bool
+        self, *, path: str, body: msgspec.Struct, response_type: type[T], idempotent: bool
     ) -> Result[T, StoreError]:
-        content = msgspec.json.encode(body)
+        request_body = msgspec.json.encode(body)
         deadline = Millis(self._clock.now() + self._timeout_ms)
-        result: Result[T, StoreError] = Failure(_out_of_time())
+        result: Result[T, StoreError] = Failure(_deadline_exceeded_error())
         uncertain: Result[T, StoreError] | None = None
         endpoints = self.endpoints
         for index, endpoint in enumerate(endpoints):
-            left = deadline - self._clock.now()
-            if left <= 0:
+            remaining_ms = deadline - self._clock.now()
+            if remaining_ms <= 0:
                 break
-            # A stalled endpoint must leave time for the ones after it.
-            share = left if not repeatable else left // (len(endpoints) - index)
+            # Reserve time for the remaining endpoints in case this one stalls.
+            limit_ms = remaining_ms if not idempotent else remaining_ms // (len(endpoints) - index)
             result = await self._call_one(
-                url=endpoint + path, content=content, reply=reply, limit_ms=max(share, 1)
+                url=endpoint + path,
+                request_body=request_body,
+                response_type=response_type,
+                limit_ms=max(limit_ms, 1),
             )
             if isinstance(result, Success):
                 self.prefer(endpoint=endpoint)
@@ -127,32 +132,34 @@
                 self.avoid(endpoint=endpoint)
             if kind is StoreErrorKind.UNCERTAIN:
                 uncertain = result
-            if not (kind is StoreErrorKind.UNREACHABLE or (repeatable and uncertain is result)):
+            if not (kind is StoreErrorKind.UNREACHABLE or (idempotent and uncertain is result)):
                 return result
         return uncertain or result
 
     async def _call_one(
-        self, *, url: str, content: bytes, reply: type[T], limit_ms: int
+        self, *, url: str, request_body: bytes, response_type: type[T], limit_ms: int
     ) -> Result[T, StoreError]:
         total = limit_ms / MS_PER_SECOND
         timeout = aiohttp.ClientTimeout(
-            total=total, connect=total * CONNECT_SHARE, sock_connect=total * CONNECT_SHARE
+            total=total,
+            connect=total * CONNECT_TIMEOUT_SHARE,
+            sock_connect=total * CONNECT_TIMEOUT_SHARE,
         )
         try:
-            async with self.session().post(url, data=content, timeout=timeout) as response:
-                answer = await response.read()
+            async with self.session().post(url, data=request_body, timeout=timeout) as response:
+                response_body = await response.read()
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Failure(to_store_error(error))
+            return Failure(classify_client_error(error))
         if status != HTTP_OK:
-            return Failure(parse_error(answer))
-        return decode(answer, reply)
+            return Failure(parse_error_response(response_body))
+        return decode(response_body, response_type)
 
 
-def decode(answer: bytes, reply: type[T]) -> Result[T, StoreError]:
-    """Decode a successful answer; a malformed one leaves the effect uncertain."""
+def decode(response_body: bytes, response_type: type[T]) -> Result[T, StoreError]:
+    """Decode a successful response; a malformed one leaves the effect of the call uncertain."""
     try:
-        return Success(msgspec.json.decode(answer, type=reply, strict=False))
+        return Success(msgspec.json.decode(response_body, type=response_type, strict=False))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return Failure(
             StoreError(
@@ -163,12 +170,12 @@
         )
 
 
-def to_store_error(error: Exception) -> StoreError:
-    """Tell whether a failed call can have had an effect.
+def classify_client_error(error: Exception) -> StoreError:
+    """Return the store error for an HTTP client error, by whether the call may have been sent.
 
-    :param error: What the HTTP client raised.
+    :param error: Exception raised by the HTTP client.
     """
-    if isinstance(error, NEVER_SENT):
+    if isinstance(error, CONNECT_ERRORS):
         return StoreError(
             kind=StoreErrorKind.UNREACHABLE,
             detail="No connection to the store; check that it runs and [store] endpoints.",
@@ -179,44 +186,44 @@
     )
 
 
-def parse_error(answer: bytes) -> StoreError:
-    """Turn an error reply into a typed error."""
-    decoded = decode(answer, ErrorReply)
-    reply = decoded.value_or(ErrorReply())
-    return from_error_reply(reply)
+def parse_error_response(response_body: bytes) -> StoreError:
+    """Decode an error response and return the matching store error."""
+    decoded = decode(response_body, ErrorResponse)
+    response = decoded.value_or(ErrorResponse())
+    return classify_error_response(response)
 
 
-def from_error_reply(reply: ErrorReply) -> StoreError:
-    """Turn a decoded error reply into a typed error."""
-    code = reply.grpc_code or reply.code
-    if code == StatusCode.OUT_OF_RANGE and "compacted" in reply.message:
-        return compacted()
+def classify_error_response(response: ErrorResponse) -> StoreError:
+    """Return the store error that matches a decoded error response."""
+    code = response.grpc_code or response.code
+    if code == StatusCode.OUT_OF_RANGE and "compacted" in response.message:
+        return compacted_error()
     if code == StatusCode.RESOURCE_EXHAUSTED:
         return StoreError(
             kind=StoreErrorKind.OVERLOADED,
-            detail=f"The store is at its limit ({reply.message!r}); come back later.",
+            detail=f"The store is at its limit ({response.message!r}); come back later.",
         )
     if code in NO_EFFECT_CODES:
         return StoreError(
             kind=StoreErrorKind.REFUSED,
-            detail=f"The store refused the call ({reply.message!r}); mend what it names.",
+            detail=f"The store refused the call ({response.message!r}); mend what it names.",
         )
     return StoreError(
         kind=StoreErrorKind.UNCERTAIN,
-        detail=f"The store failed during the call ({reply.message!r}); read back before "
+        detail=f"The store failed during the call ({response.message!r}); read back before "
         "repeating a write.",
     )
 
 
-def compacted() -> StoreError:
-    """Return the error for a watch whose start has left the store's history."""
+def compacted_error() -> StoreError:
+    """Return the error for a watch whose start revision was compacted."""
     return StoreError(
         kind=StoreErrorKind.COMPACTED,
         detail="The history asked for is gone; read the present state and watch from there.",
     )
 
 
-def _out_of_time() -> StoreError:
+def _deadline_exceeded_error() -> StoreError:
     return StoreError(
         kind=StoreErrorKind.UNREACHABLE,
         detail="No time was left to call the store; allow more in [store] timeout_ms.",
--- a/src/tanagerscale/store/_protocol.py
+++ b/src/tanagerscale/store/_protocol.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform's key-value service."""
+"""Interface to the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 @unique
 class StoreErrorKind(Enum):
-    """Why a call to the store brought no answer."""
+    """Reason why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
-    """The call was never sent, so it has had no effect."""
+    """The call was never sent, so it had no effect."""
     UNCERTAIN = "uncertain"
-    """The call was sent and its reply was lost; a write may have taken effect."""
+    """The call was sent but its response was lost, so a write may have taken effect."""
     REFUSED = "refused"
-    """The store answered with an error, so the call has had no effect."""
+    """The store rejected the call, so it had no effect."""
     OVERLOADED = "overloaded"
-    """The store refused the call because of its rate, so the call has had no effect."""
+    """The store rejected the call because of rate limiting, so it had no effect."""
     COMPACTED = "compacted"
-    """The history asked for is gone; read the present state and watch from there."""
+    """The requested revision was compacted; read the current state and watch from its revision."""
 
 
 class StoreError(Struct, frozen=True, kw_only=True):
-    """A call to the store that failed.
+    """Failure of a call to the store.
 
-    :param kind: Whether it may have taken effect.
-    :param detail: One sentence that names the remedy.
+    :param kind: Reason for the failure, which tells whether the call may have taken effect.
+    :param detail: One sentence that states the failure and what to do about it.
     """
 
     kind: StoreErrorKind
@@ -44,7 +44,7 @@
 
 
 class StoreEntry(Struct, frozen=True, kw_only=True):
-    """One key with its value and the store revisions that made it."""
+    """Key with its value and the store revisions of its creation and last modification."""
 
     key: str
     value: bytes
@@ -54,19 +54,20 @@
 
 
 class StoreRange(Struct, frozen=True, kw_only=True):
-    """Entries under a prefix, as they stood at one store revision."""
+    """Snapshot of the entries under a prefix at one store revision."""
 
     entries: tuple[StoreEntry, ...]
     revision: StoreRevision
 
 
-class PutIf(Struct, frozen=True, kw_only=True):
-    """A conditional write; in a transaction each one succeeds or fails by itself.
+class ConditionalPut(Struct, frozen=True, kw_only=True):
+    """Conditional write; in a transaction, each one succeeds or fails independently.
 
     :param key: Key to write.
     :param value: New value, or ``None`` to delete the key.
-    :param expected_mod_revision: The key's present revision; 0 means that it must not exist.
-    :param lease: Lease that the key lives under; 0 means none.
+    :param expected_mod_revision: Required modification revision of the key; 0 requires that the key
+        does not exist.
+    :param lease: Lease to attach the key to; 0 means none.
     """
 
     key: str
@@ -76,63 +77,70 @@
 
 
 class PutOutcome(Struct, frozen=True, kw_only=True):
-    """What became of one conditional write.
+    """Result of one conditional write.
 
-    :param written: Whether the condition held.
-    :param revision: The store's revision after the call.
-    :param present: When the condition did not hold, the entry that stands there.
+    :param written: Whether the condition held and the write was applied.
+    :param revision: Store revision after the call.
+    :param current_entry: Entry of the key if the condition did not hold; ``None`` if the key does
+        not exist.
     """
 
     written: bool
     revision: StoreRevision
-    present: StoreEntry | None = None
+    current_entry: StoreEntry | None = None
 
 
 class WatchBatch(Struct, frozen=True, kw_only=True):
-    """Changes of one store revision or several; of each key only the last one.
+    """Changes of one or more store revisions, with only the last change of each key.
 
     :param entries: Entries written.
     :param deleted: Keys deleted.
-    :param revision: The store revision that the watch has reached.
-    :param newest: Revision of the newest of these changes, which all watches agree on; 0 when it is
-        not known.
+    :param revision: Store revision that the watch has reached.
+    :param newest_revision: Revision of the newest change in the batch, which is the same for all
+        watches; 0 if unknown.
     """
 
     entries: tuple[StoreEntry, ...]
     deleted: tuple[str, ...]
     revision: StoreRevision
-    newest: StoreRevision = StoreRevision(0)
+    newest_revision: StoreRevision = StoreRevision(0)
 
 
 class Store(Protocol):
-    """The platform's key-value service: compare-and-swap, leases, watches.
+    """Key-value store of the platform with compare-and-swap, leases and watches.
 
-    No method retries; callers know best whether a repeat is safe.
+    No method retries a failed call, because only the caller knows whether a retry is safe.
     """
 
-    async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
+    async def get(
+        self, *, key: str, allow_stale: bool = False
+    ) -> Result[StoreEntry | None, StoreError]:
         """Read one key.
 
-        :param key: The key.
-        :param stale: Whether an answer that is seconds old will do; it costs the store less.
+        :param key: Key to read.
+        :param allow_stale: Whether a value that is seconds old is acceptable. Such a read is
+            cheaper for the store.
+        :returns: ``None`` if the key does not exist.
         """
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix."""
 
-    async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
-        """Carry out conditional writes in one call, each on its own condition."""
+    async def commit(
+        self, *, puts: Sequence[ConditionalPut]
+    ) -> Result[Sequence[PutOutcome], StoreError]:
+        """Apply conditional writes in one call; each depends only on its own condition."""
 
     async def grant_lease(self, *, ttl_s: int) -> Result[LeaseId, StoreError]:
-        """Make a lease that ends after ``ttl_s`` seconds without a keep-alive."""
+        """Grant a lease that expires after ``ttl_s`` seconds without a keep-alive."""
 
     async def keep_alive(self, *, lease: LeaseId) -> Result[int, StoreError]:
-        """Renew a lease and return its seconds to live; 0 means that it has ended."""
+        """Renew a lease and return its remaining TTL in seconds; 0 if it has expired."""
 
     async def revoke(self, *, lease: LeaseId) -> Result[None, StoreError]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
 
     def watch(
         self, *, prefix: str, from_revision: StoreRevision
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
-        """Follow the changes under a prefix; the iterator ends after its first failure."""
+        """Watch the changes under a prefix; the iterator ends after the first failure."""
--- a/src/tanagerscale/store/_watch.py
+++ b/src/tanagerscale/store/_watch.py
@@ -1,4 +1,4 @@
-"""Following a watch of the etcd v3 JSON gateway."""
+"""Watch streams of the etcd v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.store._gateway import HTTP_OK
-from tanagerscale.store._gateway import Gateway
-from tanagerscale.store._gateway import compacted
+from tanagerscale.store._gateway import GatewayClient
+from tanagerscale.store._gateway import classify_client_error
+from tanagerscale.store._gateway import classify_error_response
+from tanagerscale.store._gateway import compacted_error
 from tanagerscale.store._gateway import decode
-from tanagerscale.store._gateway import from_error_reply
-from tanagerscale.store._gateway import parse_error
-from tanagerscale.store._gateway import to_store_error
+from tanagerscale.store._gateway import parse_error_response
 from tanagerscale.store._protocol import LeaseId
 from tanagerscale.store._protocol import StoreEntry
 from tanagerscale.store._protocol import StoreError
@@ -40,22 +40,22 @@
 
 @final
 class WatchStream:
-    """One watch over one connection.
+    """One watch on its own connection.
 
-    :param gateway: Where to open it.
-    :param silence_ms: After this many milliseconds without a message the watch counts as
-        stalled, since a connection may die without breaking.
+    :param gateway: Client used to open the watch.
+    :param idle_timeout_ms: Time in milliseconds without a message after which the watch fails,
+        because a connection may be lost without being closed.
     """
 
-    def __init__(self, *, gateway: Gateway, silence_ms: int) -> None:
+    def __init__(self, *, gateway: GatewayClient, idle_timeout_ms: int) -> None:
         self._gateway = gateway
-        self._silence_ms = silence_ms
+        self._idle_timeout_ms = idle_timeout_ms
         self._buffer = bytearray()
 
     async def follow(
         self, *, key: bytes, range_end: bytes, from_revision: StoreRevision
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
-        """Yield what changes until the first failure."""
+        """Open the watch and yield batches of changes until the first failure."""
         request = WatchRequest(
             create_request=WatchCreate(
                 key=key,
@@ -64,21 +64,21 @@
                 progress_notify=True,
             )
         )
-        content = msgspec.json.encode(request)
-        opened = await self._open(content)
+        request_body = msgspec.json.encode(request)
+        opened = await self._open(request_body)
         if isinstance(opened, Failure):
             yield opened
             return
         async with opened.unwrap() as response:
-            async for result in self._batches(response):
+            async for result in self._read_batches(response):
                 yield result
                 if isinstance(result, Failure):
                     return
 
-    async def _open(self, content: bytes) -> Result[aiohttp.ClientResponse, StoreError]:
-        result: Result[aiohttp.ClientResponse, StoreError] = Failure(_ended())
+    async def _open(self, request_body: bytes) -> Result[aiohttp.ClientResponse, StoreError]:
+        result: Result[aiohttp.ClientResponse, StoreError] = Failure(_watch_ended_error())
         for endpoint in self._gateway.endpoints:
-            result = await self._open_one(endpoint + WATCH_PATH, content)
+            result = await self._open_one(endpoint + WATCH_PATH, request_body)
             if isinstance(result, Success):
                 self._gateway.prefer(endpoint=endpoint)
                 return result
@@ -86,24 +86,24 @@
         return result
 
     async def _open_one(
-        self, url: str, content: bytes
+        self, url: str, request_body: bytes
     ) -> Result[aiohttp.ClientResponse, StoreError]:
         timeout = aiohttp.ClientTimeout(
             total=None,
             connect=self._gateway.timeout_ms / MS_PER_SECOND,
             sock_connect=self._gateway.timeout_ms / MS_PER_SECOND,
-            sock_read=self._silence_ms / MS_PER_SECOND,
+            sock_read=self._idle_timeout_ms / MS_PER_SECOND,
         )
         try:
-            response = await self._gateway.session().post(url, data=content, timeout=timeout)
+            response = await self._gateway.session().post(url, data=request_body, timeout=timeout)
             if response.status == HTTP_OK:
                 return Success(response)
             async with response:
-                return Failure(parse_error(await response.read()))
+                return Failure(parse_error_response(await response.read()))
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return Failure(to_store_error(error))
+            return Failure(classify_client_error(error))
 
-    async def _batches(
+    async def _read_batches(
         self, response: aiohttp.ClientResponse
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
         try:
@@ -111,27 +111,27 @@
                 self._buffer += chunk
                 if len(self._buffer) > MAX_MESSAGE_BYTES:
                     break
-                for line in self._take_lines():
+                for line in self._pop_lines():
                     result = _to_batch(line)
                     if result is not None:
                         yield result
         except (aiohttp.ClientError, TimeoutError, OSError):
             pass
-        yield Failure(_ended())
+        yield Failure(_watch_ended_error())
 
-    def _take_lines(self) -> list[bytes]:
+    def _pop_lines(self) -> list[bytes]:
         end = self._buffer.rfind(LINE_END)
         if end < 0:
             return []
-        whole = bytes(self._buffer[:end])
+        complete_lines = bytes(self._buffer[:end])
         del self._buffer[: end + 1]
-        return [line for line in whole.split(LINE_END) if line.strip()]
+        return [line for line in complete_lines.split(LINE_END) if line.strip()]
 
 
 def to_entry(kv: KeyValue) -> StoreEntry:
-    """Turn a key of the wire into an entry.
+    """Convert a key-value pair of the gateway to an entry.
 
-    :raises UnicodeDecodeError: The key is not text, so none of ours.
+    :raises UnicodeDecodeError: If the key is not UTF-8. This system writes no such keys.
     """
     return StoreEntry(
         key=kv.key.decode(),
@@ -148,34 +148,38 @@
         return decoded
     message = decoded.unwrap()
     if message.error is not None:
-        return Failure(from_error_reply(message.error))
+        return Failure(classify_error_response(message.error))
     response = message.result or WatchResponse()
     if response.compact_revision:
-        return Failure(compacted())
+        return Failure(compacted_error())
     if response.canceled:
-        return Failure(_ended())
+        return Failure(_watch_ended_error())
     if response.created and not response.events:
         return None
     try:
-        return Success(_collect(response))
+        return Success(_build_batch(response))
     except UnicodeDecodeError:
-        return Failure(_ended())
+        return Failure(_watch_ended_error())
 
 
-def _collect(response: WatchResponse) -> WatchBatch:
-    """Keep the last change of each key, since the two lists would lose the order of several."""
-    last = {event.kv.key: event for event in response.events}
-    changes = sorted(last.values(), key=lambda event: event.kv.mod_revision)
-    reached = max((change.kv.mod_revision for change in changes), default=0)
+def _build_batch(response: WatchResponse) -> WatchBatch:
+    """Return a batch with the last change of each key.
+
+    The two lists of written and deleted keys cannot represent the order of several changes of one
+    key.
+    """
+    last_changes = {event.kv.key: event for event in response.events}
+    changes = sorted(last_changes.values(), key=lambda event: event.kv.mod_revision)
+    newest_revision = max((change.kv.mod_revision for change in changes), default=0)
     return WatchBatch(
         entries=tuple(to_entry(change.kv) for change in changes if change.type != DELETED),
         deleted=tuple(change.kv.key.decode() for change in changes if change.type == DELETED),
-        # With events the header may run ahead of what this watch has delivered.
-        revision=StoreRevision(reached or response.header.revision),
+        # With events, the header revision may be ahead of the changes delivered by this watch.
+        revision=StoreRevision(newest_revision or response.header.revision),
     )
 
 
-def _ended() -> StoreError:
+def _watch_ended_error() -> StoreError:
     return StoreError(
         kind=StoreErrorKind.UNCERTAIN,
         detail="The watch ended or went silent; read the present state and watch again.",
--- a/src/tanagerscale/store/_wire.py
+++ b/src/tanagerscale/store/_wire.py
@@ -1,7 +1,7 @@
-"""Bodies of the etcd v3 JSON gateway that the client uses.
+"""Messages of the etcd v3 JSON gateway that are used by the client.
 
-The gateway writes 64-bit numbers as strings and leaves out fields that hold their default. Keys
-and values are base64, which msgspec does for fields of type ``bytes``.
+The gateway encodes 64-bit numbers as strings and omits fields with default values. Keys and values
+are base64; msgspec encodes and decodes fields of type ``bytes`` accordingly.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @unique
 class StatusCode(IntEnum):
-    """The gRPC status codes of an error reply that the client tells apart."""
+    """gRPC status codes of error responses that the client distinguishes."""
 
     INVALID_ARGUMENT = 3
     NOT_FOUND = 5
@@ -33,9 +33,9 @@
 
 
 class RangeRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Reads one key, or all keys from ``key`` to before ``range_end``.
+    """Read of one key, or of all keys from ``key`` up to but excluding ``range_end``.
 
-    With ``serializable`` the answer may be stale.
+    With ``serializable``, the result may be stale.
     """
 
     key: bytes
@@ -44,7 +44,7 @@
 
 
 class PutRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Writes one key; lease 0 means none."""
+    """Write of one key; lease 0 means none."""
 
     key: bytes
     value: bytes
@@ -52,13 +52,13 @@
 
 
 class DeleteRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Deletes one key."""
+    """Deletion of one key."""
 
     key: bytes
 
 
 class Compare(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A condition on one key; the result and the target have no defaults worth omitting."""
+    """Condition on one key; the result and the target are always sent."""
 
     key: bytes
     mod_revision: str
@@ -67,7 +67,7 @@
 
 
 class RequestOp(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One operation of a transaction; exactly one field is set."""
+    """Operation of a transaction; exactly one field is set."""
 
     request_range: RangeRequest | None = None
     request_put: PutRequest | None = None
@@ -76,7 +76,7 @@
 
 
 class TxnRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Carries out ``success`` when all comparisons hold, and ``failure`` otherwise."""
+    """Transaction that runs ``success`` if all comparisons hold, and ``failure`` otherwise."""
 
     compare: list[Compare] = []
     success: list[RequestOp] = []
@@ -84,19 +84,19 @@
 
 
 class LeaseGrantRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Makes a lease."""
+    """Request to grant a lease."""
 
     TTL: str
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Names a lease to renew or to end."""
+    """Request to renew or revoke a lease."""
 
     ID: str
 
 
 class WatchCreate(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Starts a watch; revision 0 means from now on."""
+    """Parameters of a new watch; start revision 0 means the current revision."""
 
     key: bytes
     range_end: bytes
@@ -105,19 +105,19 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The first and only message that the client sends on a watch."""
+    """Only message that the client sends on a watch stream."""
 
     create_request: WatchCreate
 
 
 class Header(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The store's revision when it answered."""
+    """Response header with the store revision at the time of the response."""
 
     revision: int = 0
 
 
 class KeyValue(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One key as it stands."""
+    """Key with its current value and revisions."""
 
     key: bytes
     create_revision: int = 0
@@ -127,21 +127,21 @@
 
 
 class RangeResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a range."""
+    """Response to a range request."""
 
     header: Header = Header()
     kvs: list[KeyValue] = []
 
 
 class ResponseOp(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to one operation of a transaction."""
+    """Response to one operation of a transaction."""
 
     response_range: RangeResponse | None = None
     response_txn: TxnResponse | None = None
 
 
 class TxnResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a transaction."""
+    """Response to a transaction."""
 
     header: Header = Header()
     succeeded: bool = False
@@ -149,40 +149,40 @@
 
 
 class LeaseGrantResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a grant."""
+    """Response to a lease grant."""
 
     ID: int
     TTL: int
 
 
 class KeepAlive(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a keep-alive; a lease that has ended has no seconds to live."""
+    """Response to a keep-alive; the TTL of an expired lease is 0."""
 
     TTL: int = 0
 
 
 class KeepAliveMessage(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Envelope of a streamed keep-alive."""
+    """Envelope of a streamed keep-alive response."""
 
     result: KeepAlive | None = None
-    error: ErrorReply | None = None
+    error: ErrorResponse | None = None
 
 
 class LeaseRevokeResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a revocation."""
+    """Response to a lease revocation."""
 
     header: Header = Header()
 
 
 class WatchEvent(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One change of one key."""
+    """Change of one key."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
 class WatchResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Several changes, or a notice that the watch has come as far as the header says."""
+    """Changes, or a progress notification that the watch has reached the header's revision."""
 
     header: Header = Header()
     created: bool = False
@@ -196,11 +196,11 @@
     """Envelope of a streamed watch response."""
 
     result: WatchResponse | None = None
-    error: ErrorReply | None = None
+    error: ErrorResponse | None = None
 
 
-class ErrorReply(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Body of an error; older gateways name the code of a streamed one ``grpc_code``."""
+class ErrorResponse(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+    """Error response; older gateways use ``grpc_code`` for the code of a streamed error."""
 
     code: int = 0
     grpc_code: int = 0
--- a/testing/_callers.py
+++ b/testing/_callers.py
@@ -1,4 +1,4 @@
-"""A caller that follows the interface, for tests with real processes."""
+"""Client of the caller interface, for tests with real processes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 VERSION = "2026-11"
 ACCOUNT = "crew-north"
 SEED = 11
-POLL_S = 0.02
-HANG_GUARD = aiohttp.ClientTimeout(total=60)
+POLL_INTERVAL_S = 0.02
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=60)
 
 
 @dataclass(kw_only=True)
 class Answer:
-    """What a caller of events received, over all its connections."""
+    """Event stream as received by a caller over all its connections."""
 
     request_id: str = ""
     texts: list[str] = field(default_factory=list)
@@ -36,17 +36,17 @@
 
     @property
     def text(self) -> str:
-        """All text."""
+        """Complete text received so far."""
         return "".join(self.texts)
 
 
 def headers(*, account: str = ACCOUNT) -> dict[str, str]:
-    """Return the headers that identify an account."""
+    """Return the request headers that authenticate a client account."""
     return {"Authorization": f"Bearer {account_key(account)}"}
 
 
-def expected(*, prompt: str, max_tokens: int = 16384, model: str = MODEL) -> str:
-    """Return the one right answer to a prompt."""
+def expected_text(*, prompt: str, max_tokens: int = 16384, model: str = MODEL) -> str:
+    """Return the only correct answer to a prompt."""
     request = EngineRequest(
         attempt_id="", model=model, prompt=prompt, seed=SEED, max_tokens=max_tokens
     )
@@ -61,17 +61,20 @@
     answer: Answer | None = None,
     model: str = MODEL,
 ) -> Answer:
-    """Ask for an answer as events, until the connection ends."""
+    """Request a streamed completion and read it until the connection ends."""
     answer = answer or Answer()
     async with session.post(
-        f"{url}/v1/completions", json=_body(prompt, model), headers=headers(), timeout=HANG_GUARD
+        f"{url}/v1/completions",
+        json=_body(prompt, model),
+        headers=headers(),
+        timeout=REQUEST_TIMEOUT,
     ) as response:
         answer.request_id = response.headers.get("X-Request-Id", "")
-        await _read(response, answer)
+        await _read_events(response, answer)
     return answer
 
 
-async def go_on(
+async def resume(
     *,
     session: aiohttp.ClientSession,
     url: str,
@@ -80,25 +83,25 @@
     prompt: str = "",
     model: str = MODEL,
 ) -> Answer:
-    """Go on with an answer at a host; with the prompt also when its engine is gone."""
+    """Resume a stream at a host; with the prompt, a lost generation can be generated again."""
     async with session.request(
         "POST" if prompt else "GET",
         f"{url}/v1/completions/{answer.request_id}/events",
         json=_body(prompt, model) if prompt else None,
         headers={**headers(account=account), "Last-Event-ID": answer.cursor},
-        timeout=HANG_GUARD,
+        timeout=REQUEST_TIMEOUT,
     ) as response:
-        await _read(response, answer)
+        await _read_events(response, answer)
     return answer
 
 
 async def book(*, session: aiohttp.ClientSession, url: str, key: str) -> bytes | ProblemDetails:
-    """Book once and return the service's answer or the problem."""
+    """Send one booking and return the response of the service, or the problem."""
     async with session.post(
         f"{url}/services/bookings/bookings",
         json={"id": key},
         headers={**headers(), "Idempotency-Key": key},
-        timeout=HANG_GUARD,
+        timeout=REQUEST_TIMEOUT,
     ) as response:
         body = await response.read()
     if response.content_type == "application/problem+json":
@@ -106,8 +109,8 @@
     return body
 
 
-async def book_until_served(*, session: aiohttp.ClientSession, url: str, key: str) -> bytes:
-    """Book and come back as told, for as long as the answer says that nothing ran."""
+async def book_with_retries(*, session: aiohttp.ClientSession, url: str, key: str) -> bytes:
+    """Send a booking and retry it after ``retry_after_ms`` while it is reported as not executed."""
     while True:
         reply = await book(session=session, url=url, key=key)
         if isinstance(reply, bytes):
@@ -117,17 +120,17 @@
         await asyncio.sleep(reply.retry_after_ms / 1000)
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the test's own end is the limit."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Poll a condition until it holds; only the timeout of the test limits the wait."""
     while not condition():
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def _body(prompt: str, model: str) -> dict[str, object]:
     return {"model": model, "prompt": prompt, "stream": True, "seed": SEED}
 
 
-async def _read(response: aiohttp.ClientResponse, answer: Answer) -> None:
+async def _read_events(response: aiohttp.ClientResponse, answer: Answer) -> None:
     answer.status = response.status
     if response.status != 200:
         answer.error = await response.text()
@@ -137,12 +140,12 @@
         async for chunk in response.content.iter_any():
             *events, pending = (pending + chunk).split(b"\n\n")
             for event in events:
-                _take(event.decode(), answer)
+                _handle_event(event.decode(), answer)
     except aiohttp.ClientError as error:
         answer.error = f"{type(error).__name__}"
 
 
-def _take(event: str, answer: Answer) -> None:
+def _handle_event(event: str, answer: Answer) -> None:
     fields = dict(line.split(": ", 1) for line in event.split("\n") if ": " in line)
     data = fields.get("data", "")
     if data == "[DONE]":
--- a/testing/_crowded.py
+++ b/testing/_crowded.py
@@ -30,9 +30,9 @@
 from tanagerscale.core import Problem
 from tanagerscale.core import Revision
 from tanagerscale.core import UpstreamId
-from tanagerscale.daemon._crashes import QuarantineWatch
+from tanagerscale.daemon._adapters import GateHealthRecorder
 from tanagerscale.daemon._host import RETRY_RESERVE
-from tanagerscale.daemon._notes import GateNotes
+from tanagerscale.daemon._quarantine_adapter import QuarantineAdapter
 from tanagerscale.declarations import Declarations
 from tanagerscale.delivery import WholeSink
 from tanagerscale.dispatch import Canceller
@@ -280,7 +280,7 @@
             clock=clock,
             rng=random.Random(name),
         )
-        crashes = QuarantineWatch(
+        crashes = QuarantineAdapter(
             quarantine=quarantine,
             mesh=cast(Mesh, network),
             declarations=lambda: declarations,
@@ -290,7 +290,7 @@
         self.parts = DispatchParts(
             router=self.router,
             client_of=world.engines.__getitem__,
-            notes=GateNotes(gate=gate),
+            notes=GateHealthRecorder(gate=gate),
             crashes=crashes,
             retries=RetryBudget(reserve=reserve),
             canceller=Canceller(client_of=world.engines.__getitem__, clock=clock),
--- a/testing/_fake_store.py
+++ b/testing/_fake_store.py
@@ -1,7 +1,7 @@
-"""An in-memory key-value service with revisions, leases, watches and faults.
+"""In-memory key-value store with revisions, leases, watches and faults.
 
-Several clients share one :class:`FakeBackend`; each client has faults of its own, so that one
-host may lose the store while another still reaches it. All waiting is loop time.
+Several clients share one :class:`FakeBackend`. Each client has its own faults, so that one host can
+lose the store while another still reaches it. All delays use the time of the event loop.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from returns.result import Success
 
 from tanagerscale.core import MS_PER_SECOND
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -34,7 +34,7 @@
 @dataclass(kw_only=True, slots=True)
 class _Lease:
     ttl_s: int
-    ends: float
+    ends_at: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -46,7 +46,7 @@
 
 @final
 class FakeBackend:
-    """The state that all clients of one fake store share."""
+    """State shared by all clients of one fake store."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -58,13 +58,13 @@
         self._next_lease = 1
 
     def compact(self) -> None:
-        """Forget the history up to now; older watches fail with ``COMPACTED``."""
+        """Delete the history up to the current revision; older watches fail with ``COMPACTED``."""
         self.compacted = self.revision
         self.history.clear()
-        self.wake()
+        self.wake_watchers()
 
     def corrupt(self, *, key: str, value: bytes) -> None:
-        """Replace a value behind everybody's back, without a revision or an event."""
+        """Replace a value without a new revision or an event."""
         present = self.entries[key]
         self.entries[key] = StoreEntry(
             key=key,
@@ -74,45 +74,45 @@
             lease=present.lease,
         )
 
-    def remove_silently(self, *, key: str) -> None:
-        """Lose a key without a revision or an event."""
+    def lose_key(self, *, key: str) -> None:
+        """Delete a key without a new revision or an event."""
         del self.entries[key]
 
-    def write(self, *, puts: Sequence[PutIf]) -> list[PutOutcome]:
-        """Carry out conditional writes at one new revision."""
-        self.expire()
+    def write(self, *, puts: Sequence[ConditionalPut]) -> list[PutOutcome]:
+        """Apply conditional writes at one new revision."""
+        self.expire_leases()
         revision = self.revision + 1
         outcomes = [self._write_one(put=put, revision=revision) for put in puts]
         if any(outcome.written for outcome in outcomes):
             self.revision = revision
-            self.wake()
+            self.wake_watchers()
         return outcomes
 
     def has_lease(self, *, lease: LeaseId) -> bool:
-        """Tell whether a lease is alive."""
-        self.expire()
+        """Return whether a lease exists and has not expired."""
+        self.expire_leases()
         return lease in self._leases
 
     def grant(self, *, ttl_s: int) -> LeaseId:
-        """Make a lease and wake the watchers when it ends."""
+        """Grant a lease and schedule its expiry."""
         lease = LeaseId(self._next_lease)
         self._next_lease += 1
-        self._leases[lease] = _Lease(ttl_s=ttl_s, ends=_now() + ttl_s)
+        self._leases[lease] = _Lease(ttl_s=ttl_s, ends_at=_loop_time() + ttl_s)
         self._expire_later(ttl_s=ttl_s)
         return lease
 
     def renew(self, *, lease: LeaseId) -> int:
-        """Renew a lease; 0 when it has ended."""
-        self.expire()
+        """Renew a lease and return its TTL in seconds; 0 if it has expired."""
+        self.expire_leases()
         state = self._leases.get(lease)
         if state is None:
             return 0
-        state.ends = _now() + state.ttl_s
+        state.ends_at = _loop_time() + state.ttl_s
         self._expire_later(ttl_s=state.ttl_s)
         return state.ttl_s
 
-    def end_lease(self, *, lease: LeaseId) -> None:
-        """End a lease and delete its keys."""
+    def revoke_lease(self, *, lease: LeaseId) -> None:
+        """Revoke a lease and delete its keys."""
         self._leases.pop(lease, None)
         keys = [key for key, entry in self.entries.items() if entry.lease == lease]
         if not keys:
@@ -121,30 +121,32 @@
         for key in keys:
             del self.entries[key]
             self.history.append(_Event(revision=self.revision, key=key, entry=None))
-        self.wake()
+        self.wake_watchers()
 
-    def expire(self) -> None:
-        """End the leases whose time is over."""
-        now = _now()
-        for lease in [lease for lease, state in self._leases.items() if state.ends <= now]:
-            self.end_lease(lease=LeaseId(lease))
+    def expire_leases(self) -> None:
+        """Revoke all expired leases."""
+        now = _loop_time()
+        for lease in [lease for lease, state in self._leases.items() if state.ends_at <= now]:
+            self.revoke_lease(lease=LeaseId(lease))
 
-    def wake(self) -> None:
-        """Let the watchers look again."""
-        asyncio.get_running_loop().create_task(self._notify())
+    def wake_watchers(self) -> None:
+        """Wake all watchers to check for changes."""
+        asyncio.get_running_loop().create_task(self._notify_watchers())
 
-    async def _notify(self) -> None:
+    async def _notify_watchers(self) -> None:
         async with self.changed:
             self.changed.notify_all()
 
     def _expire_later(self, *, ttl_s: int) -> None:
-        asyncio.get_running_loop().call_later(ttl_s + 0.001, self.expire)
+        asyncio.get_running_loop().call_later(ttl_s + 0.001, self.expire_leases)
 
-    def _write_one(self, *, put: PutIf, revision: int) -> PutOutcome:
+    def _write_one(self, *, put: ConditionalPut, revision: int) -> PutOutcome:
         present = self.entries.get(put.key)
-        found = present.mod_revision if present is not None else 0
-        if found != put.expected_mod_revision:
-            return PutOutcome(written=False, revision=StoreRevision(self.revision), present=present)
+        current_revision = present.mod_revision if present is not None else 0
+        if current_revision != put.expected_mod_revision:
+            return PutOutcome(
+                written=False, revision=StoreRevision(self.revision), current_entry=present
+            )
         if put.value is None:
             self.entries.pop(put.key, None)
             self.history.append(_Event(revision=revision, key=put.key, entry=None))
@@ -163,7 +165,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StoreCalls:
-    """Calls counted, a waiting watch as one."""
+    """Number of calls of each kind; an open watch counts as one call."""
 
     reads: int = 0
     stale_reads: int = 0
@@ -175,15 +177,16 @@
 @final
 @dataclass(kw_only=True)
 class FakeStore:
-    """A client of the fake store; implements ``tanagerscale.store.Store``.
-
-    :param backend: State to share with other clients; a new one by default.
-    :param down: Calls fail as unreachable and watches end.
-    :param lose_replies: How many of the next writes take effect but lose their reply.
-    :param lose_requests: How many of the next writes are lost on their way, reply unknown.
-    :param latency_ms: Time each call takes.
-    :param watch_delay_ms: How late a watch delivers.
-    :param watch_stalled: Watches neither deliver nor fail.
+    """Client of the fake store; implements ``tanagerscale.store.Store``.
+
+    :param backend: State shared with other clients; a new one by default.
+    :param down: Whether calls fail as unreachable and watches end.
+    :param lose_replies: Number of next writes that take effect but whose response is lost.
+    :param lose_requests: Number of next writes whose request is lost; they fail as uncertain.
+    :param latency_ms: Duration of each call in milliseconds.
+    :param watch_delay_ms: Delivery delay of watches in milliseconds.
+    :param watch_stalled: Whether watches neither deliver changes nor fail.
+    :param calls: Counters of the calls made by this client.
     """
 
     backend: FakeBackend = field(default_factory=FakeBackend)
@@ -196,35 +199,39 @@
     calls: StoreCalls = field(default_factory=StoreCalls)
 
     def set_down(self, down: bool) -> None:
-        """Take the store away from this client, or give it back."""
+        """Make the store unreachable or reachable for this client."""
         self.down = down
-        self.backend.wake()
+        self.backend.wake_watchers()
 
-    async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
+    async def get(
+        self, *, key: str, allow_stale: bool = False
+    ) -> Result[StoreEntry | None, StoreError]:
         """Read one key."""
-        self.calls.stale_reads += stale
-        self.calls.reads += not stale
-        failure = await self._reach()
+        self.calls.stale_reads += allow_stale
+        self.calls.reads += not allow_stale
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
-        self.backend.expire()
+        self.backend.expire_leases()
         return Success(self.backend.entries.get(key))
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix."""
         self.calls.reads += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
-        self.backend.expire()
+        self.backend.expire_leases()
         keys = sorted(key for key in self.backend.entries if key.startswith(prefix))
         entries = tuple(self.backend.entries[key] for key in keys)
         return Success(StoreRange(entries=entries, revision=StoreRevision(self.backend.revision)))
 
-    async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
-        """Carry out conditional writes in one call."""
+    async def commit(
+        self, *, puts: Sequence[ConditionalPut]
+    ) -> Result[Sequence[PutOutcome], StoreError]:
+        """Apply conditional writes in one call."""
         self.calls.writes += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
         if self.lose_requests > 0:
@@ -236,50 +243,50 @@
             if put.lease and not self.backend.has_lease(lease=put.lease):
                 return Failure(_error(StoreErrorKind.REFUSED))
         outcomes = self.backend.write(puts=puts)
-        if self._loses_reply():
+        if self._is_reply_lost():
             return Failure(_error(StoreErrorKind.UNCERTAIN))
         return Success(outcomes)
 
     async def grant_lease(self, *, ttl_s: int) -> Result[LeaseId, StoreError]:
-        """Make a lease."""
+        """Grant a lease."""
         self.calls.leases += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
         lease = self.backend.grant(ttl_s=ttl_s)
-        if self._loses_reply():
+        if self._is_reply_lost():
             return Failure(_error(StoreErrorKind.UNCERTAIN))
         return Success(lease)
 
     async def keep_alive(self, *, lease: LeaseId) -> Result[int, StoreError]:
         """Renew a lease."""
         self.calls.leases += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
         return Success(self.backend.renew(lease=lease))
 
     async def revoke(self, *, lease: LeaseId) -> Result[None, StoreError]:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         self.calls.leases += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             return Failure(failure)
-        self.backend.end_lease(lease=lease)
+        self.backend.revoke_lease(lease=lease)
         return Success(None)
 
     async def watch(
         self, *, prefix: str, from_revision: StoreRevision
     ) -> AsyncIterator[Result[WatchBatch, StoreError]]:
-        """Follow the changes from ``from_revision`` on, that one included."""
+        """Watch the changes from ``from_revision`` on, inclusive."""
         self.calls.watches += 1
-        failure = await self._reach()
+        failure = await self._simulate_call()
         if failure is not None:
             yield Failure(failure)
             return
         reached = int(from_revision)
         while True:
-            failure = self._watch_failure(reached=reached)
+            failure = self._check_watch(reached=reached)
             if failure is not None:
                 yield Failure(failure)
                 return
@@ -307,7 +314,7 @@
             revision=StoreRevision(self.backend.revision),
         )
 
-    def _watch_failure(self, *, reached: int) -> StoreError | None:
+    def _check_watch(self, *, reached: int) -> StoreError | None:
         if self.watch_stalled:
             return None
         if self.down:
@@ -316,20 +323,20 @@
             return _error(StoreErrorKind.COMPACTED)
         return None
 
-    def _loses_reply(self) -> bool:
+    def _is_reply_lost(self) -> bool:
         if self.lose_replies == 0:
             return False
         self.lose_replies -= 1
         return True
 
-    async def _reach(self) -> StoreError | None:
+    async def _simulate_call(self) -> StoreError | None:
         await asyncio.sleep(self.latency_ms / MS_PER_SECOND)
         return _error(StoreErrorKind.UNREACHABLE) if self.down else None
 
 
-def _now() -> float:
+def _loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
 def _error(kind: StoreErrorKind) -> StoreError:
-    return StoreError(kind=kind, detail=f"The fake store was told to fail: {kind.value}.")
+    return StoreError(kind=kind, detail=f"Simulated failure of the fake store: {kind.value}.")
--- a/testing/_faulty_store.py
+++ b/testing/_faulty_store.py
@@ -11,8 +11,8 @@
 from returns.result import Failure
 from returns.result import Result
 
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -53,17 +53,21 @@
         """Wait while the host is frozen."""
         await self._running.wait()
 
-    async def get(self, *, key: str, stale: bool = False) -> Result[StoreEntry | None, StoreError]:
+    async def get(
+        self, *, key: str, allow_stale: bool = False
+    ) -> Result[StoreEntry | None, StoreError]:
         """Read one key."""
         await self.pass_gate()
-        return await self._come_back(await self.fake.get(key=key, stale=stale))
+        return await self._come_back(await self.fake.get(key=key, allow_stale=allow_stale))
 
     async def list(self, *, prefix: str) -> Result[StoreRange, StoreError]:
         """Read all keys under a prefix."""
         await self.pass_gate()
         return await self._come_back(await self.fake.list(prefix=prefix))
 
-    async def commit(self, *, puts: Sequence[PutIf]) -> Result[Sequence[PutOutcome], StoreError]:
+    async def commit(
+        self, *, puts: Sequence[ConditionalPut]
+    ) -> Result[Sequence[PutOutcome], StoreError]:
         """Carry out conditional writes in one call."""
         await self.pass_gate()
         # etcd refuses a transaction that writes one key twice.
@@ -99,7 +103,7 @@
             await self.pass_gate()
             yield batch
 
-    def _write_late(self, puts: Sequence[PutIf]) -> None:
+    def _write_late(self, puts: Sequence[ConditionalPut]) -> None:
         backend = self.fake.backend
         if all(not put.lease or backend.has_lease(lease=put.lease) for put in puts):
             backend.write(puts=puts)
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -35,8 +35,8 @@
 from tanagerscale.membership import Received
 from tanagerscale.routes import Configuration
 from tanagerscale.routes import Service
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import StoreRevision
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
@@ -359,11 +359,13 @@
 
     def remove(self, key: str) -> None:
         """Remove a key of the store."""
-        self.backend.write(puts=[PutIf(key=key, value=None, expected_mod_revision=self._at(key))])
+        self.backend.write(
+            puts=[ConditionalPut(key=key, value=None, expected_mod_revision=self._at(key))]
+        )
 
     def write(self, key: str, value: str) -> None:
         """Write a key of the store."""
-        put = PutIf(
+        put = ConditionalPut(
             key=key,
             value=value.encode(),
             expected_mod_revision=self._at(key),
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -20,7 +20,7 @@
 from tanagerscale.core import ProblemKind
 from tanagerscale.generated.records import ClaimRecord
 from tanagerscale.generated.records import ClaimState
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import StoreRevision
 from testing._booking_hosts import NOT_EXECUTED
 from testing._booking_hosts import TTL_S
@@ -230,7 +230,7 @@
 async def test_writes_to_one_key_go_in_separate_commits_when_submitted_together() -> None:
     store = FaultyStore(backend=FakeBackend())
     batcher = CommitBatcher(store=store, clock=Clock())
-    put = PutIf(key="k", value=b"", expected_mod_revision=StoreRevision(0))
+    put = ConditionalPut(key="k", value=b"", expected_mod_revision=StoreRevision(0))
     first, second = await asyncio.gather(
         batcher.submit(put=put, urgent=True), batcher.submit(put=put, urgent=True)
     )
@@ -241,7 +241,10 @@
 async def test_batcher_closes_when_a_write_arrives_concurrently(iterations: int) -> None:
     # asyncio.wait_for in Python 3.11 can swallow a cancellation that races with the event.
     batcher = CommitBatcher(store=FaultyStore(backend=FakeBackend()), clock=Clock())
-    puts = [PutIf(key=key, value=b"", expected_mod_revision=StoreRevision(0)) for key in ("k", "l")]
+    puts = [
+        ConditionalPut(key=key, value=b"", expected_mod_revision=StoreRevision(0))
+        for key in ("k", "l")
+    ]
     writes = [asyncio.create_task(batcher.submit(put=puts[0], urgent=False))]
     await asyncio.sleep(0.001)
     writes.append(asyncio.create_task(batcher.submit(put=puts[1], urgent=False)))
@@ -302,7 +305,7 @@
     assert await other.book(NAME) is Told.ANSWER
     assert platform.service.executions[NAME] == 1
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
-    platform.backend.expire()
+    platform.backend.expire_leases()
     assert platform.backend.entries == {}
 
 
@@ -311,7 +314,7 @@
     await host.book("warm-up")
     await host.claims.drain()
     (entry,) = platform.backend.entries.values()
-    platform.backend.end_lease(lease=entry.lease)
+    platform.backend.revoke_lease(lease=entry.lease)
     assert await host.book(NAME) is Told.ANSWER
 
 
--- a/testing/test_daemon.py
+++ b/testing/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's command line."""
+"""Command line of the daemon."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
     )
 
 
-def test_daemon_names_file_section_and_key_when_its_settings_are_wrong(tmp_path: Path) -> None:
+def test_daemon_reports_file_section_and_key_when_its_settings_are_invalid(tmp_path: Path) -> None:
     path = tmp_path / "host.ini"
     path.write_text(SETTINGS.replace("peers =", "pears ="))
-    ended = _run("--settings", str(path))
-    assert ended.returncode == 2
-    assert str(path) in ended.stderr
-    assert "[host]" in ended.stderr
-    assert "pears" in ended.stderr
-    assert "peers" in ended.stderr
+    completed = _run("--settings", str(path))
+    assert completed.returncode == 2
+    assert str(path) in completed.stderr
+    assert "[host]" in completed.stderr
+    assert "pears" in completed.stderr
+    assert "peers" in completed.stderr
 
 
 @pytest.mark.parametrize("option", ["--setings=x.ini", "--verbose"])
 def test_daemon_does_not_start_when_an_option_is_unknown(tmp_path: Path, option: str) -> None:
     path = tmp_path / "1_host.ini"
     path.write_text(SETTINGS)
-    ended = _run("--settings", str(path), option)
-    assert ended.returncode == 2
-    assert "listening" not in ended.stdout
-    assert "SyntaxWarning" not in ended.stderr
+    completed = _run("--settings", str(path), option)
+    assert completed.returncode == 2
+    assert "listening" not in completed.stdout
+    assert "SyntaxWarning" not in completed.stderr
--- a/testing/test_declarations_follow.py
+++ b/testing/test_declarations_follow.py
@@ -174,7 +174,7 @@
 
 def _damage(*, store: FakeStore, key: str, damage: str) -> None:
     if damage == "missing":
-        store.backend.remove_silently(key=key)
+        store.backend.lose_key(key=key)
     else:
         content = b'{"engine e9":{}}' if damage == "foreign" else b"\xff"
         store.backend.corrupt(key=key, value=content)
--- a/testing/test_delivery_processes.py
+++ b/testing/test_delivery_processes.py
@@ -14,9 +14,9 @@
 from standins.tcp_relay import TcpRelay
 from testing._callers import Answer
 from testing._callers import ask
-from testing._callers import expected
-from testing._callers import go_on
-from testing._callers import until
+from testing._callers import expected_text
+from testing._callers import resume
+from testing._callers import wait_until
 from testing.conftest import StartServing
 
 EACH = 3
@@ -39,7 +39,7 @@
 
     async def begun(self) -> None:
         """Wait until every caller has a token."""
-        await until(lambda: all(answer.texts for answer in self.answers))
+        await wait_until(lambda: all(answer.texts for answer in self.answers))
 
     async def ended(self) -> None:
         """Wait until every connection has ended."""
@@ -48,13 +48,13 @@
     async def go_on_at(self, url: str) -> None:
         """Go on at another host with all answers that broke off."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
-            await go_on(session=self._session, url=url, answer=answer, prompt=prompt)
+            await resume(session=self._session, url=url, answer=answer, prompt=prompt)
 
     def check_whole(self) -> None:
         """Check that every caller has its own answer, once and whole."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
             assert answer.done, answer.error
-            assert answer.text == expected(prompt=prompt)
+            assert answer.text == expected_text(prompt=prompt)
 
 
 async def test_answers_are_whole_when_a_frozen_link_thaws_and_old_tokens_arrive_late(
@@ -80,7 +80,7 @@
         assert lost
         before = len(cluster.executions(["engine-2"]))
         # The link thaws once the other engine makes the lost answers again.
-        await until(
+        await wait_until(
             lambda: len(cluster.executions(["engine-2"])) >= before + lost
             or any(answer.error for answer in crowd.answers)
         )
--- a/testing/test_engine_losses.py
+++ b/testing/test_engine_losses.py
@@ -20,7 +20,7 @@
 from testing._virtual_time import run_virtually
 
 CALL_TIMEOUT_S = 60
-"""Virtual seconds; the same limit as ``HANG_GUARD`` in the tests with real processes."""
+"""Virtual seconds; the same limit as ``REQUEST_TIMEOUT`` in the tests with real processes."""
 
 SETTLED_S = 30
 """Wait after the last call, in virtual seconds; longer than the lease of a reservation."""
