--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -1,4 +1,4 @@
-"""The callers' interface: who gets in, what is refused, and that bad input breaks nothing."""
+"""Caller interface: authentication, rejected requests and robustness against invalid input."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from tanagerscale.core import HostId
 from tanagerscale.core import Revision
 from tanagerscale.core import UpstreamId
-from tanagerscale.daemon import DoorKeeper
-from tanagerscale.daemon import GateNotes
-from tanagerscale.daemon import HostLimits
-from tanagerscale.daemon import NoCrashWatch
+from tanagerscale.daemon import GateHealthRecorder
+from tanagerscale.daemon import HostAccountLimits
+from tanagerscale.daemon import NoQuarantine
+from tanagerscale.daemon import RequestAdmission
 from tanagerscale.declarations import Declarations
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchParts
-from tanagerscale.entry import CompletionParts
-from tanagerscale.entry import Completions
-from tanagerscale.entry import Entry
-from tanagerscale.entry import EntryParts
+from tanagerscale.entry import CallerApi
+from tanagerscale.entry import CallerApiContext
+from tanagerscale.entry import CompletionContext
+from tanagerscale.entry import CompletionHandlers
 from tanagerscale.entry import RequestChecker
 from tanagerscale.generated.callers import HostStatus
 from tanagerscale.generated.callers import ProblemDetails
@@ -64,13 +64,13 @@
 MODEL = "round-planner"
 KEYS = {name: {"Authorization": f"Bearer {account_key(name)}"} for name in ("north", "south")}
 BODY = {"model": MODEL, "prompt": "plan", "max_tokens": 20, "stream": True, "seed": 3}
-"""Twenty tokens at ten milliseconds each."""
+"""Request for twenty tokens, generated at ten milliseconds each."""
 BODY_LIMIT = 4096
 
 
 @dataclass(kw_only=True)
 class Host:
-    """An entry with a fake engine behind it."""
+    """Caller interface of a host with a fake engine."""
 
     client: TestClient[web.Request, web.Application]
     engine: FakeEngine
@@ -102,7 +102,7 @@
 
 @pytest_asyncio.fixture
 async def host(session: aiohttp.ClientSession) -> AsyncIterator[Host]:
-    """Serve the real entry, dispatch and delivery before a fake engine."""
+    """Run the real entry, dispatch and delivery with a fake engine."""
     clock = Clock()
     rng = random.Random(1)
     declarations = _declarations()
@@ -111,13 +111,13 @@
     gate = UpstreamGate(clock=clock, rng=rng, spread=lambda _message: None)
     keys = KeyChecker()
     keys.set_accounts(accounts=declarations.accounts)
-    limits = HostLimits(clock=clock)
+    limits = HostAccountLimits(clock=clock)
     limits.set_declarations(declarations=declarations)
     dispatch = DispatchParts(
         router=FakeRouter(engines=[ENGINE]),
         client_of=lambda _engine: engine,
-        notes=GateNotes(gate=gate),
-        crashes=NoCrashWatch(),
+        notes=GateHealthRecorder(gate=gate),
+        crashes=NoQuarantine(),
         retries=RetryBudget(),
         canceller=canceller,
         meter=UsageMeter(clock=clock, objective=Objective),
@@ -125,20 +125,20 @@
         rng=rng,
     )
     status = HostStatus(host="a", incarnation=1, revision=1, ready=True, leaving=False, running=0)
-    entry = Entry(
-        parts=EntryParts(
+    caller_api = CallerApi(
+        context=CallerApiContext(
             keys=keys,
-            admission=DoorKeeper(limit=50, rng=rng),
+            admission=RequestAdmission(limit=50, rng=rng),
             account_limits=limits,
-            completions=Completions(
-                parts=CompletionParts(
+            completions=CompletionHandlers(
+                context=CompletionContext(
                     host=HostId("a"),
                     cursor_key=b"k" * 32,
                     checker=RequestChecker(fingerprint_key=b"f" * 32, rng=rng),
                     dispatch=dispatch,
                     declarations=lambda: declarations,
                     limits=limits,
-                    attached=lambda _host, _attempt: None,
+                    notify_attached=lambda _host, _attempt: None,
                 )
             ),
             services=_services(clock, rng, gate, session),
@@ -149,7 +149,7 @@
             limits=LimitsSection(body_bytes=BODY_LIMIT),
         )
     )
-    server = TestServer(entry.application(), handler_cancellation=True)
+    server = TestServer(caller_api.application(), handler_cancellation=True)
     async with TestClient(server) as client:
         yield Host(client=client, engine=engine, canceller=canceller)
 
@@ -170,7 +170,7 @@
         parts=ServiceParts(
             client=HttpServiceClient(session=session),
             claims=claims,
-            notes=GateNotes(gate=gate),
+            notes=GateHealthRecorder(gate=gate),
             is_open=gate.is_open,
             retries=RetryBudget(),
             clock=clock,
@@ -179,7 +179,7 @@
     )
 
 
-def _problem(body: bytes) -> ProblemDetails:
+def _decode_problem(body: bytes) -> ProblemDetails:
     return msgspec.json.decode(body, type=ProblemDetails)
 
 
@@ -194,15 +194,15 @@
         "Bearer " + "x" * 600,
     ],
 )
-async def test_caller_is_refused_when_its_key_is_unknown(host: Host, key: str) -> None:
+async def test_request_is_rejected_when_its_key_is_unknown(host: Host, key: str) -> None:
     headers = {"Authorization": key} if key else {}
     async with host.client.post("/v1/completions", json=BODY, headers=headers) as response:
         assert response.status == 401
-        assert _problem(await response.read()).execution == "not-executed"
+        assert _decode_problem(await response.read()).execution == "not-executed"
     assert not host.engine.executed
 
 
-async def test_whole_answer_is_one_reply_when_no_events_are_asked_for(host: Host) -> None:
+async def test_answer_is_a_single_response_when_streaming_is_not_requested(host: Host) -> None:
     body = {**BODY, "stream": False}
     async with host.client.post("/v1/completions", json=body, headers=KEYS["north"]) as response:
         answer = await response.json()
@@ -210,7 +210,7 @@
     assert answer["choices"][0]["finish_reason"] == "stop"
 
 
-async def test_events_wait_for_the_whole_answer_when_the_model_is_declared_so(host: Host) -> None:
+async def test_events_contain_the_complete_answer_when_delivery_is_whole(host: Host) -> None:
     body = {**BODY, "model": "whole-planner"}
     async with host.client.post("/v1/completions", json=body, headers=KEYS["north"]) as response:
         text = (await response.read()).decode()
@@ -219,7 +219,7 @@
     assert datas[-1] == "data: [DONE]"
 
 
-async def test_chat_is_answered_as_a_chat(host: Host) -> None:
+async def test_chat_request_gets_a_chat_completion(host: Host) -> None:
     body = {"model": MODEL, "messages": [{"role": "user", "content": "plan"}], "max_tokens": 3}
     path = "/v1/chat/completions"
     async with host.client.post(path, json=body, headers=KEYS["north"]) as response:
@@ -227,7 +227,9 @@
     assert answer["choices"][0]["message"]["role"] == "assistant"
 
 
-async def test_engine_is_told_to_cancel_when_a_caller_without_a_cursor_leaves(host: Host) -> None:
+async def test_engine_run_is_cancelled_when_a_caller_without_a_cursor_disconnects(
+    host: Host,
+) -> None:
     body = {**BODY, "stream": False, "max_tokens": 1000}
     task = asyncio.create_task(
         host.client.post("/v1/completions", json=body, headers=KEYS["north"])
@@ -239,14 +241,14 @@
         await asyncio.sleep(0.01)
 
 
-async def test_body_is_refused_when_it_is_too_large(host: Host) -> None:
+async def test_request_is_rejected_when_its_body_is_too_large(host: Host) -> None:
     body = {**BODY, "prompt": "x" * BODY_LIMIT}
     async with host.client.post("/v1/completions", json=body, headers=KEYS["north"]) as response:
         assert response.status == 413
-        assert _problem(await response.read()).execution == "not-executed"
+        assert _decode_problem(await response.read()).execution == "not-executed"
 
 
-async def test_second_request_is_refused_when_the_account_may_run_one(host: Host) -> None:
+async def test_second_request_is_rejected_when_the_account_limit_is_one(host: Host) -> None:
     first = await host.client.post("/v1/completions", json=BODY, headers=KEYS["south"])
     async with host.client.post("/v1/completions", json=BODY, headers=KEYS["south"]) as response:
         assert response.status == 429
@@ -256,7 +258,7 @@
         assert response.status == 200
 
 
-async def test_generation_of_another_account_is_not_shown(host: Host) -> None:
+async def test_stream_of_another_account_cannot_be_resumed(host: Host) -> None:
     async with host.client.post("/v1/completions", json=BODY, headers=KEYS["north"]) as response:
         request_id = response.headers["X-Request-Id"]
         first = (await response.content.readuntil(b"\n\n")).decode()
@@ -274,24 +276,24 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-async def test_refused_continuation_is_never_called_not_executed(host: Host, method: str) -> None:
+async def test_rejected_resume_is_never_reported_as_not_executed(host: Host, method: str) -> None:
     async with host.client.post("/v1/completions", json=BODY, headers=KEYS["south"]) as response:
         request_id = response.headers["X-Request-Id"]
         cursor = (await response.read()).decode().split("\n")[0].removeprefix("id: ")
     path = f"/v1/completions/{request_id}/events"
-    going_on = {**KEYS["south"], "Last-Event-ID": cursor}
-    for headers, body in (({}, BODY), (KEYS["south"], BODY), (going_on, {"model": "none"})):
+    resume_headers = {**KEYS["south"], "Last-Event-ID": cursor}
+    for headers, body in (({}, BODY), (KEYS["south"], BODY), (resume_headers, {"model": "none"})):
         async with host.client.request(method, path, headers=headers, json=body) as response:
             if response.status != 200:
-                assert _problem(await response.read()).execution == "unknown"
-    # The account may run one request at a time, and a continuation is no second one.
+                assert _decode_problem(await response.read()).execution == "unknown"
+    # The account limit is one concurrent request; a resumed stream does not count towards it.
     first = await host.client.post("/v1/completions", json=BODY, headers=KEYS["south"])
-    async with host.client.request(method, path, headers=going_on, json=BODY) as response:
+    async with host.client.request(method, path, headers=resume_headers, json=BODY) as response:
         assert response.status == 200
     await first.read()
 
 
-async def test_continuation_is_refused_when_its_body_is_another(host: Host) -> None:
+async def test_resume_is_rejected_when_its_body_differs(host: Host) -> None:
     async with host.client.post("/v1/completions", json=BODY, headers=KEYS["north"]) as response:
         request_id = response.headers["X-Request-Id"]
         text = (await response.read()).decode()
@@ -303,17 +305,17 @@
         assert response.status == 403
 
 
-async def test_engine_stream_waits_and_loses_nothing_when_a_caller_reads_slowly(host: Host) -> None:
-    # All of the answer is 20 MB, far more than the buffers between the engine and the caller.
+async def test_engine_stream_is_paused_without_loss_when_a_caller_reads_slowly(host: Host) -> None:
+    # The complete answer is 20 MB, far more than the buffers between the engine and the caller.
     host.engine.padding = "x" * 10_000
     host.engine.step_ms = 0
     body = {**BODY, "max_tokens": 2000}
     response = await host.client.post("/v1/completions", json=body, headers=KEYS["north"])
-    before = -1
-    while before != host.engine.yielded:
-        before = host.engine.yielded
+    previous = -1
+    while previous != host.engine.yielded:
+        previous = host.engine.yielded
         await asyncio.sleep(0.3)
-    assert 0 < before < 1500
+    assert 0 < previous < 1500
     text = await response.read()
     assert text.count(b'"finish_reason":null') == 2000
     assert text.endswith(b"data: [DONE]\n\n")
@@ -324,11 +326,20 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner),
     max_leaves=8,
 )
-FIELDS = ("model", "prompt", "messages", "max_tokens", "stream", "seed", "adapter", "prefix_chars")
+FIELD_NAMES = (
+    "model",
+    "prompt",
+    "messages",
+    "max_tokens",
+    "stream",
+    "seed",
+    "adapter",
+    "prefix_chars",
+)
 BODIES = (
     st.binary(max_size=60)
     | JSON.map(lambda value: msgspec.json.encode(value))
-    | st.dictionaries(st.sampled_from(FIELDS), JSON).map(
+    | st.dictionaries(st.sampled_from(FIELD_NAMES), JSON).map(
         lambda value: msgspec.json.encode({"model": MODEL, "prompt": "p", "max_tokens": 1, **value})
     )
 )
@@ -346,18 +357,18 @@
 )
 
 
-async def test_fuzzed_request_gets_a_typed_answer_and_breaks_nothing(host: Host) -> None:
+async def test_fuzzed_request_gets_a_valid_response_and_the_host_keeps_serving(host: Host) -> None:
     loop = asyncio.get_running_loop()
-    seen: list[int] = []
+    statuses: list[int] = []
 
     async def send(path: str, body: bytes, method: str, key: str, cursor: str) -> None:
         headers = {**KEYS["north"], "Idempotency-Key": key, "Last-Event-ID": cursor}
         async with host.client.request(method, path, data=body, headers=headers) as response:
             content = await response.read()
-            seen.append(response.status)
+            statuses.append(response.status)
             assert response.status != 500, content
             if response.status >= 400 and method != "HEAD":
-                assert _problem(content).detail
+                assert _decode_problem(content).detail
 
     @cases(examples=120)
     @example("/v1/completions", VALID_BODY, "POST", "key", "cursor")
@@ -367,6 +378,6 @@
         asyncio.run_coroutine_threadsafe(work, loop).result(timeout=60)
 
     await asyncio.to_thread(run)
-    assert {200, 400, 403, 404} <= set(seen)
+    assert {200, 400, 403, 404} <= set(statuses)
     async with host.client.post("/v1/completions", json=BODY, headers=KEYS["north"]) as response:
         assert response.status == 200
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -75,7 +75,7 @@
         assert known == [False, True]
         evacuations.on_changes(_batch("op/evacuate/a"))
         assert evacuations.domains == {"a"}
-        evacuations.on_store(reachable=False)
+        evacuations.on_reachability_changed(reachable=False)
         assert evacuations.is_evacuated(FailureDomainId("a"))
         evacuations.on_changes(_batch(deleted=("op/evacuate/a",)))
         assert not evacuations.domains
@@ -131,7 +131,7 @@
         self.keys += [entry.key for entry in batch.entries]
         self.deleted += batch.deleted
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing."""
 
 
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -195,7 +195,7 @@
             entries=self._entries(now & touched),
             deleted=tuple(f"{PREFIX}{domain}" for domain in sorted(touched - now)),
             revision=reached,
-            newest=reached,
+            newest_revision=reached,
         )
 
     def _entries(self, domains: frozenset[str]) -> tuple[StoreEntry, ...]:
--- a/testing/test_fake_store.py
+++ b/testing/test_fake_store.py
@@ -1,4 +1,4 @@
-"""The fake store keeps the contract that tests build on."""
+"""Contract of the fake store that other tests rely on."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 from returns.result import Success
 
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import Store
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
@@ -16,16 +16,16 @@
 pytestmark = pytest.mark.looptime
 
 
-async def test_commit_judges_each_condition_alone_when_one_fails() -> None:
+async def test_commit_applies_other_writes_when_one_condition_fails() -> None:
     store: Store = FakeStore()
     await store.commit(puts=[_create("a", b"1")])
     outcomes = (await store.commit(puts=[_create("a", b"2"), _create("b", b"2")])).unwrap()
     assert [outcome.written for outcome in outcomes] == [False, True]
-    assert outcomes[0].present is not None
-    assert outcomes[0].present.value == b"1"
+    assert outcomes[0].current_entry is not None
+    assert outcomes[0].current_entry.value == b"1"
 
 
-async def test_write_takes_effect_when_its_reply_is_lost() -> None:
+async def test_write_takes_effect_when_its_response_is_lost() -> None:
     store = FakeStore(lose_replies=1)
     result = await store.commit(puts=[_create("a", b"1")])
     assert result.failure().kind is StoreErrorKind.UNCERTAIN
@@ -33,10 +33,10 @@
     assert entry is not None
 
 
-async def test_leased_key_goes_when_its_lease_ends() -> None:
+async def test_leased_key_is_deleted_when_its_lease_expires() -> None:
     store = FakeStore()
     lease = (await store.grant_lease(ttl_s=1)).unwrap()
-    put = PutIf(key="a", value=b"", expected_mod_revision=StoreRevision(0), lease=lease)
+    put = ConditionalPut(key="a", value=b"", expected_mod_revision=StoreRevision(0), lease=lease)
     await store.commit(puts=[put])
     watch = store.watch(prefix="a", from_revision=StoreRevision(store.backend.revision + 1))
     batch = await anext(watch)
@@ -52,11 +52,11 @@
     await other.commit(puts=[_create("a", b"1")])
     assert isinstance(await waiting, Success)
     store.backend.compact()
-    late = store.watch(prefix="", from_revision=StoreRevision(2))
-    assert (await anext(late)).failure().kind is StoreErrorKind.COMPACTED
+    later = store.watch(prefix="", from_revision=StoreRevision(2))
+    assert (await anext(later)).failure().kind is StoreErrorKind.COMPACTED
     store.set_down(True)
     assert (await anext(watch)).failure().kind is StoreErrorKind.UNREACHABLE
 
 
-def _create(key: str, value: bytes) -> PutIf:
-    return PutIf(key=key, value=value, expected_mod_revision=StoreRevision(0))
+def _create(key: str, value: bytes) -> ConditionalPut:
+    return ConditionalPut(key=key, value=value, expected_mod_revision=StoreRevision(0))
--- a/testing/test_generation_waiting.py
+++ b/testing/test_generation_waiting.py
@@ -20,7 +20,7 @@
 from tanagerscale.core import Problem
 from tanagerscale.core import ProblemKind
 from tanagerscale.core import UpstreamId
-from tanagerscale.daemon import GateNotes
+from tanagerscale.daemon import GateHealthRecorder
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchParts
 from tanagerscale.dispatch import Finish
@@ -150,7 +150,7 @@
     parts = DispatchParts(
         router=router,
         client_of=engines.__getitem__,
-        notes=GateNotes(gate=gate),
+        notes=GateHealthRecorder(gate=gate),
         crashes=crash_watch,
         retries=RetryBudget(),
         canceller=Canceller(client_of=engines.__getitem__, clock=clock),
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -1,4 +1,4 @@
-"""A planned stop beyond its limit hands streams over by their cursors."""
+"""Handover of running streams by cursor when a planned stop exceeds its grace period."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from testing._callers import VERSION
 from testing._callers import Answer
 from testing._callers import ask
-from testing._callers import expected
-from testing._callers import go_on
-from testing._callers import until
+from testing._callers import expected_text
+from testing._callers import resume
+from testing._callers import wait_until
 from testing.conftest import StartServing
 
 PLAN = "plan [[tokens=700]]"
@@ -22,7 +22,7 @@
 MODELS = {"as-it-comes": Delivery.STREAM, "at-the-end": Delivery.WHOLE}
 
 
-async def test_answers_go_on_at_another_host_when_a_planned_stop_is_over_its_limit(
+async def test_streams_resume_at_another_host_when_a_planned_stop_exceeds_its_grace_period(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     models = tuple(
@@ -38,15 +38,15 @@
         asyncio.create_task(ask(session=session, url=url, prompt=PLAN, answer=answer, model=name))
         for name, answer in answers.items()
     ]
-    await until(lambda: all(answer.cursor for answer in answers.values()))
+    await wait_until(lambda: all(answer.cursor for answer in answers.values()))
     assert await cluster.hosts["host-1"].stop() == 0
     await asyncio.gather(*asking)
     assert not any(answer.done for answer in answers.values())
     assert not answers["at-the-end"].texts
     other = cluster.caller_url("host-2")
     for name, answer in answers.items():
-        await go_on(session=session, url=other, answer=answer, prompt=PLAN, model=name)
+        await resume(session=session, url=other, answer=answer, prompt=PLAN, model=name)
         assert answer.done, answer.error
-        assert answer.text == expected(prompt=PLAN, max_tokens=MAX_TOKENS, model=name)
-    # The same attempts went on: nothing was cut at the engines and made again.
+        assert answer.text == expected_text(prompt=PLAN, max_tokens=MAX_TOKENS, model=name)
+    # The original attempts were continued; no engine run was cancelled and repeated.
     assert len(cluster.executions(cluster.engines)) == len(answers)
--- a/testing/test_host_schedulers.py
+++ b/testing/test_host_schedulers.py
@@ -37,7 +37,7 @@
     schedulers = HostSchedulers(rng=random.Random(1))
     strange = schedulers.make()
     for number in range(50):
-        schedulers.learn(_request(f"g{number}"), 20)
+        schedulers.record_answer_length(_request(f"g{number}"), 20)
     owner = schedulers.make()
     assert isinstance(owner, ForecastScheduler)
     assert isinstance(strange, ForecastScheduler)
--- a/testing/test_limits_processes.py
+++ b/testing/test_limits_processes.py
@@ -1,4 +1,4 @@
-"""Limits of an account over all hosts together, with real processes."""
+"""Limits of a client account across all hosts, with real processes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 ENDLESS = "plan [[tokens=16000]]"
 ROUNDS = 3
 ROUND_PAUSE_S = 0.5
-"""Time for a heartbeat, after which a host may take more."""
+"""Time for a heartbeat, after which a host may admit more requests."""
 
 
-class Crowd:
-    """Callers of one account whose answers do not end while the test runs."""
+class ConcurrentCallers:
+    """Callers of one client account whose requests keep running until the end of the test."""
 
     def __init__(
         self,
@@ -47,19 +47,19 @@
         self.running = 0
 
     async def ask(self, hosts: Sequence[str], *, each: int) -> int:
-        """Ask at all hosts at the same moment and return how many were let in."""
-        asked = [self._ask_once(host) for host in hosts for _ in range(each)]
-        let_in = sum(await asyncio.gather(*asked))
-        self.running += let_in
-        return let_in
-
-    async def ask_often(self, hosts: Sequence[str], *, rounds: int = ROUNDS) -> None:
-        """Ask again and again, so that hosts have time to hear of one another."""
+        """Send requests to all hosts concurrently and return the number admitted."""
+        asked = [self._request_once(host) for host in hosts for _ in range(each)]
+        admitted = sum(await asyncio.gather(*asked))
+        self.running += admitted
+        return admitted
+
+    async def ask_repeatedly(self, hosts: Sequence[str], *, rounds: int = ROUNDS) -> None:
+        """Send requests repeatedly, with pauses in which the hosts exchange their usage."""
         for _ in range(rounds):
             await self.ask(hosts, each=LIMIT)
             await asyncio.sleep(ROUND_PAUSE_S)
 
-    async def _ask_once(self, host: str) -> bool:
+    async def _request_once(self, host: str) -> bool:
         response = await self._stack.enter_async_context(
             self._session.post(
                 f"{self._cluster.caller_url(host)}/v1/completions",
@@ -72,7 +72,7 @@
         return response.status == 200
 
 
-async def test_concurrent_requests_stay_at_the_limit_wherever_the_load_goes(
+async def test_concurrent_requests_stay_within_the_limit_when_load_moves_between_hosts(
     start_serving: StartServing,
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=len(HOSTS), services=0, accounts=ACCOUNTS))
@@ -87,36 +87,36 @@
         connector = aiohttp.TCPConnector(limit=0)
         session = await stack.enter_async_context(aiohttp.ClientSession(connector=connector))
 
-        def crowd(account: str) -> Crowd:
-            return Crowd(cluster=cluster, session=session, stack=stack, account=account)
+        def make_callers(account: str) -> ConcurrentCallers:
+            return ConcurrentCallers(cluster=cluster, session=session, stack=stack, account=account)
 
-        spread = crowd("spread")
-        await spread.ask_often(HOSTS)
+        spread = make_callers("spread")
+        await spread.ask_repeatedly(HOSTS)
         assert SHARE * len(HOSTS) == LIMIT
         assert SHARE <= spread.running <= LIMIT
 
-        one = crowd("one-host")
+        one = make_callers("one-host")
         while one.running < LIMIT:
             await one.ask(["host-1"], each=2 * LIMIT)
             await asyncio.sleep(ROUND_PAUSE_S)
         assert one.running == LIMIT
         assert await one.ask(["host-1"], each=LIMIT) == 0
-        # A host that was idle keeps its equal share for the moment in which load comes to it.
-        await one.ask_often(HOSTS)
+        # A previously idle host can use its equal share until it receives the usage of the others.
+        await one.ask_repeatedly(HOSTS)
         assert one.running <= LIMIT + SHARE * (len(HOSTS) - 1)
 
-        await _cut_off(cluster, session)
-        alone = crowd("cut-off")
-        await alone.ask_often(["host-1"])
+        await _isolate_first_host(cluster, session)
+        isolated = make_callers("cut-off")
+        await isolated.ask_repeatedly(["host-1"])
 
-        # The two others could give as much without hearing of this host.
-        assert 0 < alone.running <= SHARE
+        # The two other hosts may each admit as many requests while isolated from this host.
+        assert 0 < isolated.running <= SHARE
     for host in HOSTS:
         cluster.hosts[host].thaw()
 
 
-async def _cut_off(cluster: Cluster, session: aiohttp.ClientSession) -> None:
-    """Cut a host off from the others by freezing them, until it knows that they are silent."""
+async def _isolate_first_host(cluster: Cluster, session: aiohttp.ClientSession) -> None:
+    """Freeze all hosts but the first until it no longer lists them as live."""
     for host in HOSTS[1:]:
         cluster.hosts[host].freeze()
     status = HostStatus(host="", incarnation=0, revision=0, ready=True, leaving=False, running=0)
--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -17,7 +17,7 @@
 from tanagerscale.core import Execution
 from tanagerscale.core import Millis
 from tanagerscale.core import ProblemKind
-from tanagerscale.daemon._admission import DoorKeeper
+from tanagerscale.daemon._admission import RequestAdmission
 from tanagerscale.generated.messages import Verdict
 from tanagerscale.upstreams import ServiceCall
 from testing._crowded import CrowdedHost
@@ -166,7 +166,7 @@
 
 
 def test_callers_come_back_spread_when_a_full_host_refuses_them() -> None:
-    door = DoorKeeper(limit=0, rng=random.Random(4))
+    door = RequestAdmission(limit=0, rng=random.Random(4))
     problems = [door.admit(account=ClientAccountId("north")) for _ in range(CALLERS)]
     refused = [Refused(problem=p, came=Millis(0), told=Millis(0)) for p in problems if p]
     assert len(refused) == CALLERS
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -24,9 +24,9 @@
 from tanagerscale.platform._store import _decoded
 from tanagerscale.platform._wire import WireChanges
 from tanagerscale.platform._wire import WireRange
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
 from tanagerscale.store import PrefixFollower
-from tanagerscale.store import PutIf
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import StoreError
 from tanagerscale.store import StoreErrorKind
@@ -56,8 +56,8 @@
     await emulator.stop()
 
 
-def _put(key: str, value: bytes, *, expected: int = 0, lease: int = 0) -> PutIf:
-    return PutIf(
+def _put(key: str, value: bytes, *, expected: int = 0, lease: int = 0) -> ConditionalPut:
+    return ConditionalPut(
         key=key,
         value=value,
         expected_mod_revision=StoreRevision(expected),
@@ -65,7 +65,7 @@
     )
 
 
-async def _commit(store: PlatformStore, put: PutIf) -> PutOutcome:
+async def _commit(store: PlatformStore, put: ConditionalPut) -> PutOutcome:
     result: Result[Sequence[PutOutcome], StoreError] = await store.commit(puts=[put])
     return result.unwrap()[0]
 
@@ -93,9 +93,9 @@
     assert (await _commit(pair.store, _put("k", b"1"))).written
     refused = await _commit(pair.store, _put("k", b"2"))
     assert not refused.written
-    assert refused.present is not None
-    assert refused.present.value == b"1"
-    again = _put("k", b"2", expected=refused.present.mod_revision)
+    assert refused.current_entry is not None
+    assert refused.current_entry.value == b"1"
+    again = _put("k", b"2", expected=refused.current_entry.mod_revision)
     assert (await _commit(pair.store, again)).written
 
 
@@ -148,7 +148,7 @@
         for key in batch.deleted:
             self.known.pop(key, None)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Keep the news."""
         self.reachable.append(reachable)
 
@@ -198,7 +198,7 @@
         listener=kept,
         clock=Clock(),
         rng=Random(1),
-        rest_ms=lambda: 300,
+        change_delay_ms=lambda: 300,
     )
     task = asyncio.create_task(follower.run())
     await _until_reads(pair, 1)
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -1,4 +1,4 @@
-"""What must always hold, over real processes that are killed, frozen and cut off."""
+"""Invariants that hold when real processes are killed, frozen or isolated."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
 from testing._callers import Answer
 from testing._callers import ask
 from testing._callers import book
-from testing._callers import book_until_served
-from testing._callers import expected
-from testing._callers import go_on
-from testing._callers import until
+from testing._callers import book_with_retries
+from testing._callers import expected_text
+from testing._callers import resume
+from testing._callers import wait_until
 from testing.conftest import StartServing
 
 LONG = "plan [[tokens=150]]"
 
 
-async def _ask_all(
+async def _start_requests(
     cluster: Cluster,
     session: aiohttp.ClientSession,
     hosts: Sequence[str],
@@ -49,7 +49,7 @@
     each: int = 3,
     prompt: str = LONG,
 ) -> list[tuple[Answer, asyncio.Task[Answer]]]:
-    """Start answers at hosts and wait until all of them have begun."""
+    """Send streaming requests to hosts and wait until each has received its first text."""
     started = []
     for host in hosts:
         for _ in range(each):
@@ -57,19 +57,19 @@
             url = cluster.caller_url(host)
             work = ask(session=session, url=url, prompt=prompt, answer=answer)
             started.append((answer, asyncio.create_task(work)))
-    await until(lambda: all(answer.texts for answer, _ in started))
+    await wait_until(lambda: all(answer.texts for answer, _ in started))
     return started
 
 
-async def _check_whole(started: list[tuple[Answer, asyncio.Task[Answer]]]) -> None:
+async def _check_answers(started: list[tuple[Answer, asyncio.Task[Answer]]]) -> None:
     for answer, task in started:
         await task
         assert answer.done, answer.error
-        assert answer.text == expected(prompt=LONG)
+        assert answer.text == expected_text(prompt=LONG)
 
 
 @pytest.mark.parametrize("failure", ["kill", "freeze", "out of memory", "gap", "crossed", "no end"])
-async def test_answers_are_whole_when_an_engine_fails_mid_answer(
+async def test_answers_are_complete_when_an_engine_fails_during_generation(
     start_serving: StartServing, session: aiohttp.ClientSession, failure: str
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2, services=0))
@@ -82,37 +82,37 @@
     if failure in modes:
         fault = StreamFault(mode=modes[failure], count=2, at=20)
         await cluster.post(engine, "/admin/fault", fault)
-    started = await _ask_all(cluster, session, ["host-1", "host-2"])
+    started = await _start_requests(cluster, session, ["host-1", "host-2"])
     if failure == "kill":
         await engine.kill()
     elif failure == "freeze":
         engine.freeze()
     elif failure == "out of memory":
         await cluster.post(engine, "/admin/oom", OutOfMemory(fail=True))
-    await _check_whole(started)
+    await _check_answers(started)
     if failure == "freeze":
         engine.thaw()
 
 
-async def test_caller_goes_on_when_its_host_and_its_engine_die_together(
+async def test_caller_resumes_when_its_host_and_its_engine_are_killed_together(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2, services=0))
     prompt = "plan [[tokens=400]]"
-    started = await _ask_all(cluster, session, ["host-1"], each=4, prompt=prompt)
+    started = await _start_requests(cluster, session, ["host-1"], each=4, prompt=prompt)
     await asyncio.gather(cluster.hosts["host-1"].kill(), cluster.engines["engine-1"].kill())
     url = cluster.caller_url("host-2")
     assert not any(answer.done for answer, _ in started)
     answers = await asyncio.gather(*(task for _, task in started))
     continued = await asyncio.gather(
-        *(go_on(session=session, url=url, answer=each, prompt=prompt) for each in answers)
+        *(resume(session=session, url=url, answer=each, prompt=prompt) for each in answers)
     )
     for again in continued:
         assert again.done, again.error
-        assert again.text == expected(prompt=prompt)
+        assert again.text == expected_text(prompt=prompt)
 
 
-async def test_cursor_is_refused_when_it_is_forged_foreign_or_of_another_request(
+async def test_cursor_is_rejected_when_it_is_forged_or_of_another_account_or_request(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=1, services=0, accounts=("crew-north", "b")))
@@ -126,12 +126,12 @@
     other = Answer(request_id="cmpl-other", cursor=answer.cursor)
     mine = Answer(request_id=answer.request_id, cursor=answer.cursor)
     for attempt, account in ((forged, "crew-north"), (other, "crew-north"), (mine, "b")):
-        refused = await go_on(session=session, url=url, answer=attempt, account=account)
+        refused = await resume(session=session, url=url, answer=attempt, account=account)
         assert refused.status == 403, refused
         assert not refused.texts
 
 
-async def test_leaving_engine_gets_no_new_work_when_the_list_lags_and_a_host_is_alone(
+async def test_leaving_engine_gets_no_new_work_when_the_host_list_lags(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0, list_lag_ms=60_000))
@@ -145,20 +145,20 @@
     assert not any(report.executed for report in reports.executions)
 
 
-async def test_nothing_is_interrupted_when_two_hosts_stop_during_a_store_outage(
+async def test_streams_are_not_interrupted_when_two_hosts_stop_during_a_store_outage(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0))
-    started = await _ask_all(cluster, session, list(cluster.hosts))
+    started = await _start_requests(cluster, session, list(cluster.hosts))
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
     stops = [asyncio.create_task(cluster.hosts[name].stop()) for name in ("host-1", "host-2")]
-    await _check_whole(started)
+    await _check_answers(started)
     assert await asyncio.gather(*stops) == [0, 0]
     late = await ask(session=session, url=cluster.caller_url("host-3"), prompt="x [[tokens=3]]")
     assert late.done, late.error
 
 
-async def test_booking_is_refused_at_once_when_the_store_is_down(
+async def test_booking_is_rejected_immediately_when_the_store_is_down(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=1))
@@ -169,7 +169,7 @@
     ran = await cluster.get(cluster.services["booking-1"], "/admin/executions", Executions)
     assert ran.total == 0
     await cluster.post(cluster.store, "/admin/fault", Fault())
-    served = await book_until_served(
+    served = await book_with_retries(
         session=session, url=cluster.caller_url("host-1"), key="round-1"
     )
     assert isinstance(served, bytes)
@@ -177,7 +177,7 @@
     assert ran.by_key == {"round-1": 1}
 
 
-async def test_booking_runs_once_when_two_hosts_get_it_together_and_the_answer_is_cut(
+async def test_booking_runs_once_when_hosts_get_it_concurrently_and_the_response_is_cut(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3))
@@ -197,7 +197,7 @@
         assert reply.execution == "unknown"
 
 
-async def test_booking_runs_once_when_its_host_is_killed_before_the_answer(
+async def test_booking_runs_once_when_its_host_is_killed_before_the_response(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2))
@@ -222,7 +222,7 @@
     assert ran.by_key == {"round-3": 1}
 
 
-async def test_declarations_reach_all_hosts_when_the_store_dies_after_acceptance(
+async def test_declarations_reach_all_hosts_when_the_store_fails_after_acceptance(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0))
@@ -245,21 +245,21 @@
     assert answer.done, answer.error
 
 
-async def test_copies_of_an_innocent_request_run_together_when_engines_are_free(
+async def test_identical_harmless_requests_run_concurrently_when_engines_are_free(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=1, engines=3, services=0))
-    started = await _ask_all(cluster, session, ["host-1"], each=6)
-    # All of them have begun, so none waits until another one ends.
+    started = await _start_requests(cluster, session, ["host-1"], each=6)
+    # All requests have started, so none waits for another one to end.
     assert not any(answer.done for answer, _ in started)
-    await _check_whole(started)
+    await _check_answers(started)
 
 
 async def test_two_engines_at_most_are_lost_when_a_request_crashes_each_and_is_sent_everywhere(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, engines=4, services=0))
-    started = await _ask_all(cluster, session, list(cluster.hosts), each=4)
+    started = await _start_requests(cluster, session, list(cluster.hosts), each=4)
     poison = "plan [[crash_at=4]] [[tokens=50]]"
     statuses = set()
     for number in range(9):
@@ -267,7 +267,7 @@
         answer = await ask(session=session, url=url, prompt=poison)
         assert not answer.done
         statuses.add(answer.status)
-    await _check_whole(started)
+    await _check_answers(started)
     lost = [name for name, engine in cluster.engines.items() if not engine.running]
     assert 1 <= len(lost) <= 2, lost
     assert 422 in statuses
@@ -277,7 +277,7 @@
     assert msgspec.json.decode(refused.error, type=ProblemDetails).retry_after_ms
 
 
-async def test_waiting_requests_are_refused_when_a_copy_crashes_their_only_allowed_engine(
+async def test_waiting_requests_are_rejected_when_an_identical_one_crashes_the_last_allowed_engine(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     options = {"max_batch": "1", "step_ms": "50"}
@@ -293,14 +293,14 @@
         return asyncio.create_task(call)
 
     calls = [ask_at(first_host)]
-    await until(lambda: not all(engine.running for engine in cluster.engines.values()))
+    await wait_until(lambda: not all(engine.running for engine in cluster.engines.values()))
     (last_engine,) = (name for name, engine in cluster.engines.items() if engine.running)
-    await until(lambda: len(cluster.executions([last_engine])) == 1)
+    await wait_until(lambda: len(cluster.executions([last_engine])) == 1)
     # The last engine is full, so these requests wait. The first host, whose request crashes that
-    # engine, is frozen so that the owner detects the crash before it does.
+    # engine, is frozen so that the owner of the cell detects the crash first.
     calls += [ask_at(owner), ask_at(second_host)]
     cluster.hosts[first_host].freeze()
-    await until(lambda: f"Engine lost. engine={last_engine}" in cluster.hosts[owner].errors())
+    await wait_until(lambda: f"Engine lost. engine={last_engine}" in cluster.hosts[owner].errors())
     cluster.hosts[first_host].thaw()
     for answer in await asyncio.gather(*calls):
         problem = msgspec.json.decode(answer.error, type=ProblemDetails)
@@ -308,10 +308,10 @@
         assert problem.retry_after_ms
 
 
-async def test_request_is_refused_at_each_host_when_all_engines_are_dead(
+async def test_request_is_rejected_by_each_host_when_all_engines_are_down(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
-    # Guards against calls that never end at hosts other than the owner of the cell.
+    # Guards against requests that never complete on hosts that do not own the cell.
     cluster = await start_serving(ClusterPlan(hosts=3, engines=2, services=0))
     for engine in cluster.engines.values():
         await engine.kill()
@@ -323,7 +323,7 @@
             any(f"Engine lost. engine={name}" in log for log in logs) for name in engine_names
         )
 
-    await until(all_losses_are_logged)
+    await wait_until(all_losses_are_logged)
     for host in cluster.hosts:
         url = cluster.caller_url(host)
         answer = await ask(session=session, url=url, prompt="check [[tokens=4]]")
@@ -334,7 +334,7 @@
         assert problem.retry_after_ms
 
 
-async def test_declared_adapter_is_loaded_everywhere_when_the_controller_is_killed(
+async def test_declared_adapter_is_loaded_on_all_engines_when_the_controller_is_killed(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2, engines=2, services=0))
@@ -366,7 +366,7 @@
 ) -> None:
     plan = ClusterPlan(hosts=1, engines=1, services=0, engine_options={"max_batch": "1"})
     cluster = await start_serving(plan)
-    started = await _ask_all(cluster, session, ["host-1"], each=1)
+    started = await _start_requests(cluster, session, ["host-1"], each=1)
     host = cluster.hosts["host-1"]
     prompt = "check [[tokens=4]]"
     waiting = asyncio.create_task(
@@ -379,7 +379,7 @@
         host.dump_tasks()
         return "PoolRouter.place:" in host.errors()
 
-    await until(is_logged)
+    await wait_until(is_logged)
     answer = await waiting
-    assert answer.text == expected(prompt=prompt)
-    await _check_whole(started)
+    assert answer.text == expected_text(prompt=prompt)
+    await _check_answers(started)
--- a/testing/test_quarantine.py
+++ b/testing/test_quarantine.py
@@ -123,7 +123,7 @@
     assert told.retry_after_ms is not None
     assert told.retry_after_ms <= VERDICT_TTL_MS - 300_000
     await asyncio.sleep(VERDICT_TTL_MS / 1000)
-    cluster.backend.expire()
+    cluster.backend.expire_leases()
     assert cluster.backend.entries == {}
 
 
--- a/testing/test_roster.py
+++ b/testing/test_roster.py
@@ -81,13 +81,13 @@
 async def _settled(*, away: bool = False) -> World:
     """Return a world whose store has been there for long."""
     world = World()
-    world.roster.on_store(reachable=True)
+    world.roster.on_reachability_changed(reachable=True)
     world.snapshot(*NAMES)
     await asyncio.sleep(LONG_AFTER_S)
     if away:
-        world.roster.on_store(reachable=False)
+        world.roster.on_reachability_changed(reachable=False)
         await asyncio.sleep(LONG_AFTER_S)
-        world.roster.on_store(reachable=True)
+        world.roster.on_reachability_changed(reachable=True)
     return world
 
 
@@ -200,7 +200,7 @@
 def test_few_entries_that_go_are_taken_as_gone_at_once(many: int) -> None:
     async def play() -> None:
         world = World()
-        world.roster.on_store(reachable=True)
+        world.roster.on_reachability_changed(reachable=True)
         names = [f"n{number}" for number in range(20)]
         world.snapshot(*names)
         await asyncio.sleep(LONG_AFTER_S)
@@ -213,7 +213,7 @@
 async def _with_starts() -> World:
     """Return a world whose upstreams tell their starts, the one named "b" in its first."""
     world = World()
-    world.roster.on_store(reachable=True)
+    world.roster.on_reachability_changed(reachable=True)
     for name in NAMES:
         world.write(name, state="ready@1000")
     await asyncio.sleep(LONG_AFTER_S)
--- a/testing/test_routing_processes.py
+++ b/testing/test_routing_processes.py
@@ -9,7 +9,7 @@
 from standins._engine_types import ExecutionReports
 from standins.launcher import ClusterPlan
 from testing._callers import ask
-from testing._callers import expected
+from testing._callers import expected_text
 from testing.conftest import StartServing
 
 ASKS_A_HOST = 4
@@ -25,7 +25,7 @@
         prompt = f"check {number} [[tokens=20]]"
         answer = await ask(session=session, url=cluster.caller_url(host), prompt=prompt)
         assert answer.done, answer.error
-        assert answer.text == expected(prompt=prompt)
+        assert answer.text == expected_text(prompt=prompt)
 
     # One of the three owns the only cell, whichever it is.
     for frozen in cluster.hosts:
--- a/testing/test_store_etcd.py
+++ b/testing/test_store_etcd.py
@@ -1,4 +1,4 @@
-"""The store client against a scripted gateway: what it sends and what it makes of the replies."""
+"""Requests of the store client to a scripted gateway and its handling of the responses."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from returns.result import Success
 
 from tanagerscale.core import Clock
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import EtcdStore
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 from testing._random_cases import cases
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 KEY_A = "YQ=="
-ONE_PUT = (PutIf(key="a", value=b"1", expected_mod_revision=StoreRevision(0)),)
+ONE_PUT = (ConditionalPut(key="a", value=b"1", expected_mod_revision=StoreRevision(0)),)
 
 
-class Gateway:
-    """A gateway that answers each call by one function and keeps the bodies it got."""
+class ScriptedGateway:
+    """Gateway that handles each call with one function and records paths and bodies."""
 
     def __init__(self) -> None:
         self.handler: Handler | None = None
@@ -39,14 +39,14 @@
         self.url = ""
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Keep the call and answer it."""
+        """Record a call and respond to it."""
         self.paths.append(request.path)
         self.bodies.append(await request.json())
         assert self.handler is not None
         return await self.handler(request)
 
     def answer(self, body: str | bytes, *, status: int = 200) -> None:
-        """Answer all calls in the same way."""
+        """Send the same response to all calls."""
 
         async def handler(_request: web.Request) -> web.StreamResponse:
             content = body.encode() if isinstance(body, str) else body
@@ -56,38 +56,38 @@
 
 
 @pytest.fixture
-async def gateway() -> AsyncIterator[Gateway]:
-    scripted = Gateway()
+async def gateway() -> AsyncIterator[ScriptedGateway]:
+    scripted_gateway = ScriptedGateway()
     application = web.Application()
-    application.router.add_post("/{path:.*}", scripted.handle)
+    application.router.add_post("/{path:.*}", scripted_gateway.handle)
     runner = web.AppRunner(application, shutdown_timeout=0.1)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
-    scripted.url = f"http://127.0.0.1:{runner.addresses[0][1]}"
-    yield scripted
+    scripted_gateway.url = f"http://127.0.0.1:{runner.addresses[0][1]}"
+    yield scripted_gateway
     await runner.cleanup()
 
 
 @pytest.fixture
-async def store(gateway: Gateway) -> AsyncIterator[EtcdStore]:
-    opened = EtcdStore(
-        endpoints=[gateway.url], timeout_ms=5000, clock=Clock(), watch_silence_ms=200
+async def store(gateway: ScriptedGateway) -> AsyncIterator[EtcdStore]:
+    etcd_store = EtcdStore(
+        endpoints=[gateway.url], timeout_ms=5000, clock=Clock(), watch_idle_timeout_ms=200
     )
-    yield opened
-    await opened.close()
+    yield etcd_store
+    await etcd_store.close()
 
 
-def closed_port_url() -> str:
+def make_closed_port_url() -> str:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"http://127.0.0.1:{probe.getsockname()[1]}"
 
 
-async def test_commit_is_one_call_with_a_condition_for_each_put(
-    gateway: Gateway, store: EtcdStore
+async def test_commit_sends_one_call_with_a_condition_for_each_put(
+    gateway: ScriptedGateway, store: EtcdStore
 ) -> None:
-    taken = {
+    txn_response = {
         "header": {"revision": "9"},
         "succeeded": True,
         "responses": [
@@ -113,8 +113,8 @@
             },
         ],
     }
-    gateway.answer(json.dumps(taken))
-    removal = PutIf(key="b", value=None, expected_mod_revision=StoreRevision(5))
+    gateway.answer(json.dumps(txn_response))
+    removal = ConditionalPut(key="b", value=None, expected_mod_revision=StoreRevision(5))
     outcomes = (await store.commit(puts=[*ONE_PUT, removal])).unwrap()
     assert gateway.paths == ["/v3/kv/txn"]
     (body,) = gateway.bodies
@@ -129,39 +129,41 @@
     assert second["compare"][0]["mod_revision"] == "5"
     assert second["success"] == [{"request_delete_range": {"key": "Yg=="}}]
     assert [outcome.written for outcome in outcomes] == [True, False]
-    present = outcomes[1].present
+    present = outcomes[1].current_entry
     assert present is not None
     assert present.mod_revision == 9007199254740993
     assert present.lease == 7587848390243239426
     assert outcomes[0].revision == 9
 
 
-async def test_commit_is_refused_without_a_call_when_two_puts_name_one_key(
-    gateway: Gateway, store: EtcdStore
+async def test_commit_is_rejected_without_a_call_when_two_puts_have_the_same_key(
+    gateway: ScriptedGateway, store: EtcdStore
 ) -> None:
     result = await store.commit(puts=[*ONE_PUT, *ONE_PUT])
     assert result.failure().kind is StoreErrorKind.REFUSED
     assert gateway.paths == []
 
 
-async def test_write_is_unreachable_when_no_connection_was_made() -> None:
-    store = EtcdStore(endpoints=[closed_port_url()], timeout_ms=5000, clock=Clock())
+async def test_write_fails_as_unreachable_when_no_connection_is_made() -> None:
+    store = EtcdStore(endpoints=[make_closed_port_url()], timeout_ms=5000, clock=Clock())
     result = await store.commit(puts=ONE_PUT)
     await store.close()
     assert result.failure().kind is StoreErrorKind.UNREACHABLE
 
 
-async def test_write_goes_to_the_next_endpoint_when_it_was_never_sent(gateway: Gateway) -> None:
+async def test_write_tries_the_next_endpoint_when_it_was_never_sent(
+    gateway: ScriptedGateway,
+) -> None:
     gateway.answer('{"ID": "77", "TTL": "5"}')
-    endpoints = [closed_port_url(), gateway.url]
+    endpoints = [make_closed_port_url(), gateway.url]
     store = EtcdStore(endpoints=endpoints, timeout_ms=5000, clock=Clock())
     assert await store.grant_lease(ttl_s=5) == Success(LeaseId(77))
     await store.close()
 
 
 @pytest.mark.parametrize("code", [4, 10, 13, 14])
-async def test_write_is_uncertain_and_not_repeated_when_the_store_failed_in_the_call(
-    gateway: Gateway, code: int
+async def test_write_is_uncertain_and_not_retried_when_the_store_fails_during_the_call(
+    gateway: ScriptedGateway, code: int
 ) -> None:
     gateway.answer(json.dumps({"code": code, "message": "etcdserver: timeout"}), status=503)
     endpoints = [gateway.url, gateway.url + "/second"]
@@ -172,7 +174,7 @@
     assert len(gateway.paths) == 1
 
 
-async def test_write_is_uncertain_when_the_reply_does_not_come(gateway: Gateway) -> None:
+async def test_write_is_uncertain_when_the_response_times_out(gateway: ScriptedGateway) -> None:
     released = asyncio.Event()
 
     async def stall(_request: web.Request) -> web.StreamResponse:
@@ -187,7 +189,9 @@
     assert result.failure().kind is StoreErrorKind.UNCERTAIN
 
 
-async def test_next_write_goes_to_another_endpoint_when_one_stalls(gateway: Gateway) -> None:
+async def test_next_write_uses_another_endpoint_when_one_stalls(
+    gateway: ScriptedGateway,
+) -> None:
     released = asyncio.Event()
 
     async def handler(request: web.Request) -> web.StreamResponse:
@@ -206,12 +210,16 @@
     assert second == Success(LeaseId(77))
 
 
-async def test_write_is_refused_when_the_store_says_so(gateway: Gateway, store: EtcdStore) -> None:
+async def test_write_is_refused_when_the_store_rejects_it(
+    gateway: ScriptedGateway, store: EtcdStore
+) -> None:
     gateway.answer('{"code": 5, "message": "etcdserver: requested lease not found"}', status=404)
     assert (await store.commit(puts=ONE_PUT)).failure().kind is StoreErrorKind.REFUSED
 
 
-async def test_read_goes_to_the_next_endpoint_when_the_first_fails(gateway: Gateway) -> None:
+async def test_read_tries_the_next_endpoint_when_the_first_fails(
+    gateway: ScriptedGateway,
+) -> None:
     async def handler(request: web.Request) -> web.StreamResponse:
         if request.path.startswith("/second"):
             return web.json_response({"header": {"revision": "4"}})
@@ -224,15 +232,15 @@
     await store.close()
 
 
-async def test_keep_alive_returns_zero_when_the_lease_has_ended(
-    gateway: Gateway, store: EtcdStore
+async def test_keep_alive_returns_zero_when_the_lease_has_expired(
+    gateway: ScriptedGateway, store: EtcdStore
 ) -> None:
     gateway.answer('{"result": {"ID": "7"}}\n')
     assert await store.keep_alive(lease=LeaseId(7)) == Success(0)
 
 
-async def test_watch_keeps_the_last_change_of_each_key_and_ends_when_silent(
-    gateway: Gateway, store: EtcdStore
+async def test_watch_returns_the_last_change_of_each_key_and_fails_when_idle(
+    gateway: ScriptedGateway, store: EtcdStore
 ) -> None:
     put = {"kv": {"key": KEY_A, "value": "MQ==", "mod_revision": "5"}}
     removal = {"type": "DELETE", "kv": {"key": KEY_A, "mod_revision": "6"}}
@@ -262,15 +270,15 @@
     assert end.failure().kind is StoreErrorKind.UNCERTAIN
 
 
-async def test_watch_says_compacted_when_its_start_is_gone(
-    gateway: Gateway, store: EtcdStore
+async def test_watch_fails_as_compacted_when_its_start_revision_is_compacted(
+    gateway: ScriptedGateway, store: EtcdStore
 ) -> None:
     gateway.answer('{"result": {"canceled": true, "compact_revision": "50"}}\n')
     results = [found async for found in store.watch(prefix="a", from_revision=StoreRevision(5))]
     assert [found.failure().kind for found in results] == [StoreErrorKind.COMPACTED]
 
 
-def test_calls_fail_with_a_typed_error_when_replies_are_garbage() -> None:
+def test_calls_raise_no_exception_when_responses_are_malformed() -> None:
     json_values = st.recursive(
         st.none() | st.booleans() | st.integers() | st.text(max_size=6),
         lambda inner: st.lists(inner, max_size=3)
@@ -284,16 +292,16 @@
     replies = st.binary(max_size=40) | json_values.map(lambda value: json.dumps(value).encode())
 
     async def call_all(content: list[bytes]) -> None:
-        scripted = Gateway()
+        scripted_gateway = ScriptedGateway()
         application = web.Application()
-        application.router.add_post("/{path:.*}", scripted.handle)
+        application.router.add_post("/{path:.*}", scripted_gateway.handle)
         runner = web.AppRunner(application)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
         url = f"http://127.0.0.1:{runner.addresses[0][1]}"
         store = EtcdStore(endpoints=[url], timeout_ms=5000, clock=Clock())
         for reply in content:
-            scripted.answer(reply)
+            scripted_gateway.answer(reply)
             results = [
                 await store.get(key="a"),
                 await store.list(prefix="a"),
--- a/testing/test_store_standin.py
+++ b/testing/test_store_standin.py
@@ -10,8 +10,8 @@
 
 from standins.store import StoreServer
 from tanagerscale.core import Clock
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import EtcdStore
-from tanagerscale.store import PutIf
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
 
@@ -43,10 +43,10 @@
     (first,) = (await store.commit(puts=[put("a", b"1")])).unwrap()
     outcomes = (await store.commit(puts=[put("a", b"2"), put("b", b"\xff\x00")])).unwrap()
     assert [outcome.written for outcome in outcomes] == [False, True]
-    present = outcomes[0].present
+    present = outcomes[0].current_entry
     assert present is not None
     assert (present.value, present.mod_revision) == (b"1", first.revision)
-    removal = PutIf(key="a", value=None, expected_mod_revision=present.mod_revision)
+    removal = ConditionalPut(key="a", value=None, expected_mod_revision=present.mod_revision)
     assert (await store.commit(puts=[removal])).unwrap()[0].written
     listed = (await store.list(prefix="")).unwrap()
     assert [(entry.key, entry.value) for entry in listed.entries] == [("b", b"\xff\x00")]
@@ -65,7 +65,7 @@
     store: EtcdStore,
 ) -> None:
     lease = (await store.grant_lease(ttl_s=60)).unwrap()
-    leased = PutIf(key="k/a", value=b"1", expected_mod_revision=ABSENT, lease=lease)
+    leased = ConditionalPut(key="k/a", value=b"1", expected_mod_revision=ABSENT, lease=lease)
     (written,) = (await store.commit(puts=[leased])).unwrap()
     watch = store.watch(prefix="k/", from_revision=written.revision)
     (entry,) = (await anext(watch)).unwrap().entries
@@ -77,6 +77,6 @@
     assert (await store.commit(puts=[leased])).failure().kind is StoreErrorKind.REFUSED
 
 
-def put(key: str, value: bytes) -> PutIf:
+def put(key: str, value: bytes) -> ConditionalPut:
     """Return a write of a key that must not exist."""
-    return PutIf(key=key, value=value, expected_mod_revision=ABSENT)
+    return ConditionalPut(key=key, value=value, expected_mod_revision=ABSENT)
--- a/testing/test_tls.py
+++ b/testing/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers and mutual TLS between hosts, over real processes."""
+"""TLS for callers and mutual TLS between hosts, with real processes."""
 
 from __future__ import annotations
 
@@ -35,25 +35,25 @@
 from tanagerscale.generated.settings import StoreSection
 from tanagerscale.generated.settings import TlsSection
 from testing._callers import ask
-from testing._callers import expected
+from testing._callers import expected_text
 from testing.conftest import StartCluster
 
 PROMPT = "check [[tokens=5]]"
-BEGIN = datetime.datetime(2000, 1, 1, tzinfo=datetime.UTC)
-END = datetime.datetime(2100, 1, 1, tzinfo=datetime.UTC)
-POLL_S = 0.05
+VALID_FROM = datetime.datetime(2000, 1, 1, tzinfo=datetime.UTC)
+VALID_UNTIL = datetime.datetime(2100, 1, 1, tzinfo=datetime.UTC)
+POLL_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyPair:
-    """Files of a certificate and its key."""
+    """Files of a certificate and its private key."""
 
     certificate: Path
     key: Path
 
 
 class Authority:
-    """Signs certificates for the loopback address."""
+    """Certificate authority that signs certificates for the loopback address."""
 
     def __init__(self, *, directory: Path, name: str) -> None:
         self._directory = directory
@@ -66,7 +66,7 @@
         self._write(self.certificate, builder)
 
     def sign(self, name: str) -> KeyPair:
-        """Write a new certificate and its key."""
+        """Create a certificate and its private key and write both to files."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
         address = x509.IPAddress(ipaddress.ip_address("127.0.0.1"))
@@ -95,8 +95,8 @@
             .issuer_name(self._name)
             .public_key(key)
             .serial_number(x509.random_serial_number())
-            .not_valid_before(BEGIN)
-            .not_valid_after(END)
+            .not_valid_before(VALID_FROM)
+            .not_valid_after(VALID_UNTIL)
         )
 
     def _write(self, path: Path, builder: x509.CertificateBuilder) -> None:
@@ -137,7 +137,7 @@
 
 
 async def _connect_as_peer(host: ManagedProcess, *, pair: KeyPair | None) -> None:
-    """Open a connection to a host's peer address, with a certificate or without one."""
+    """Connect to the peer address of a host, with or without a client certificate."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname = False
     context.verify_mode = ssl.CERT_NONE
@@ -150,35 +150,35 @@
         return
 
 
-async def test_hosts_with_certificates_form_a_mesh_and_let_no_one_else_in(
+async def test_hosts_with_certificates_form_a_mesh_and_reject_other_peers(
     start_cluster: StartCluster, tmp_path: Path
 ) -> None:
     cluster = await start_cluster(ClusterPlan(hosts=0, engines=1, services=0))
-    ours = Authority(directory=tmp_path, name="ours")
-    foreign = Authority(directory=tmp_path, name="foreign")
-    first = await _start_host(cluster, "host-1", authority=ours, seeds=[])
+    our_authority = Authority(directory=tmp_path, name="ours")
+    foreign_authority = Authority(directory=tmp_path, name="foreign")
+    first = await _start_host(cluster, "host-1", authority=our_authority, seeds=[])
     applied = await cluster.apply()
     assert applied.returncode == 0, applied.output + applied.errors
-    trust = ssl.create_default_context(cafile=str(ours.certificate))
-    connector = aiohttp.TCPConnector(ssl=trust)
+    client_context = ssl.create_default_context(cafile=str(our_authority.certificate))
+    connector = aiohttp.TCPConnector(ssl=client_context)
     async with aiohttp.ClientSession(connector=connector) as session:
         while not (await _status(session, first)).ready:
-            await asyncio.sleep(POLL_S)
-        # The store is gone, so the second host learns the declarations from its peer or not at all.
+            await asyncio.sleep(POLL_INTERVAL_S)
+        # The store is down, so the second host can only get the declarations from its peer.
         await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
         seeds = [first.address_of("peers")]
-        second = await _start_host(cluster, "host-2", authority=ours, seeds=seeds)
+        second = await _start_host(cluster, "host-2", authority=our_authority, seeds=seeds)
         while not (await _status(session, second)).ready:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         url = f"https://{second.address_of('callers')}"
         answer = await ask(session=session, url=url, prompt=PROMPT)
-        assert answer.text == expected(prompt=PROMPT)
+        assert answer.text == expected_text(prompt=PROMPT)
 
-        await _connect_as_peer(first, pair=ours.sign("visitor"))
-        for pair in (None, foreign.sign("intruder")):
+        await _connect_as_peer(first, pair=our_authority.sign("visitor"))
+        for pair in (None, foreign_authority.sign("intruder")):
             with pytest.raises((aiohttp.ClientError, OSError)):
                 await _connect_as_peer(first, pair=pair)
         assert (await _status(session, first)).live_hosts == ["host-2"]
-    async with aiohttp.ClientSession() as plain:
+    async with aiohttp.ClientSession() as untrusting:
         with pytest.raises(aiohttp.ClientConnectorCertificateError):
-            await _status(plain, first)
+            await _status(untrusting, first)
--- a/testing/test_whole_path.py
+++ b/testing/test_whole_path.py
@@ -9,9 +9,9 @@
 from standins.launcher import ClusterPlan
 from testing._callers import Answer
 from testing._callers import ask
-from testing._callers import expected
-from testing._callers import go_on
+from testing._callers import expected_text
 from testing._callers import headers
+from testing._callers import resume
 from testing.conftest import StartServing
 
 PAUSE_S = 0.05
@@ -26,7 +26,7 @@
             session=session, url=cluster.caller_url(host), prompt="ladder [[tokens=20]]"
         )
         assert answer.done, answer
-        assert answer.text == expected(prompt="ladder [[tokens=20]]")
+        assert answer.text == expected_text(prompt="ladder [[tokens=20]]")
     bookings = f"{cluster.caller_url('host-1')}/services/bookings/bookings"
     keyed = {**headers(), "Idempotency-Key": "round-7"}
     async with session.post(bookings, json={"id": "7"}, headers=keyed) as response:
@@ -51,7 +51,7 @@
     stopping = asyncio.create_task(cluster.hosts["host-1"].stop())
     answers = await asyncio.gather(*running)
     assert all(answer.done for answer in answers)
-    assert {answer.text for answer in answers} == {expected(prompt=prompt)}
+    assert {answer.text for answer in answers} == {expected_text(prompt=prompt)}
     assert await stopping == 0
 
 
@@ -69,6 +69,6 @@
     await cluster.hosts["host-1"].kill()
     await task
     assert not answer.done
-    answer = await go_on(session=session, url=cluster.caller_url("host-2"), answer=answer)
+    answer = await resume(session=session, url=cluster.caller_url("host-2"), answer=answer)
     assert answer.done, answer.error
-    assert answer.text == expected(prompt=prompt)
+    assert answer.text == expected_text(prompt=prompt)
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -31,14 +31,14 @@
 from tanagerscale.core import Problem
 from tanagerscale.core import Revision
 from tanagerscale.core import UpstreamId
-from tanagerscale.daemon import GateNotes
-from tanagerscale.daemon import HostLimits
-from tanagerscale.daemon import NoCrashWatch
+from tanagerscale.daemon import GateHealthRecorder
+from tanagerscale.daemon import HostAccountLimits
+from tanagerscale.daemon import NoQuarantine
 from tanagerscale.declarations import Declarations
 from tanagerscale.dispatch import Canceller
 from tanagerscale.dispatch import DispatchParts
-from tanagerscale.entry import CompletionParts
-from tanagerscale.entry import Completions
+from tanagerscale.entry import CompletionContext
+from tanagerscale.entry import CompletionHandlers
 from tanagerscale.entry import RequestChecker
 from tanagerscale.generated.declarations import ClientAccount
 from tanagerscale.generated.declarations import DeclarationSet
@@ -190,7 +190,7 @@
     asyncio.run(run())
 
 
-def _completions(engine_port: int) -> Completions:
+def _completions(engine_port: int) -> CompletionHandlers:
     declared = DeclarationSet(
         objective=Objective(),
         models=[Model(name=MODEL, version="1")],
@@ -212,23 +212,23 @@
     dispatch = DispatchParts(
         router=OneEngineRouter(),
         client_of=lambda _engine: client,
-        notes=GateNotes(gate=gate),
-        crashes=NoCrashWatch(),
+        notes=GateHealthRecorder(gate=gate),
+        crashes=NoQuarantine(),
         retries=RetryBudget(),
         canceller=Canceller(client_of=lambda _engine: client, clock=clock),
         meter=UsageMeter(clock=clock, objective=Objective),
         clock=clock,
         rng=random.Random(1),
     )
-    return Completions(
-        parts=CompletionParts(
+    return CompletionHandlers(
+        context=CompletionContext(
             host=HostId("bench"),
             cursor_key=b"k" * 32,
             checker=RequestChecker(fingerprint_key=b"f" * 32, rng=random.Random(1)),
             dispatch=dispatch,
             declarations=lambda: declarations,
-            limits=HostLimits(clock=clock),
-            attached=_no_attachment,
+            limits=HostAccountLimits(clock=clock),
+            notify_attached=_no_attachment,
         )
     )
 
