--- a/src/tanagerscale/coordination/_feed.py
+++ b/src/tanagerscale/coordination/_feed.py
@@ -135,7 +135,7 @@
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Handle changes from the store."""
-        revision = batch.newest or batch.revision
+        revision = batch.newest_revision or batch.revision
         if revision <= self._revision:
             return
         before = self._revision
@@ -145,7 +145,7 @@
         self._listener.on_changes(batch)
         self._publish(self._content_since(before))
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Record whether this host's own watch is answered."""
         self._update_own_view(replace(self._own_view, is_watched=reachable))
 
@@ -159,7 +159,7 @@
 
     def stop_watching(self) -> None:
         """Record that this host no longer watches the store."""
-        self.on_store(reachable=False)
+        self.on_reachability_changed(reachable=False)
 
     def follow(self, source: HostId | None) -> None:
         """Receive changes from a host from now on.
@@ -273,7 +273,7 @@
         )
         before, self._listener_view = self._listener_view, view
         if view.is_watched is not before.is_watched:
-            self._listener.on_store(reachable=view.is_watched)
+            self._listener.on_reachability_changed(reachable=view.is_watched)
         if view.is_answered is not before.is_answered:
             self._listener.on_calls(answered=view.is_answered)
 
--- a/src/tanagerscale/declarations/_chunk_store.py
+++ b/src/tanagerscale/declarations/_chunk_store.py
@@ -24,7 +24,7 @@
 from tanagerscale.declarations._keys import chunk_key
 from tanagerscale.declarations._keys import chunk_prefix
 from tanagerscale.generated.records import Head
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import Store
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreError
@@ -60,7 +60,7 @@
     """
     missing = [digest for digest in dict.fromkeys(chunked.digests) if digest not in valid_digests]
     puts = [
-        PutIf(
+        ConditionalPut(
             key=chunk_key(prefix=prefix, digest=digest),
             value=chunked.chunk(digest=digest),
             expected_mod_revision=StoreRevision(0),
@@ -74,8 +74,8 @@
     return Success(None)
 
 
-def _split_into_batches(puts: Sequence[PutIf]) -> Iterator[list[PutIf]]:
-    batch: list[PutIf] = []
+def _split_into_batches(puts: Sequence[ConditionalPut]) -> Iterator[list[ConditionalPut]]:
+    batch: list[ConditionalPut] = []
     size = 0
     for put in puts:
         length = len(put.value or b"")
@@ -89,7 +89,7 @@
 
 
 async def _write_batch(
-    *, store: Store, puts: list[PutIf], clock: Clock
+    *, store: Store, puts: list[ConditionalPut], clock: Clock
 ) -> Result[None, StoreError]:
     failure = StoreError(
         kind=StoreErrorKind.REFUSED, detail="Other operators keep writing the same chunks."
@@ -105,7 +105,7 @@
             continue
         outcomes = result.unwrap()
         remaining = [
-            _build_overwrite(put=put, present=outcome.present)
+            _build_overwrite(put=put, present=outcome.current_entry)
             for put, outcome in zip(puts, outcomes, strict=True)
             if not outcome.written
         ]
@@ -115,9 +115,9 @@
     return Failure(failure)
 
 
-def _build_overwrite(*, put: PutIf, present: StoreEntry | None) -> PutIf:
+def _build_overwrite(*, put: ConditionalPut, present: StoreEntry | None) -> ConditionalPut:
     revision = present.mod_revision if present is not None else StoreRevision(0)
-    return PutIf(key=put.key, value=put.value, expected_mod_revision=revision)
+    return ConditionalPut(key=put.key, value=put.value, expected_mod_revision=revision)
 
 
 async def collect_garbage(
@@ -148,7 +148,7 @@
         )
     needed = {chunk_key(prefix=prefix, digest=digest) for digest in head.chunks}
     deletions = [
-        PutIf(key=entry.key, value=None, expected_mod_revision=entry.mod_revision)
+        ConditionalPut(key=entry.key, value=None, expected_mod_revision=entry.mod_revision)
         for entry in entries
         if entry.key not in needed and entry.mod_revision < head_mod_revision
     ]
@@ -157,14 +157,14 @@
         await store.commit(puts=batch)
 
 
-async def _find_expired_audit(*, store: Store, prefix: str, revision: int) -> list[PutIf]:
+async def _find_expired_audit(*, store: Store, prefix: str, revision: int) -> list[ConditionalPut]:
     if revision <= MAX_AUDIT_RECORDS:
         return []
     key = audit_key(prefix=prefix, revision=Revision(revision - MAX_AUDIT_RECORDS))
     entry = (await store.get(key=key)).value_or(None)
     if entry is None:
         return []
-    return [PutIf(key=key, value=None, expected_mod_revision=entry.mod_revision)]
+    return [ConditionalPut(key=key, value=None, expected_mod_revision=entry.mod_revision)]
 
 
 async def _read_obsolete_chunks(
--- a/src/tanagerscale/declarations/_publish.py
+++ b/src/tanagerscale/declarations/_publish.py
@@ -34,7 +34,7 @@
 from tanagerscale.generated.records import AuditRecord
 from tanagerscale.generated.records import Head
 from tanagerscale.generated.records import SectionDelta
-from tanagerscale.store import PutIf
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import PutOutcome
 from tanagerscale.store import Store
 from tanagerscale.store import StoreErrorKind
@@ -205,7 +205,7 @@
     return Failure(ApplyError(kind=ApplyErrorKind.UNCERTAIN, detail=detail))
 
 
-def _commit_puts(*, prefix: str, proposal: _Proposal) -> list[PutIf]:
+def _commit_puts(*, prefix: str, proposal: _Proposal) -> list[ConditionalPut]:
     """Return the conditional writes that accept a revision.
 
     The audit record of a revision exists if and only if that revision was accepted. Both conditions
@@ -213,12 +213,12 @@
     """
     head = proposal.head
     return [
-        PutIf(
+        ConditionalPut(
             key=head_key(prefix=prefix),
             value=msgspec.json.encode(head),
             expected_mod_revision=proposal.base.mod_revision,
         ),
-        PutIf(
+        ConditionalPut(
             key=audit_key(prefix=prefix, revision=Revision(head.revision)),
             value=encode_audit(record=proposal.audit),
             expected_mod_revision=StoreRevision(0),
@@ -240,12 +240,12 @@
             previous=proposal.base.head,
         )
         return Success(head)
-    recorded = audit_outcome.present
+    recorded = audit_outcome.current_entry
     audit = decode_audit(value=recorded.value) if recorded is not None else None
     if audit is not None and audit.apply_id == head.apply_id:
         # An earlier attempt was accepted, but its reply was lost.
         return Success(head)
-    present = head_outcome.present
+    present = head_outcome.current_entry
     decoded = decode_head(value=present.value) if present is not None else None
     base = proposal.base
     accepted = decoded.unwrap() if isinstance(decoded, Success) else None
--- a/src/tanagerscale/fleet/_lease.py
+++ b/src/tanagerscale/fleet/_lease.py
@@ -16,8 +16,8 @@
 from tanagerscale.core import Millis
 from tanagerscale.core import get_logger
 from tanagerscale.generated.records import ControlLeaseRecord
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import Store
 from tanagerscale.store import StoreErrorKind
 from tanagerscale.store import StoreRevision
@@ -153,7 +153,7 @@
 
         :returns: The revision that created it; ``None`` if the key exists or the store failed.
         """
-        put = PutIf(
+        put = ConditionalPut(
             key=self._key,
             value=self._value,
             expected_mod_revision=StoreRevision(0),
--- a/src/tanagerscale/gateway/_configuration.py
+++ b/src/tanagerscale/gateway/_configuration.py
@@ -81,7 +81,7 @@
         """Apply a change; a configuration whose key is deleted stays active."""
         self._apply_all(batch.entries)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing; the active configuration remains valid without the store."""
 
     async def offer_from_peer(
--- a/src/tanagerscale/gateway/_store_followers.py
+++ b/src/tanagerscale/gateway/_store_followers.py
@@ -68,7 +68,7 @@
 
     async def is_store_available(self) -> bool:
         """Return whether the store answers a cheap, possibly stale read."""
-        found = await self._platform.store.get(key=self._presence.prefix, stale=True)
+        found = await self._platform.store.get(key=self._presence.prefix, allow_stale=True)
         return isinstance(found, Success)
 
     def _operator_keys(self) -> OperatorKeyListener:
@@ -88,5 +88,5 @@
             listener=listener,
             clock=self._clock,
             rng=self._rng,
-            rest_ms=lambda: rest_ms,
+            change_delay_ms=lambda: rest_ms,
         )
--- a/src/tanagerscale/membership/_evacuations.py
+++ b/src/tanagerscale/membership/_evacuations.py
@@ -82,7 +82,7 @@
         begun = self._parse_domains(entry.key for entry in batch.entries)
         self._replace_domains(self._domains - self._parse_domains(batch.deleted) | begun)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Do nothing; the last known evacuations stay in force during an outage."""
 
     def on_calls(self, *, answered: bool) -> None:
--- a/src/tanagerscale/membership/_roster.py
+++ b/src/tanagerscale/membership/_roster.py
@@ -219,7 +219,7 @@
             self._written_revisions[name] = batch.revision
         self._note_missing(deleted, batch.revision)
 
-    def on_store(self, *, reachable: bool) -> None:
+    def on_reachability_changed(self, *, reachable: bool) -> None:
         """Record whether the store is reachable; entries may have expired during an outage."""
         was_current = self.is_current
         if reachable and self._is_store_unavailable:
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -35,8 +35,8 @@
 from tanagerscale.membership import ReceivedMessage
 from tanagerscale.routes import Configuration
 from tanagerscale.routes import Service
+from tanagerscale.store import ConditionalPut
 from tanagerscale.store import LeaseId
-from tanagerscale.store import PutIf
 from tanagerscale.store import StoreRevision
 from tanagerscale.upstreams import UpstreamEntry
 from tanagerscale.upstreams import UpstreamState
@@ -360,12 +360,16 @@
     def remove(self, key: str) -> None:
         """Remove a key of the store."""
         self.backend.write(
-            puts=[PutIf(key=key, value=None, expected_mod_revision=self._mod_revision_of(key))]
+            puts=[
+                ConditionalPut(
+                    key=key, value=None, expected_mod_revision=self._mod_revision_of(key)
+                )
+            ]
         )
 
     def write(self, key: str, value: str) -> None:
         """Write a key of the store."""
-        put = PutIf(
+        put = ConditionalPut(
             key=key,
             value=value.encode(),
             expected_mod_revision=self._mod_revision_of(key),
--- a/testing/_simulation.py
+++ b/testing/_simulation.py
@@ -31,9 +31,9 @@
 from tanagerscale.core import Problem
 from tanagerscale.core import Revision
 from tanagerscale.core import UpstreamId
-from tanagerscale.daemon._crashes import QuarantineWatch
+from tanagerscale.daemon._adapters import GateHealthRecorder
 from tanagerscale.daemon._host import RETRY_RESERVE
-from tanagerscale.daemon._notes import GateNotes
+from tanagerscale.daemon._quarantine_adapter import QuarantineAdapter
 from tanagerscale.declarations import Declarations
 from tanagerscale.delivery import BufferedSink
 from tanagerscale.dispatch import Canceller
@@ -281,7 +281,7 @@
             clock=clock,
             rng=random.Random(name),
         )
-        crashes = QuarantineWatch(
+        crashes = QuarantineAdapter(
             quarantine=quarantine,
             mesh=cast(Mesh, network),
             declarations=lambda: declarations,
@@ -291,7 +291,7 @@
         self.context = DispatchContext(
             router=self.router,
             client_of=simulation.engines.__getitem__,
-            observer=GateNotes(gate=gate),
+            observer=GateHealthRecorder(gate=gate),
             crash_watch=crashes,
             retries=RetryBudget(reserve=reserve),
             canceller=Canceller(client_of=simulation.engines.__getitem__, clock=clock),
--- a/testing/test_declarations_follow.py
+++ b/testing/test_declarations_follow.py
@@ -174,7 +174,7 @@
 
 def _damage(*, store: FakeStore, key: str, damage: str) -> None:
     if damage == "missing":
-        store.backend.remove_silently(key=key)
+        store.backend.lose_key(key=key)
     else:
         content = b'{"engine e9":{}}' if damage == "foreign" else b"\xff"
         store.backend.corrupt(key=key, value=content)
--- a/testing/test_delivery_processes.py
+++ b/testing/test_delivery_processes.py
@@ -14,9 +14,9 @@
 from standins.tcp_relay import TcpRelay
 from testing._callers import Answer
 from testing._callers import ask
-from testing._callers import expected
-from testing._callers import go_on
-from testing._callers import until
+from testing._callers import expected_text
+from testing._callers import resume
+from testing._callers import wait_until
 from testing.conftest import StartServing
 
 CALLERS_PER_HOST = 3
@@ -41,7 +41,7 @@
 
     async def wait_for_first_tokens(self) -> None:
         """Wait until every caller has received a token."""
-        await until(lambda: all(answer.texts for answer in self.answers))
+        await wait_until(lambda: all(answer.texts for answer in self.answers))
 
     async def wait_until_ended(self) -> None:
         """Wait until every connection has ended."""
@@ -50,13 +50,13 @@
     async def resume_at(self, url: str) -> None:
         """Resume all interrupted responses at another host."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
-            await go_on(session=self._session, url=url, answer=answer, prompt=prompt)
+            await resume(session=self._session, url=url, answer=answer, prompt=prompt)
 
     def assert_complete(self) -> None:
         """Check that every caller received its complete response exactly once."""
         for prompt, answer in zip(self._prompts, self.answers, strict=True):
             assert answer.done, answer.error
-            assert answer.text == expected(prompt=prompt)
+            assert answer.text == expected_text(prompt=prompt)
 
 
 async def test_responses_are_complete_when_a_frozen_link_delivers_old_tokens_late(
@@ -82,7 +82,7 @@
         assert lost_runs
         before = len(cluster.executions(["engine-2"]))
         # The link thaws once the other engine has started to generate the lost responses again.
-        await until(
+        await wait_until(
             lambda: len(cluster.executions(["engine-2"])) >= before + lost_runs
             or any(answer.error for answer in group.answers)
         )
--- a/testing/test_host_schedulers.py
+++ b/testing/test_host_schedulers.py
@@ -37,7 +37,7 @@
     schedulers = HostSchedulers(rng=random.Random(1))
     earlier = schedulers.make()
     for number in range(50):
-        schedulers.learn(_request(f"g{number}"), 20)
+        schedulers.record_answer_length(_request(f"g{number}"), 20)
     owner = schedulers.make()
     assert isinstance(owner, ForecastScheduler)
     assert isinstance(earlier, ForecastScheduler)
--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -17,7 +17,7 @@
 from tanagerscale.core import Execution
 from tanagerscale.core import Millis
 from tanagerscale.core import ProblemKind
-from tanagerscale.daemon._admission import DoorKeeper
+from tanagerscale.daemon._admission import RequestAdmission
 from tanagerscale.generated.messages import Verdict
 from tanagerscale.upstreams import ServiceCall
 from testing._fake_store import FakeBackend
@@ -173,7 +173,7 @@
 
 
 def test_retries_of_callers_are_spread_when_a_full_host_refuses_them() -> None:
-    gate = DoorKeeper(limit=0, rng=random.Random(4))
+    gate = RequestAdmission(limit=0, rng=random.Random(4))
     problems = [gate.admit(account=ClientAccountId("north")) for _ in range(CALLERS)]
     refused = [
         RefusedCall(problem=p, arrived_at=Millis(0), refused_at=Millis(0)) for p in problems if p
--- a/testing/test_roster.py
+++ b/testing/test_roster.py
@@ -81,13 +81,13 @@
 async def _create_settled_harness(*, outage: bool = False) -> RosterHarness:
     """Return a harness whose store is reachable, optionally right after an outage."""
     harness = RosterHarness()
-    harness.roster.on_store(reachable=True)
+    harness.roster.on_reachability_changed(reachable=True)
     harness.snapshot(*NAMES)
     await asyncio.sleep(SETTLE_S)
     if outage:
-        harness.roster.on_store(reachable=False)
+        harness.roster.on_reachability_changed(reachable=False)
         await asyncio.sleep(SETTLE_S)
-        harness.roster.on_store(reachable=True)
+        harness.roster.on_reachability_changed(reachable=True)
     return harness
 
 
@@ -200,7 +200,7 @@
 def test_upstreams_are_gone_immediately_when_few_entries_disappear(count: int) -> None:
     async def scenario() -> None:
         harness = RosterHarness()
-        harness.roster.on_store(reachable=True)
+        harness.roster.on_reachability_changed(reachable=True)
         names = [f"n{number}" for number in range(20)]
         harness.snapshot(*names)
         await asyncio.sleep(SETTLE_S)
@@ -213,7 +213,7 @@
 async def _create_harness_with_start_times() -> RosterHarness:
     """Return a harness whose upstreams report their start times, all of them 1000."""
     harness = RosterHarness()
-    harness.roster.on_store(reachable=True)
+    harness.roster.on_reachability_changed(reachable=True)
     for name in NAMES:
         harness.write(name, state="ready@1000")
     await asyncio.sleep(SETTLE_S)
