--- a/testing/test_late_streams.py
+++ b/testing/test_late_streams.py
@@ -1,13 +1,13 @@
-"""Where the time of streams went, by hosts' logs."""
+"""Tests of the latency breakdown of streams from host logs."""
 
 from __future__ import annotations
 
 from tanagerscale.cli._explain import LogLine
-from tools.late_streams import Cause
-from tools.late_streams import table_of
-from tools.late_streams import times_of
+from tools.late_streams import LateCause
+from tools.late_streams import collect_latencies
+from tools.late_streams import format_table
 
-FIRST_MS, GAP_MS = 1800, 180
+MAX_FIRST_MS, MAX_GAP_MS = 1800, 180
 
 
 def _line(message: str, request: str, **inputs: object) -> LogLine:
@@ -50,25 +50,28 @@
 ]
 
 
-def test_each_late_stream_has_its_cause() -> None:
-    causes = {one.request: one.cause(first_ms=FIRST_MS, gap_ms=GAP_MS) for one in times_of(LINES)}
+def test_late_streams_are_classified_by_cause() -> None:
+    causes = {
+        stream.request: stream.cause(first_ms=MAX_FIRST_MS, gap_ms=MAX_GAP_MS)
+        for stream in collect_latencies(LINES)
+    }
     assert causes == {
         "fine": None,
-        "waited": Cause.WAITING,
-        "read": Cause.READING,
-        "moved": Cause.PAUSE_OF_MOVE,
-        "preempted": Cause.PAUSE,
+        "waited": LateCause.WAITED_FOR_ENGINE,
+        "read": LateCause.PREFILL,
+        "moved": LateCause.GAP_WITH_MOVE,
+        "preempted": LateCause.GAP_WITHOUT_MOVE,
     }
 
 
 def test_table_counts_lateness_refusals_and_waits() -> None:
-    printed = "\n".join(table_of(LINES, first_ms=FIRST_MS, gap_ms=GAP_MS))
+    printed = "\n".join(format_table(LINES, first_ms=MAX_FIRST_MS, gap_ms=MAX_GAP_MS))
     assert "5  whole streams, 1 of them in time" in printed
     assert "1  refused: no engine has room" in printed
     assert "1  waited: no engine has room" in printed
 
 
-def test_log_without_streams_is_told_so() -> None:
-    assert table_of([], first_ms=FIRST_MS, gap_ms=GAP_MS) == [
+def test_table_of_a_log_without_streams_has_zero_counts() -> None:
+    assert format_table([], first_ms=MAX_FIRST_MS, gap_ms=MAX_GAP_MS) == [
         "    0  whole streams, 0 of them in time"
     ]
--- a/tools/late_streams.py
+++ b/tools/late_streams.py
@@ -1,8 +1,8 @@
-"""Accounts for the time of every stream in hosts' logs: who is late, who is refused, and why.
+"""Break down the latency of every stream in host logs, and count late and refused streams by cause.
 
-``python -m tools.late_streams FIRST_MS GAP_MS LOG...`` takes a stream as late whose first event
-comes later than FIRST_MS after its request, or that has a pause of more than GAP_MS between two
-events. The time before the first event is told as waiting for an engine and reading at the engine.
+``python -m tools.late_streams FIRST_MS GAP_MS LOG...`` counts a stream as late if its first event
+comes more than FIRST_MS after its request, or if the gap between two events exceeds GAP_MS. The
+time to the first event is split into the wait for an engine and the prefill at the engine.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 from tanagerscale.cli._explain import LogLine
 from tanagerscale.cli._explain import parse_line
 
-GIVEN: Final = "An engine is given."
-WHOLE: Final = "A stream is whole."
-WAITS: Final = "A generation waits."
-REFUSED: Final = "A generation is refused."
+ASSIGNED_MESSAGE: Final = "An engine is given."
+COMPLETE_MESSAGE: Final = "A stream is whole."
+WAITING_MESSAGE: Final = "A generation waits."
+REFUSED_MESSAGE: Final = "A generation is refused."
 
 
 @unique
-class Cause(Enum):
-    """What made a stream late."""
+class LateCause(Enum):
+    """Why a stream is late."""
 
-    WAITING = "waited for an engine"
-    READING = "waited at its engine"
-    PAUSE_OF_MOVE = "a pause, and it changed engines"
-    PAUSE = "a pause at one engine"
+    WAITED_FOR_ENGINE = "waited for an engine"
+    PREFILL = "waited at its engine"
+    GAP_WITH_MOVE = "a pause, and it changed engines"
+    GAP_WITHOUT_MOVE = "a pause at one engine"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StreamTime:
-    """Where the time of one whole stream went.
-
-    :param request: Its id.
-    :param waited_ms: Time until it had an engine.
-    :param first_ms: Time until its first event.
-    :param gap_ms: Longest pause between two events.
-    :param engines: How many engines ran it.
-    :param reasons: Why it waited, in a few words each.
+class StreamLatency:
+    """Latency of one complete stream.
+
+    :param request: Request id.
+    :param waited_ms: Time from the request until an engine was assigned.
+    :param first_ms: Time from the request to the first event.
+    :param gap_ms: Longest time between two events.
+    :param engines: Number of engines that ran it.
+    :param reasons: Logged reasons for waiting, sorted, each of them once.
     """
 
     request: str
@@ -57,87 +57,94 @@
     engines: int
     reasons: tuple[str, ...]
 
-    def cause(self, *, first_ms: int, gap_ms: int) -> Cause | None:
-        """Return what made it late; ``None`` when it was in time.
+    def cause(self, *, first_ms: int, gap_ms: int) -> LateCause | None:
+        """Return why the stream is late, or ``None`` if it is in time.
 
-        :param first_ms: When a first event is late.
-        :param gap_ms: Longest pause that is in time.
+        :param first_ms: Maximum time to the first event.
+        :param gap_ms: Maximum time between two events.
         """
         if self.first_ms > first_ms:
             is_waiting = self.waited_ms > self.first_ms - self.waited_ms
-            return Cause.WAITING if is_waiting else Cause.READING
+            return LateCause.WAITED_FOR_ENGINE if is_waiting else LateCause.PREFILL
         if self.gap_ms > gap_ms:
-            return Cause.PAUSE_OF_MOVE if self.engines > 1 else Cause.PAUSE
+            return LateCause.GAP_WITH_MOVE if self.engines > 1 else LateCause.GAP_WITHOUT_MOVE
         return None
 
 
-def times_of(lines: Iterable[LogLine]) -> list[StreamTime]:
-    """Return where the time of each whole stream went."""
+def collect_latencies(lines: Iterable[LogLine]) -> list[StreamLatency]:
+    """Return the latency of each complete stream."""
     by_request: dict[str, list[LogLine]] = defaultdict(list)
     for line in lines:
         if line.request:
             by_request[line.request].append(line)
-    found = (_time_of(request, own) for request, own in by_request.items())
-    return [one for one in found if one is not None]
+    latencies = (
+        _build_latency(request, request_lines) for request, request_lines in by_request.items()
+    )
+    return [latency for latency in latencies if latency is not None]
 
 
-def refusals_of(lines: Iterable[LogLine]) -> Counter[str]:
-    """Return why generations were refused, and how many for each reason."""
+def count_refusals(lines: Iterable[LogLine]) -> Counter[str]:
+    """Return the number of refused generations by reason."""
     return Counter(
         str(line.inputs["reason"])
         for line in lines
-        if line.message == REFUSED and "engines" in line.inputs
+        if line.message == REFUSED_MESSAGE and "engines" in line.inputs
     )
 
 
-def _time_of(request: str, own: Sequence[LogLine]) -> StreamTime | None:
-    given = next((line for line in own if line.message == GIVEN), None)
-    whole = next((line for line in own if line.message == WHOLE), None)
-    if given is None or whole is None:
+def _build_latency(request: str, request_lines: Sequence[LogLine]) -> StreamLatency | None:
+    assigned = next((line for line in request_lines if line.message == ASSIGNED_MESSAGE), None)
+    complete = next((line for line in request_lines if line.message == COMPLETE_MESSAGE), None)
+    if assigned is None or complete is None:
         return None
-    reasons = {str(line.inputs["reason"]) for line in own if line.message == WAITS}
-    return StreamTime(
+    reasons = {
+        str(line.inputs["reason"]) for line in request_lines if line.message == WAITING_MESSAGE
+    }
+    return StreamLatency(
         request=request,
-        waited_ms=int(given.inputs["after_ms"]),
-        first_ms=int(whole.inputs["first_event_ms"]),
-        gap_ms=int(whole.inputs["longest_gap_ms"]),
-        engines=int(whole.inputs["engines"]),
+        waited_ms=int(assigned.inputs["after_ms"]),
+        first_ms=int(complete.inputs["first_event_ms"]),
+        gap_ms=int(complete.inputs["longest_gap_ms"]),
+        engines=int(complete.inputs["engines"]),
         reasons=tuple(sorted(reasons)),
     )
 
 
-def table_of(lines: Sequence[LogLine], *, first_ms: int, gap_ms: int) -> list[str]:
-    """Return the lines that are printed of one log.
+def format_table(lines: Sequence[LogLine], *, first_ms: int, gap_ms: int) -> list[str]:
+    """Return the lines of the table for one log.
 
-    :param lines: The log.
-    :param first_ms: When a first event is late.
-    :param gap_ms: Longest pause that is in time.
+    :param lines: Parsed lines of the log.
+    :param first_ms: Maximum time to the first event.
+    :param gap_ms: Maximum time between two events.
     """
-    times = times_of(lines)
-    causes = Counter(one.cause(first_ms=first_ms, gap_ms=gap_ms) for one in times)
-    printed = [f"{len(times):5}  whole streams, {causes[None]} of them in time"]
-    printed += [f"{causes[cause]:5}  late: {cause.value}" for cause in Cause if causes[cause]]
-    printed += [f"{number:5}  refused: {why}" for why, number in refusals_of(lines).most_common()]
-    waits = Counter(reason for one in times for reason in one.reasons)
-    printed += [f"{number:5}  waited: {reason}" for reason, number in waits.most_common()]
-    if times:
-        waited = mean(one.waited_ms for one in times)
-        read = mean(one.first_ms - one.waited_ms for one in times)
-        printed.append(f"{waited:5.0f}  ms until an engine on average, {read:.0f} ms at it")
-    return printed
+    streams = collect_latencies(lines)
+    causes = Counter(stream.cause(first_ms=first_ms, gap_ms=gap_ms) for stream in streams)
+    table = [f"{len(streams):5}  whole streams, {causes[None]} of them in time"]
+    table += [f"{causes[cause]:5}  late: {cause.value}" for cause in LateCause if causes[cause]]
+    table += [
+        f"{number:5}  refused: {reason}" for reason, number in count_refusals(lines).most_common()
+    ]
+    waits = Counter(reason for stream in streams for reason in stream.reasons)
+    table += [f"{number:5}  waited: {reason}" for reason, number in waits.most_common()]
+    if streams:
+        waited = mean(stream.waited_ms for stream in streams)
+        prefill = mean(stream.first_ms - stream.waited_ms for stream in streams)
+        table.append(f"{waited:5.0f}  ms until an engine on average, {prefill:.0f} ms at it")
+    return table
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Print a table for each log.
+    """Print a table for each log file.
 
-    :param arguments: When a first event and a pause are late, and the files.
+    :param arguments: Maximum time to the first event and between two events, both in
+        milliseconds, then the log files.
     """
     first_ms, gap_ms, *files = arguments
     for file in files:
         text = Path(file).read_text(errors="replace")
         lines = [line for raw in text.splitlines() if (line := parse_line(raw)) is not None]
         print(file)
-        print("\n".join(table_of(lines, first_ms=int(first_ms), gap_ms=int(gap_ms))))
+        print("\n".join(format_table(lines, first_ms=int(first_ms), gap_ms=int(gap_ms))))
 
 
 if __name__ == "__main__":
--- a/tools/lost_streams.py
+++ b/tools/lost_streams.py
@@ -1,7 +1,7 @@
-"""Accounts for every stream in hosts' logs: which came whole, how fast, and what ended the others.
+"""Classify every stream in host logs by how it ended, and compute the pace of complete streams.
 
-``python -m tools.lost_streams LOG...`` prints one table for each file. A stream whose host ended
-has no last line of its own, so it is told from a later start of the same host.
+``python -m tools.lost_streams LOG...`` prints one table for each file. A host that terminates
+logs no final line for its streams; such a stream is recognized by a later start of the same host.
 """
 
 from __future__ import annotations
@@ -22,125 +22,133 @@
 from tanagerscale.cli._explain import parse_line
 from tanagerscale.core import MS_PER_SECOND
 
-BEGUN: Final = frozenset({"An engine is chosen.", "An engine begins to answer."})
-WHOLE: Final = "A stream is whole."
-FAILED: Final = "A request is answered with a failure."
-LEFT: Final = "A caller has left."
-STARTED: Final = "The host starts."
+START_MESSAGES: Final = frozenset({"An engine is chosen.", "An engine begins to answer."})
+COMPLETE_MESSAGE: Final = "A stream is whole."
+FAILURE_MESSAGE: Final = "A request is answered with a failure."
+CALLER_LEFT_MESSAGE: Final = "A caller has left."
+HOST_START_MESSAGE: Final = "The host starts."
 
-LONG_EVENTS: Final = 30
-"""Events from which on a stream's pace is counted; shorter ones are mostly prompt."""
+MIN_PACE_EVENTS: Final = 30
+"""Streams with fewer events are left out of the mean pace: most of their time is prefill."""
 
 
 @unique
-class End(Enum):
-    """What ended a stream."""
+class StreamEnd(Enum):
+    """How a stream ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused before it ran"
-    CUT = "broke off at its engine"
+    INTERRUPTED = "broke off at its engine"
     CALLER_LEFT = "the caller left"
-    HOST_ENDED = "its host ended"
+    HOST_TERMINATED = "its host ended"
     ENGINE_FAILED = "its engine answered with a failure"
     UNKNOWN = "no last line"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Stream:
-    """One stream as the logs tell of it.
-
-    :param request: Its id.
-    :param begun_ms: When its engine was chosen, from the first line of all.
-    :param end: What ended it.
-    :param last_ms: When its last line was written.
-    :param events: Events of a whole one.
-    :param event_ms: Time between two events of a whole one, on average.
+    """One stream, reconstructed from log lines.
+
+    :param request: Request id.
+    :param started_ms: Time of its first line, in milliseconds after the first line of the log.
+    :param end: How it ended.
+    :param last_line_ms: Time of its last line, in milliseconds after the first line of the log.
+    :param events: Number of events if the stream is complete, otherwise 0.
+    :param mean_gap_ms: Mean time between two events if the stream is complete, otherwise 0.
     """
 
     request: str
-    begun_ms: int
-    end: End
-    last_ms: int
+    started_ms: int
+    end: StreamEnd
+    last_line_ms: int
     events: int
-    event_ms: float
+    mean_gap_ms: float
 
 
-def streams_of(lines: Sequence[LogLine]) -> list[Stream]:
-    """Return all streams in the order of their begin."""
+def collect_streams(lines: Sequence[LogLine]) -> list[Stream]:
+    """Return all streams, ordered by start time."""
     first_ms = min((line.wall_ms for line in lines), default=0)
-    starts: dict[str, list[int]] = defaultdict(list)
+    host_starts: dict[str, list[int]] = defaultdict(list)
     by_request: dict[str, list[LogLine]] = defaultdict(list)
-    for line in sorted(lines, key=lambda one: one.wall_ms):
-        if line.message == STARTED:
-            starts[line.host].append(line.wall_ms)
+    for line in sorted(lines, key=lambda entry: entry.wall_ms):
+        if line.message == HOST_START_MESSAGE:
+            host_starts[line.host].append(line.wall_ms)
         if line.request:
             by_request[line.request].append(line)
     streams = [
-        _stream(request, own, starts, first_ms)
-        for request, own in by_request.items()
-        if any(line.message in BEGUN for line in own)
+        _build_stream(request, request_lines, host_starts, first_ms)
+        for request, request_lines in by_request.items()
+        if any(line.message in START_MESSAGES for line in request_lines)
     ]
-    return sorted(streams, key=lambda stream: stream.begun_ms)
+    return sorted(streams, key=lambda stream: stream.started_ms)
 
 
-def _stream(
-    request: str, own: Sequence[LogLine], starts: dict[str, list[int]], first_ms: int
+def _build_stream(
+    request: str, request_lines: Sequence[LogLine], host_starts: dict[str, list[int]], first_ms: int
 ) -> Stream:
-    whole = next((line for line in own if line.message == WHOLE), None)
-    answering = [line for line in own if line.message == "An engine begins to answer."]
-    events = 0 if whole is None else int(whole.inputs["events"])
-    took_ms = 0 if whole is None or not answering else whole.wall_ms - answering[0].wall_ms
+    complete = next((line for line in request_lines if line.message == COMPLETE_MESSAGE), None)
+    answer_lines = [line for line in request_lines if line.message == "An engine begins to answer."]
+    events = 0 if complete is None else int(complete.inputs["events"])
+    duration_ms = (
+        0 if complete is None or not answer_lines else complete.wall_ms - answer_lines[0].wall_ms
+    )
     return Stream(
         request=request,
-        begun_ms=own[0].wall_ms - first_ms,
-        end=_end_of(own, starts),
-        last_ms=own[-1].wall_ms - first_ms,
+        started_ms=request_lines[0].wall_ms - first_ms,
+        end=_classify_end(request_lines, host_starts),
+        last_line_ms=request_lines[-1].wall_ms - first_ms,
         events=events,
-        event_ms=took_ms / max(events - 1, 1),
+        mean_gap_ms=duration_ms / max(events - 1, 1),
     )
 
 
-def _end_of(own: Sequence[LogLine], starts: dict[str, list[int]]) -> End:
-    messages = {line.message for line in own}
-    if WHOLE in messages:
-        return End.WHOLE
-    if LEFT in messages:
-        return End.CALLER_LEFT
+def _classify_end(request_lines: Sequence[LogLine], host_starts: dict[str, list[int]]) -> StreamEnd:
+    messages = {line.message for line in request_lines}
+    if COMPLETE_MESSAGE in messages:
+        return StreamEnd.COMPLETE
+    if CALLER_LEFT_MESSAGE in messages:
+        return StreamEnd.CALLER_LEFT
     if "An engine has answered with a failure." in messages:
-        return End.ENGINE_FAILED
-    failed = next((line for line in own if line.message == FAILED), None)
+        return StreamEnd.ENGINE_FAILED
+    failed = next((line for line in request_lines if line.message == FAILURE_MESSAGE), None)
     if failed is not None:
-        is_cut = failed.inputs.get("kind") in ("upstream-failed", "timed-out")
-        return End.CUT if is_cut else End.REFUSED
-    last = own[-1]
-    if any(start >= last.wall_ms for start in starts[last.host]):
-        return End.HOST_ENDED
-    return End.UNKNOWN
-
-
-def table_of(streams: Iterable[Stream]) -> list[str]:
-    """Return the lines that are printed of one file."""
-    known = list(streams)
-    counts = Counter(stream.end for stream in known)
-    lines = [f"{counts[end]:5}  {end.value}" for end in End if counts[end]]
-    pace = [stream.event_ms for stream in known if stream.events >= LONG_EVENTS]
-    if pace:
-        lines.append(f"{mean(pace):5.1f}  ms between events of {len(pace)} long streams")
-    lost = [one for one in known if one.end not in (End.WHOLE, End.HOST_ENDED)]
-    for one in lost:
-        at_s = one.begun_ms / MS_PER_SECOND
-        lasted_s = (one.last_ms - one.begun_ms) / MS_PER_SECOND
-        lines.append(f"  {one.request}  at {at_s:.1f} s for {lasted_s:.1f} s: {one.end.value}")
+        is_interrupted = failed.inputs.get("kind") in ("upstream-failed", "timed-out")
+        return StreamEnd.INTERRUPTED if is_interrupted else StreamEnd.REFUSED
+    last = request_lines[-1]
+    if any(start >= last.wall_ms for start in host_starts[last.host]):
+        return StreamEnd.HOST_TERMINATED
+    return StreamEnd.UNKNOWN
+
+
+def format_table(streams: Iterable[Stream]) -> list[str]:
+    """Return the lines of the table for one file."""
+    all_streams = list(streams)
+    counts = Counter(stream.end for stream in all_streams)
+    lines = [f"{counts[end]:5}  {end.value}" for end in StreamEnd if counts[end]]
+    gaps_ms = [stream.mean_gap_ms for stream in all_streams if stream.events >= MIN_PACE_EVENTS]
+    if gaps_ms:
+        lines.append(f"{mean(gaps_ms):5.1f}  ms between events of {len(gaps_ms)} long streams")
+    lost = [
+        stream
+        for stream in all_streams
+        if stream.end not in (StreamEnd.COMPLETE, StreamEnd.HOST_TERMINATED)
+    ]
+    for stream in lost:
+        start_s = stream.started_ms / MS_PER_SECOND
+        duration_s = (stream.last_line_ms - stream.started_ms) / MS_PER_SECOND
+        lines.append(
+            f"  {stream.request}  at {start_s:.1f} s for {duration_s:.1f} s: {stream.end.value}"
+        )
     return lines
 
 
 def main(files: Sequence[str]) -> None:
-    """Print a table for each log."""
+    """Print a table for each log file."""
     for file in files:
         text = Path(file).read_text(errors="replace")
         lines = [line for raw in text.splitlines() if (line := parse_line(raw)) is not None]
         print(file)
-        print("\n".join(table_of(streams_of(lines))))
+        print("\n".join(format_table(collect_streams(lines))))
 
 
 if __name__ == "__main__":
