--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,8 +1,8 @@
 #!/bin/sh
-# Puts the libraries and the product's code into target/deps, for hosts to start from.
+# Installs the product and its dependencies into target/deps, from which hosts start.
 #
-# Nothing is replaced that is the same already: hosts that run from target/deps restart at any time,
-# and one that starts while its code is being copied ends at once.
+# Files that are up to date are not replaced: hosts that run from target/deps may restart at any
+# time, and a host that starts while its code is being copied exits immediately.
 set -eu
 deps=target/deps
 if [ ! "$deps/.built" -nt pyproject.toml ] || [ ! "$deps/.built" -nt constraints.txt ]; then
@@ -16,5 +16,5 @@
     mv target/next "$deps/tanagerscale"
     python3 -m compileall -q "$deps/tanagerscale"
 fi
-# It is replaced at once, so that a host which starts meanwhile reads the old or the new one.
+# The image is replaced atomically: a host that starts meanwhile reads either the old or the new one.
 PYTHONPATH="$deps" python3 -S deploy/build_image.py target/host.image
--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts a host, from its start image if there is one."""
+"""Start a host, from its start image if a usable one exists."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from start_image import ImageError
 from start_image import StartImage
 
-IMAGE = os.path.join(os.path.dirname(__file__), "..", "target", "host.image")
+IMAGE_PATH = os.path.join(os.path.dirname(__file__), "..", "target", "host.image")
 
 
-def _use_image() -> None:
+def _install_image() -> None:
     try:
-        sys.meta_path.insert(0, StartImage(path=IMAGE))
+        sys.meta_path.insert(0, StartImage(path=IMAGE_PATH))
     except (ImageError, OSError) as error:
         print(f"Modules are imported from their files: {error}", file=sys.stderr)
 
 
 def main() -> None:
-    """Import the host's program and run it."""
-    _use_image()
-    # All that is imported stays, so looking through it for cycles is of no use.
+    """Import the main function of the host and run it."""
+    _install_image()
+    # Imported objects are never freed, so collecting cycles among them is wasted work.
     gc.disable()
     from tanagerscale.platform.__main__ import main as run
 
--- a/deploy/start_image.py
+++ b/deploy/start_image.py
@@ -1,10 +1,10 @@
-"""The compiled code of all modules that a host imports, in one file.
+"""Import hook that loads the compiled code of all modules of a host from a single file.
 
-A host imports some 550 modules, whose files take 7,000 calls to the system to find and to read. One
-file takes a fifth of these. A host that was killed is back sooner by that, and hundreds of hosts
-that start together don't read the same files at the same moment.
+A host imports about 550 modules; finding and reading their files takes 7,000 system calls. The
+image needs a fifth of these, so a killed host restarts sooner, and hundreds of hosts that start
+at the same time do not all read the same module files.
 
-This module itself is imported from its file, so it imports next to nothing.
+This module itself is imported from its own file and therefore keeps its imports to a minimum.
 """
 
 from __future__ import annotations
@@ -15,51 +15,52 @@
 import os
 import sys
 
-# The usual constant stands in a module that takes longer to import than this one.
+# typing.TYPE_CHECKING is not used: importing typing takes longer than importing this module.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from types import ModuleType
 
-LENGTH_BYTES = 8
-"""Bytes of each of the two numbers after the tag: the lengths of the index and of all code."""
+LENGTH_FIELD_BYTES = 8
+"""Size of each of the two length fields after the tag: length of the index and of all code."""
 
-READ_BYTES = 256 * 1024
-"""What is read at once. Modules stand in the order in which they are imported, twenty in so many
-bytes."""
+READ_BUFFER_BYTES = 256 * 1024
+"""Size of one buffered read; holds about twenty modules, which are stored in import order."""
 
 
 class ImageError(Exception):
-    """An image that can't be used; modules are then imported from their files."""
+    """Raised for an unusable image; modules are then imported from their files."""
 
 
 class StartImage:
-    """Finds and imports modules in an image; others come from their files.
+    """Meta path finder and loader for the modules in an image; others are imported from files.
 
-    :param path: The image.
-    :raises ImageError: It was made by another version of the interpreter, or is not whole.
-    :raises OSError: It can't be read.
+    :param path: Path of the image.
+    :raises ImageError: If the image was built by another interpreter version or is truncated.
+    :raises OSError: If the image cannot be read.
     """
 
     def __init__(self, *, path: str) -> None:
-        self._file = open(path, "rb", buffering=READ_BYTES)  # noqa: SIM115 - It stays open.
+        self._file = open(path, "rb", buffering=READ_BUFFER_BYTES)  # noqa: SIM115 - Kept open.
         tag = interpreter_tag()
         if self._file.read(len(tag)) != tag:
-            raise ImageError("It is not an image of this interpreter; build it again.")
+            raise ImageError(
+                "The start image was built by another interpreter version; build it again."
+            )
         index_length = self._read_length()
-        codes_length = self._read_length()
-        self._codes_at = len(tag) + 2 * LENGTH_BYTES + index_length
-        if os.fstat(self._file.fileno()).st_size != self._codes_at + codes_length:
-            raise ImageError("The image is not whole; build it again.")
+        code_length = self._read_length()
+        self._code_offset = len(tag) + 2 * LENGTH_FIELD_BYTES + index_length
+        if os.fstat(self._file.fileno()).st_size != self._code_offset + code_length:
+            raise ImageError("The start image is truncated; build it again.")
         self._index = marshal.loads(self._file.read(index_length))
 
     def _read_length(self) -> int:
-        return int.from_bytes(self._file.read(LENGTH_BYTES), "little")
+        return int.from_bytes(self._file.read(LENGTH_FIELD_BYTES), "little")
 
     def find_spec(
         self, name: str, _path: Sequence[str] | None = None, _target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Return how a module is imported, or ``None`` when it is not in the image."""
+        """Return the spec of a module, or ``None`` if the module is not in the image."""
         entry = self._index.get(name)
         if entry is None:
             return None
@@ -71,16 +72,16 @@
         return spec
 
     def create_module(self, _spec: ModuleSpec) -> ModuleType | None:
-        """Leave it to the interpreter to make the module."""
+        """Return ``None``, so that the interpreter creates the module object."""
         return None
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run a module's code."""
+        """Execute the code of a module."""
         _, _, offset, length = self._index[module.__name__]
-        self._file.seek(self._codes_at + offset)
+        self._file.seek(self._code_offset + offset)
         exec(marshal.loads(self._file.read(length)), module.__dict__)
 
 
 def interpreter_tag() -> bytes:
-    """Return what tells whose compiled code an image holds."""
+    """Return a tag of the interpreter version, which the compiled code in an image depends on."""
     return MAGIC_NUMBER + sys.version.encode()
--- a/testing/days/draw.py
+++ b/testing/days/draw.py
@@ -1,7 +1,7 @@
-"""Draws days that put troubles together as nobody has thought of, for the users' bench.
+"""Generate random days, that is scenarios of combined disturbances, for the users' bench.
 
-``python -m testing.days.draw SITE FIRST COUNT DIRECTORY`` writes a day for each seed. The same seed
-draws the same day, so a seed that showed a fault says all that is needed to play it again.
+``python -m testing.days.draw SITE FIRST COUNT DIRECTORY`` writes one day for each seed. A seed
+always generates the same day, so the seed alone is enough to reproduce a failure.
 """
 
 from __future__ import annotations
@@ -13,26 +13,27 @@
 import sys
 from typing import Final
 
-LENGTH_S: Final = 34.0
-"""How long callers come, in seconds, as in the site files."""
+DAY_LENGTH_S: Final = 34.0
+"""How long callers send requests, in seconds; same as in the site files."""
 
-FEWEST_TROUBLES: Final = 2
-MOST_TROUBLES: Final = 6
-"""The standard days have two to four; more at once finds what one alone hides."""
+MIN_DISTURBANCES: Final = 2
+MAX_DISTURBANCES: Final = 6
+"""Bounds per day. The standard days have two to four; more at once expose faults in their
+combination that a single disturbance does not."""
 
-NOTICE_GAP_S: Final = 3.3
-"""Between two engines that are taken away, in seconds, as on the standard days."""
+RECLAIM_INTERVAL_S: Final = 3.3
+"""Interval between two engine reclamations, in seconds; same as on the standard days."""
 
 Value = str | float | int
 
 
 @dataclass(frozen=True, kw_only=True)
 class Site:
-    """What a site's days name.
+    """Names that the days of a site refer to.
 
-    :param models: The service whose engines generate.
-    :param bookings: The service whose calls may not be repeated.
-    :param classes: Kinds of request.
+    :param models: Service whose engines generate tokens.
+    :param bookings: Service whose calls are not idempotent.
+    :param classes: Request classes.
     """
 
     models: str
@@ -55,110 +56,145 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Trouble:
-    """One kind of trouble and the ranges that its figures are drawn from.
-
-    :param kind: Its name on the bench.
-    :param hows: Its variants.
-    :param ranges: Figures by field, drawn evenly.
-    :param counts: Whole figures by field, drawn evenly.
-    :param is_planned: Whether it is work that operators plan.
-    :param services: Whether it strikes a service: ``models``, ``bookings``, or nothing.
+class Disturbance:
+    """One kind of disturbance and the ranges of its parameters.
+
+    :param kind: Name of the kind on the bench.
+    :param variants: Variants; empty text means the default variant.
+    :param float_ranges: Field name and bounds of each real-valued parameter, drawn uniformly.
+    :param int_ranges: Field name and bounds of each integer parameter, drawn uniformly.
+    :param is_planned: Whether it is a planned operation rather than a fault.
+    :param services: Services that it can affect: ``models``, ``bookings``, or empty for none.
     """
 
     kind: str
-    hows: Sequence[str] = ("",)
-    ranges: tuple[tuple[str, float, float], ...] = ()
-    counts: tuple[tuple[str, int, int], ...] = ()
+    variants: Sequence[str] = ("",)
+    float_ranges: tuple[tuple[str, float, float], ...] = ()
+    int_ranges: tuple[tuple[str, int, int], ...] = ()
     is_planned: bool = False
     services: Sequence[str] = ("",)
 
 
-_SHARE: Final = ("share", 0.15, 0.6)
-_FOR: Final = ("for_s", 2.0, 9.0)
-_GAP: Final = ("gap_s", 0.3, 2.0)
-_BOTH: Final = ("models", "bookings")
+_SHARE_RANGE: Final = ("share", 0.15, 0.6)
+_DURATION_RANGE: Final = ("for_s", 2.0, 9.0)
+_GAP_RANGE: Final = ("gap_s", 0.3, 2.0)
+_BOTH_SERVICES: Final = ("models", "bookings")
 
-TROUBLES: Final = (
-    Trouble(kind="burst", ranges=(("x", 1.3, 2.5), _FOR)),
-    Trouble(kind="hot_key", ranges=(_SHARE, _FOR)),
-    Trouble(kind="retry_abuse", ranges=(("x", 1.0, 4.0), _SHARE, _FOR)),
-    Trouble(kind="give_up", hows=("", "once"), ranges=(_SHARE, _FOR)),
-    Trouble(
+DISTURBANCES: Final = (
+    Disturbance(kind="burst", float_ranges=(("x", 1.3, 2.5), _DURATION_RANGE)),
+    Disturbance(kind="hot_key", float_ranges=(_SHARE_RANGE, _DURATION_RANGE)),
+    Disturbance(kind="retry_abuse", float_ranges=(("x", 1.0, 4.0), _SHARE_RANGE, _DURATION_RANGE)),
+    Disturbance(
+        kind="give_up", variants=("", "once"), float_ranges=(_SHARE_RANGE, _DURATION_RANGE)
+    ),
+    Disturbance(
         kind="srv_crash",
-        hows=("", "dark", "gone", "domain"),
-        ranges=(("share", 0.15, 0.4), _FOR),
-        services=_BOTH,
+        variants=("", "dark", "gone", "domain"),
+        float_ranges=(("share", 0.15, 0.4), _DURATION_RANGE),
+        services=_BOTH_SERVICES,
     ),
-    Trouble(
+    Disturbance(
         kind="srv_grey",
-        hows=("errors", "shed", "busy", "hang", "reset", "mute", "slow"),
-        ranges=(("share", 0.14, 0.4), ("x", 0.2, 0.9), _FOR),
-        services=_BOTH,
+        variants=("errors", "shed", "busy", "hang", "reset", "mute", "slow"),
+        float_ranges=(("share", 0.14, 0.4), ("x", 0.2, 0.9), _DURATION_RANGE),
+        services=_BOTH_SERVICES,
+    ),
+    Disturbance(
+        kind="srv_slow",
+        float_ranges=(("share", 0.14, 0.4), ("x", 2.0, 6.0), _DURATION_RANGE),
+        services=_BOTH_SERVICES,
     ),
-    Trouble(kind="srv_slow", ranges=(("share", 0.14, 0.4), ("x", 2.0, 6.0), _FOR), services=_BOTH),
-    Trouble(
+    Disturbance(
         kind="srv_cut",
-        hows=("", "fronts", "some", "one_way", "reset", "reborn", "some lossy", "fronts reset"),
-        ranges=(("share", 0.15, 0.5), _FOR),
-        services=_BOTH,
+        variants=("", "fronts", "some", "one_way", "reset", "reborn", "some lossy", "fronts reset"),
+        float_ranges=(("share", 0.15, 0.5), _DURATION_RANGE),
+        services=_BOTH_SERVICES,
+    ),
+    Disturbance(
+        kind="release",
+        float_ranges=(_SHARE_RANGE, _GAP_RANGE),
+        is_planned=True,
+        services=_BOTH_SERVICES,
     ),
-    Trouble(kind="release", ranges=(_SHARE, _GAP), is_planned=True, services=_BOTH),
-    Trouble(
+    Disturbance(
         kind="scale_in",
-        hows=("", "spot", "reclaim", "reclaim dry"),
-        ranges=(("share", 0.13, 0.35),),
+        variants=("", "spot", "reclaim", "reclaim dry"),
+        float_ranges=(("share", 0.13, 0.35),),
         is_planned=True,
-        services=_BOTH,
+        services=_BOTH_SERVICES,
     ),
-    Trouble(kind="scale_out", ranges=(("share", 0.2, 0.5), _GAP), is_planned=True, services=_BOTH),
-    Trouble(
+    Disturbance(
+        kind="scale_out",
+        float_ranges=(("share", 0.2, 0.5), _GAP_RANGE),
+        is_planned=True,
+        services=_BOTH_SERVICES,
+    ),
+    Disturbance(
         kind="replace_with_reuse",
-        hows=("", "drain", "dark"),
-        ranges=(("share", 0.15, 0.35),),
-        services=_BOTH,
+        variants=("", "drain", "dark"),
+        float_ranges=(("share", 0.15, 0.35),),
+        services=_BOTH_SERVICES,
+    ),
+    Disturbance(
+        kind="answer_lost",
+        variants=("", "reset"),
+        float_ranges=(_SHARE_RANGE, ("x", 0.02, 0.15), _DURATION_RANGE),
     ),
-    Trouble(kind="answer_lost", hows=("", "reset"), ranges=(_SHARE, ("x", 0.02, 0.15), _FOR)),
-    Trouble(
+    Disturbance(
         kind="garble",
-        hows=("", "extra", "extra late", "unframed", "early", "rot"),
-        ranges=(_SHARE, ("x", 0.01, 0.08), _FOR),
+        variants=("", "extra", "extra late", "unframed", "early", "rot"),
+        float_ranges=(_SHARE_RANGE, ("x", 0.01, 0.08), _DURATION_RANGE),
     ),
-    Trouble(
+    Disturbance(
         kind="node_kill",
-        hows=("", "power", "leader", "leader race drain", "meet drain", "reader", "power meet"),
-        ranges=(("share", 0.1, 0.5), _FOR),
+        variants=("", "power", "leader", "leader race drain", "meet drain", "reader", "power meet"),
+        float_ranges=(("share", 0.1, 0.5), _DURATION_RANGE),
     ),
-    Trouble(kind="node_freeze", hows=("", "renewed", "meet"), ranges=(("share", 0.1, 0.5), _FOR)),
-    Trouble(kind="node_slow", ranges=(("share", 0.1, 0.5), ("x", 2.0, 6.0), _FOR)),
-    Trouble(
+    Disturbance(
+        kind="node_freeze",
+        variants=("", "renewed", "meet"),
+        float_ranges=(("share", 0.1, 0.5), _DURATION_RANGE),
+    ),
+    Disturbance(
+        kind="node_slow", float_ranges=(("share", 0.1, 0.5), ("x", 2.0, 6.0), _DURATION_RANGE)
+    ),
+    Disturbance(
         kind="roll_term",
-        hows=("", "busy", "remove", "leader", "starter"),
-        ranges=(("share", 0.2, 1.0), _GAP),
+        variants=("", "busy", "remove", "leader", "starter"),
+        float_ranges=(("share", 0.2, 1.0), _GAP_RANGE),
         is_planned=True,
     ),
-    Trouble(
+    Disturbance(
         kind="herd_kill",
-        hows=("", "power", "taken", "taken all"),
-        ranges=(("share", 0.4, 1.0), ("for_s", 0.5, 3.0)),
+        variants=("", "power", "taken", "taken all"),
+        float_ranges=(("share", 0.4, 1.0), ("for_s", 0.5, 3.0)),
     ),
-    Trouble(kind="add_nodes", ranges=(("share", 0.3, 1.0),), is_planned=True),
-    Trouble(kind="hup", ranges=(_SHARE, _GAP), is_planned=True),
-    Trouble(
+    Disturbance(kind="add_nodes", float_ranges=(("share", 0.3, 1.0),), is_planned=True),
+    Disturbance(kind="hup", float_ranges=(_SHARE_RANGE, _GAP_RANGE), is_planned=True),
+    Disturbance(
         kind="core_cut",
-        hows=("", "all", "near", "one_way", "seeds", "both", "lure", "relieve", "leader race"),
-        ranges=(_FOR,),
-        counts=(("count", 1, 3),),
+        variants=("", "all", "near", "one_way", "seeds", "both", "lure", "relieve", "leader race"),
+        float_ranges=(_DURATION_RANGE,),
+        int_ranges=(("count", 1, 3),),
     ),
-    Trouble(
+    Disturbance(
         kind="node_cut",
-        hows=("", "all", "servers", "servers reborn", "reset revoke", "meet", "one_way", "revoke"),
-        ranges=(("share", 0.15, 0.5), _FOR),
+        variants=(
+            "",
+            "all",
+            "servers",
+            "servers reborn",
+            "reset revoke",
+            "meet",
+            "one_way",
+            "revoke",
+        ),
+        float_ranges=(("share", 0.15, 0.5), _DURATION_RANGE),
     ),
-    Trouble(kind="lossy", ranges=(("x", 0.01, 0.08), _FOR)),
-    Trouble(
+    Disturbance(kind="lossy", float_ranges=(("x", 0.01, 0.08), _DURATION_RANGE)),
+    Disturbance(
         kind="platform_down",
-        hows=(
+        variants=(
             "silent",
             "busy",
             "reset",
@@ -170,68 +206,78 @@
             "nodes revoke",
             "nodes drain",
         ),
-        ranges=(("share", 0.2, 0.7), ("for_s", 2.0, 9.0)),
+        float_ranges=(("share", 0.2, 0.7), ("for_s", 2.0, 9.0)),
     ),
-    Trouble(kind="platform_slow", ranges=(("x", 20.0, 150.0), _FOR)),
-    Trouble(kind="platform_lost", hows=("", "late"), ranges=(("x", 0.2, 0.7), _FOR)),
-    Trouble(kind="platform_compact", hows=("", "drain"), ranges=(("x", 2.0, 8.0), _FOR)),
-    Trouble(
+    Disturbance(kind="platform_slow", float_ranges=(("x", 20.0, 150.0), _DURATION_RANGE)),
+    Disturbance(
+        kind="platform_lost", variants=("", "late"), float_ranges=(("x", 0.2, 0.7), _DURATION_RANGE)
+    ),
+    Disturbance(
+        kind="platform_compact",
+        variants=("", "drain"),
+        float_ranges=(("x", 2.0, 8.0), _DURATION_RANGE),
+    ),
+    Disturbance(
         kind="config_change",
-        hows=("route", "weights", "timeout", "tenant", "quota", "topup", "idle", "quota down"),
+        variants=("route", "weights", "timeout", "tenant", "quota", "topup", "idle", "quota down"),
         is_planned=True,
     ),
-    Trouble(
+    Disturbance(
         kind="config_storm",
-        hows=("", "idle", "route", "tenant", "timeout"),
-        ranges=(("for_s", 1.0, 5.0), ("gap_s", 0.05, 0.5)),
+        variants=("", "idle", "route", "tenant", "timeout"),
+        float_ranges=(("for_s", 1.0, 5.0), ("gap_s", 0.05, 0.5)),
         is_planned=True,
     ),
-    Trouble(kind="big_config", counts=(("count", 100, 600),), is_planned=True),
-    Trouble(
+    Disturbance(kind="big_config", int_ranges=(("count", 100, 600),), is_planned=True),
+    Disturbance(
         kind="revoke",
-        hows=("", "last"),
-        ranges=(("gap_s", 0.1, 1.5),),
-        counts=(("count", 1, 4),),
+        variants=("", "last"),
+        float_ranges=(("gap_s", 0.1, 1.5),),
+        int_ranges=(("count", 1, 4),),
         is_planned=True,
     ),
-    Trouble(kind="after_ack_kill", hows=("", "kill", "timed", "taken"), counts=(("count", 1, 3),)),
-    Trouble(
+    Disturbance(
+        kind="after_ack_kill",
+        variants=("", "kill", "timed", "taken"),
+        int_ranges=(("count", 1, 3),),
+    ),
+    Disturbance(
         kind="clock_step",
-        hows=("back", "ahead"),
-        ranges=(_SHARE, ("x", 1_000.0, 8_000.0), _FOR),
+        variants=("back", "ahead"),
+        float_ranges=(_SHARE_RANGE, ("x", 1_000.0, 8_000.0), _DURATION_RANGE),
     ),
-    Trouble(kind="reset_conns", ranges=(_SHARE, ("x", 0.3, 1.0))),
+    Disturbance(kind="reset_conns", float_ranges=(_SHARE_RANGE, ("x", 0.3, 1.0))),
 )
 
-CLOSINGS: Final = (("power_off_all", ""), ("power_off_all", "all"), ("kill_all", ""))
+FINAL_OUTAGES: Final = (("power_off_all", ""), ("power_off_all", "all"), ("kill_all", ""))
 
 
-def draw_day(*, site: Site, seed: int) -> str:
-    """Return a day as TOML.
+def generate_day(*, site: Site, seed: int) -> str:
+    """Return a random day as TOML.
 
-    :param site: What its entries name.
-    :param seed: Draws the day; the bench draws its own luck from it too.
+    :param site: Site whose services and request classes the entries name.
+    :param seed: Seed of the random number generator; the bench seeds its own with it too.
     """
     rng = Random(seed)
-    planned = [_notice(site, rng, at) for at in _notice_times()]
+    planned = [_build_reclaim(site, rng, at) for at in _reclaim_times()]
     faults: list[dict[str, Value]] = []
-    for _ in range(rng.randint(FEWEST_TROUBLES, MOST_TROUBLES)):
-        trouble = rng.choice(TROUBLES)
-        entries = planned if trouble.is_planned else faults
-        entries.append(_draw(site, rng, trouble))
+    for _ in range(rng.randint(MIN_DISTURBANCES, MAX_DISTURBANCES)):
+        disturbance = rng.choice(DISTURBANCES)
+        entries = planned if disturbance.is_planned else faults
+        entries.append(_build_entry(site, rng, disturbance))
     lines = [f'name = "drawn-{seed}"', 'slot = "trouble"', f"seed = {seed}"]
-    lines += _closing(rng)
-    lines += _array("plan", planned)
-    lines += _array("faults", faults)
+    lines += _format_final_outage(rng)
+    lines += _format_array("plan", planned)
+    lines += _format_array("faults", faults)
     return "\n".join(lines) + "\n"
 
 
-def _notice_times() -> list[float]:
-    count = int((LENGTH_S - 1.5) / NOTICE_GAP_S) + 1
-    return [round(1.5 + number * NOTICE_GAP_S, 1) for number in range(count)]
+def _reclaim_times() -> list[float]:
+    count = int((DAY_LENGTH_S - 1.5) / RECLAIM_INTERVAL_S) + 1
+    return [round(1.5 + number * RECLAIM_INTERVAL_S, 1) for number in range(count)]
 
 
-def _notice(site: Site, rng: Random, at: float) -> dict[str, Value]:
+def _build_reclaim(site: Site, rng: Random, at: float) -> dict[str, Value]:
     return {
         "at": at,
         "kind": "scale_in",
@@ -242,48 +288,50 @@
     }
 
 
-def _draw(site: Site, rng: Random, trouble: Trouble) -> dict[str, Value]:
-    entry: dict[str, Value] = {"at": round(rng.uniform(0.5, 30.0), 2), "kind": trouble.kind}
-    how = rng.choice(trouble.hows)
+def _build_entry(site: Site, rng: Random, disturbance: Disturbance) -> dict[str, Value]:
+    entry: dict[str, Value] = {"at": round(rng.uniform(0.5, 30.0), 2), "kind": disturbance.kind}
+    how = rng.choice(disturbance.variants)
     if how:
         entry["how"] = how
-    service = rng.choice(trouble.services)
+    service = rng.choice(disturbance.services)
     if service:
         entry["service"] = site.models if service == "models" else site.bookings
-    if trouble.kind in ("hot_key", "burst"):
+    if disturbance.kind in ("hot_key", "burst"):
         entry["class"] = rng.choice(site.classes)
-    for field, least, most in trouble.ranges:
-        entry[field] = round(rng.uniform(least, most), 3)
-    for field, fewest, greatest in trouble.counts:
-        entry[field] = rng.randint(fewest, greatest)
+    for field, low, high in disturbance.float_ranges:
+        entry[field] = round(rng.uniform(low, high), 3)
+    for field, min_count, max_count in disturbance.int_ranges:
+        entry[field] = rng.randint(min_count, max_count)
     return entry
 
 
-def _closing(rng: Random) -> list[str]:
+def _format_final_outage(rng: Random) -> list[str]:
     if rng.random() < 0.5:
         return []
-    kind, how = rng.choice(CLOSINGS)
+    kind, how = rng.choice(FINAL_OUTAGES)
     down_s = round(rng.uniform(0.5, 1.5), 2)
     variant = f', how = "{how}"' if how else ""
     return [f'closing = {{ kind = "{kind}", down_s = {down_s}{variant} }}']
 
 
-def _array(name: str, entries: Sequence[dict[str, Value]]) -> list[str]:
-    rows = [f"  {{ {', '.join(_field(*item) for item in entry.items())} }}," for entry in entries]
+def _format_array(name: str, entries: Sequence[dict[str, Value]]) -> list[str]:
+    rows = [
+        f"  {{ {', '.join(_format_field(*item) for item in entry.items())} }}," for entry in entries
+    ]
     return [f"{name} = [", *rows, "]"]
 
 
-def _field(name: str, value: Value) -> str:
+def _format_field(name: str, value: Value) -> str:
     return f'{name} = "{value}"' if isinstance(value, str) else f"{name} = {value}"
 
 
 def main() -> None:
-    """Write the days that the arguments ask for."""
+    """Write one file for each seed given by the command-line arguments."""
     name, first, count, directory = sys.argv[1:]
     folder = Path(directory)
     folder.mkdir(parents=True, exist_ok=True)
     for seed in range(int(first), int(first) + int(count)):
-        (folder / f"drawn-{seed}.toml").write_text(draw_day(site=SITES[name], seed=seed))
+        (folder / f"drawn-{seed}.toml").write_text(generate_day(site=SITES[name], seed=seed))
 
 
 if __name__ == "__main__":
--- a/testing/test_start_image.py
+++ b/testing/test_start_image.py
@@ -1,4 +1,4 @@
-"""The start image of a host: its modules are the same as those in their files."""
+"""Tests of the start image: its modules behave like those imported from files."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return path
 
 
-def test_module_from_the_image_is_that_of_its_file(image: Path) -> None:
+def test_module_loaded_from_the_image_matches_its_file(image: Path) -> None:
     spec = StartImage(path=str(image)).find_spec(MODULE)
     assert spec is not None
     module = importlib.util.module_from_spec(spec)
@@ -45,28 +45,28 @@
     assert spec.submodule_search_locations == [str(directory)]
 
 
-def test_module_is_left_to_the_files_when_the_image_does_not_hold_it(image: Path) -> None:
+def test_module_is_not_found_when_it_is_not_in_the_image(image: Path) -> None:
     assert StartImage(path=str(image)).find_spec("tanagerscale.replay") is None
 
 
-@pytest.mark.parametrize("part", [0.0, 0.01, 0.1, 0.5, 0.99])
-def test_image_is_refused_when_it_was_cut(image: Path, part: float) -> None:
+@pytest.mark.parametrize("fraction", [0.0, 0.01, 0.1, 0.5, 0.99])
+def test_image_is_rejected_when_truncated(image: Path, fraction: float) -> None:
     content = image.read_bytes()
-    image.write_bytes(content[: int(len(content) * part)])
+    image.write_bytes(content[: int(len(content) * fraction)])
     with pytest.raises(ImageError, match="build it again"):
         StartImage(path=str(image))
 
 
-def test_image_is_refused_when_another_interpreter_made_it(
+def test_image_is_rejected_when_built_by_another_interpreter(
     image: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("start_image.interpreter_tag", lambda: b"another one")
-    with pytest.raises(ImageError, match="not an image of this interpreter"):
+    with pytest.raises(ImageError, match="built by another interpreter version"):
         StartImage(path=str(image))
 
 
 @pytest.mark.parametrize("content", [None, b"", b"no image at all, but some bytes"])
-def test_host_starts_from_its_files_when_there_is_no_sound_image(
+def test_host_imports_from_files_when_the_image_is_missing_or_invalid(
     tmp_path: Path, content: bytes | None
 ) -> None:
     copy = tmp_path / "deploy"
@@ -76,13 +76,13 @@
     (tmp_path / "target").mkdir()
     if content is not None:
         (tmp_path / "target" / "host.image").write_bytes(content)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, str(copy / "start.py")],
         env={"TANAGERSCALE_CONFIG": str(tmp_path / "none.ini")},
         capture_output=True,
         text=True,
         check=False,
     )
-    assert "Modules are imported from their files" in done.stderr
-    assert "none.ini" in done.stderr
-    assert done.returncode == 2
+    assert "Modules are imported from their files" in completed.stderr
+    assert "none.ini" in completed.stderr
+    assert completed.returncode == 2
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,3 +1,3 @@
-"""Benches, measurements and the generator of types; not part of the package."""
+"""Benchmarks, log analysis and the code generator; not part of the package."""
 
 from __future__ import annotations
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,6 +1,6 @@
 """Generate the message and settings types from the JSON Schemas under ``schema/``.
 
-The output is committed, so that neither a build nor a host needs the generator.
+The output is committed, so neither a build nor a host needs the generator.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
     "--formatters=black",
 )
 
-# Every optional property of our schemas has a default, so an unset value never occurs.
+# Every optional property in the schemas has a default, so an unset value never occurs.
 UNSET_ALTERNATIVE = re.compile(r"\s*\|\s*UnsetType")
-# Values are shared between tasks, so they must not change; defaults are left out on the wire.
+# Values are shared between tasks, so they must be immutable; defaults are omitted on the wire.
 STRUCT_BASE = re.compile(r"\(Struct\):")
 STRUCT_OPTIONS = "(Struct, frozen=True, kw_only=True, omit_defaults=True):"
 
 
 def generate(*, output_dir: Path) -> list[Path]:
-    """Write one module for each schema.
+    """Generate one module for each schema.
 
-    :param output_dir: Directory that receives the modules.
-    :returns: The modules written.
-    :raises subprocess.CalledProcessError: When the generator refuses a schema.
+    :param output_dir: Directory to write the modules to.
+    :returns: Paths of the modules written.
+    :raises subprocess.CalledProcessError: If the generator fails on a schema.
     """
-    written = []
+    modules = []
     for schema in sorted(SCHEMA_DIR.glob("*.json")):
         module = output_dir / f"{schema.stem}.py"
         command = [
@@ -57,16 +57,16 @@
             *GENERATOR_OPTIONS,
         ]
         subprocess.run(command, check=True, cwd=ROOT, stderr=subprocess.PIPE)
-        module.write_text(_tidy(module.read_text()))
-        written.append(module)
-    return written
+        module.write_text(_postprocess(module.read_text()))
+        modules.append(module)
+    return modules
 
 
-def _tidy(code: str) -> str:
-    """Adapt generated code to the project's habits.
+def _postprocess(code: str) -> str:
+    """Adapt generated code to the conventions of the project.
 
-    :param code: What the generator wrote.
-    :returns: The same types, immutable, with keyword-only arguments and no unset values.
+    :param code: Output of the generator.
+    :returns: The same types, frozen, with keyword-only arguments and without unset values.
     """
     code = UNSET_ALTERNATIVE.sub("", code)
     code = code.replace(", UnsetType", "")
