--- a/tools/bench_claims.py
+++ b/tools/bench_claims.py
@@ -1,7 +1,7 @@
-"""Measure the store calls of bookings against the stand-in store over HTTP.
+"""Measure the store calls and claim latency of bookings against the stand-in store over HTTP.
 
-Run as ``PYTHONPATH=src:. python tools/bench_claims.py``; all in one process on the loopback
-address.
+Run as ``PYTHONPATH=src:. python tools/bench_claims.py``; everything runs in one process over
+loopback.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from tanagerscale.generated.records import ClaimState
 from tanagerscale.store import EtcdStore
 
-TTL_S = 86_400
-SERVICE_MS = 20
-ANSWER = b'{"crew": 7, "building": "library"}'
+CLAIM_TTL_S = 86_400
+SERVICE_TIME_MS = 20
+RESPONSE_BODY = b'{"crew": 7, "building": "library"}'
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """One measurement.
+    """Load of one measurement.
 
-    :param rate: Bookings a second over all hosts.
-    :param hosts: Hosts that share them evenly.
-    :param count: Bookings in all.
+    :param rate: Bookings per second across all hosts.
+    :param hosts: Number of hosts; bookings are distributed evenly.
+    :param count: Total number of bookings.
     """
 
     rate: float
@@ -47,18 +47,22 @@
     count: int
 
 
-async def _book(claims: Claims, name: str, waits: list[float]) -> None:
+async def _run_booking(claims: Claims, booking_key: str, waits_ms: list[float]) -> None:
     loop = asyncio.get_running_loop()
     key = ClaimKey(
-        account=ClientAccountId("office"), service=ServiceId("booking"), idempotency_key=name
+        account=ClientAccountId("office"), service=ServiceId("booking"), idempotency_key=booking_key
     )
-    began = loop.time()
-    claim = (await claims.claim(key=key, request_digest="d", ttl_s=TTL_S)).unwrap()
-    waits.append((loop.time() - began) * MS_PER_SECOND)
+    start = loop.time()
+    claim = (await claims.claim(key=key, request_digest="d", ttl_s=CLAIM_TTL_S)).unwrap()
+    waits_ms.append((loop.time() - start) * MS_PER_SECOND)
     if not isinstance(claim, Granted):
-        raise RuntimeError("a fresh key was not granted; start with an empty store")
-    await asyncio.sleep(SERVICE_MS / MS_PER_SECOND)
-    claims.settle(claim=claim, outcome=ClaimOutcome(state=ClaimState.DONE, status=201, body=ANSWER))
+        raise RuntimeError(
+            "claim of a new key was not granted; the store must be empty at the start"
+        )
+    await asyncio.sleep(SERVICE_TIME_MS / MS_PER_SECOND)
+    claims.settle(
+        claim=claim, outcome=ClaimOutcome(state=ClaimState.DONE, status=201, body=RESPONSE_BODY)
+    )
 
 
 async def _measure(load: Load, *, seed: int) -> None:
@@ -81,28 +85,33 @@
         )
         for number, store in enumerate(stores)
     ]
-    await asyncio.gather(*(_book(claims, f"warm-up-{i}", []) for i, claims in enumerate(hosts)))
+    await asyncio.gather(
+        *(_run_booking(claims, f"warm-up-{i}", []) for i, claims in enumerate(hosts))
+    )
     await asyncio.gather(*(claims.drain() for claims in hosts))
-    before = await _writes(url)
-    waits: list[float] = []
+    writes_before = await _get_write_count(url)
+    waits_ms: list[float] = []
     rng = random.Random(seed)
     tasks = []
     loop = asyncio.get_running_loop()
-    due = began = loop.time()
+    next_arrival = start = loop.time()
     for number in range(load.count):
-        due += rng.expovariate(load.rate)
-        await asyncio.sleep(max(due - loop.time(), 0))
-        tasks.append(asyncio.create_task(_book(hosts[number % load.hosts], f"b{number}", waits)))
+        next_arrival += rng.expovariate(load.rate)
+        await asyncio.sleep(max(next_arrival - loop.time(), 0))
+        tasks.append(
+            asyncio.create_task(_run_booking(hosts[number % load.hosts], f"b{number}", waits_ms))
+        )
     await asyncio.gather(*tasks)
     await asyncio.gather(*(claims.drain() for claims in hosts))
-    seconds = loop.time() - began
-    calls = await _writes(url) - before
-    waits.sort()
+    elapsed_s = loop.time() - start
+    write_count = await _get_write_count(url) - writes_before
+    waits_ms.sort()
     print(
         f"{load.rate:6.0f}/s over {load.hosts} hosts, {load.count} bookings: "
-        f"{calls / load.count:.2f} store calls a booking, {calls / seconds:.0f} calls/s, "
-        f"claim wait median {statistics.median(waits):.1f} ms, "
-        f"p99 {waits[int(len(waits) * 0.99)]:.1f} ms"
+        f"{write_count / load.count:.2f} store calls a booking, "
+        f"{write_count / elapsed_s:.0f} calls/s, "
+        f"claim wait median {statistics.median(waits_ms):.1f} ms, "
+        f"p99 {waits_ms[int(len(waits_ms) * 0.99)]:.1f} ms"
     )
     for claims, store in zip(hosts, stores, strict=True):
         await claims.close()
@@ -110,7 +119,7 @@
     await runner.cleanup()
 
 
-async def _writes(url: str) -> int:
+async def _get_write_count(url: str) -> int:
     async with aiohttp.ClientSession() as session, session.get(url + "/admin/stats") as response:
         return int((await response.json())["writes"])
 
@@ -118,7 +127,7 @@
 def main(seed: int = 1) -> None:
     """Print one line for each load.
 
-    :param seed: Seeds the arrivals.
+    :param seed: Seed of the random arrival times.
     """
     loads = (
         Load(rate=1, hosts=1, count=10),
--- a/tools/bench_declarations.py
+++ b/tools/bench_declarations.py
@@ -1,4 +1,4 @@
-"""Measures declarations of the target size: validation, chunks, deltas, host work.
+"""Measure declarations of the target size: validation, chunks, deltas and processor time.
 
 Run it with ``python tools/bench_declarations.py``; it prints one JSON document.
 """
@@ -30,29 +30,30 @@
 from tanagerscale.generated.records import Head  # noqa: E402
 from testing._fake_store import FakeStore  # noqa: E402
 
-ACCOUNTS = 8_000
-ENGINES = 12_000
-MODELS = 9
-DOMAINS = 33
+ACCOUNT_COUNT = 8_000
+ENGINE_COUNT = 12_000
+MODEL_COUNT = 9
+FAILURE_DOMAIN_COUNT = 33
 CHANGES_PER_DAY = 34_000
 SECONDS_PER_DAY = 86_400
-CHANGES_MEASURED = 50
+MEASURED_CHANGE_COUNT = 50
 PREFIX = "/bench"
 MS_PER_SECOND = 1000
-MIB = 1024 * 1024
+BYTES_PER_MIB = 1024 * 1024
 SALT_BYTES = 16
 HASH_BYTES = 32
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ChangeFigures:
+class ChangeCosts:
     """Medians over changes of one section each.
 
-    :param head_bytes: Value of the head in the store.
-    :param watch_bytes: The same as a watch carries it, as base64 in JSON.
-    :param apply_ms: Processor time of the operator's publish, reading the present set included.
-    :param host_ms: Processor time of a host that puts the change in force.
-    :param chunk_bytes: Bytes of chunks written.
+    :param head_bytes: Size of the head record in the store.
+    :param watch_bytes: Size of the head record in a watch response, base64-encoded in JSON.
+    :param apply_ms: Processor time of the operator's publish, including the read of the current
+        set.
+    :param host_ms: Processor time of a host to put the change in force.
+    :param chunk_bytes: Total size of the chunks written.
     """
 
     head_bytes: float
@@ -63,53 +64,54 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print them as JSON."""
     random = Random(1)
     with tempfile.TemporaryDirectory() as directory:
-        path = Path(directory) / "all.ini"
-        path.write_text(_declarations_text(random))
-        started = time.process_time()
-        declared = read_declarations(paths=[path]).unwrap()
-        validate_s = time.process_time() - started
-        file_bytes = path.stat().st_size
+        ini_path = Path(directory) / "all.ini"
+        ini_path.write_text(_generate_declarations(random))
+        start = time.process_time()
+        declared = read_declarations(paths=[ini_path]).unwrap()
+        validate_s = time.process_time() - start
+        file_bytes = ini_path.stat().st_size
     report = asyncio.run(_measure(declared=declared, random=random))
     report["file_bytes"] = file_bytes
     report["validate_s"] = round(validate_s, 2)
     print(json.dumps(report, indent=2))
 
 
-def _declarations_text(random: Random) -> str:
-    models = [f"model-{number}" for number in range(MODELS)]
+def _generate_declarations(random: Random) -> str:
+    models = [f"model-{number}" for number in range(MODEL_COUNT)]
     sections = ["[objective]\nstall_weight = 2\n"]
     sections += [f"[model {model}]\nversion = 1\n" for model in models]
-    for number in range(ACCOUNTS):
+    for number in range(ACCOUNT_COUNT):
         key_hash = (
-            f"$argon2id$v=19$m=8192,t=2,p=1${_base64(random, SALT_BYTES)}"
-            f"${_base64(random, HASH_BYTES)}"
+            f"$argon2id$v=19$m=8192,t=2,p=1${_random_base64(random, SALT_BYTES)}"
+            f"${_random_base64(random, HASH_BYTES)}"
         )
         sections.append(
             f"[account account-{number}]\nkey_hash = {key_hash}\nweight = {1 + number % 5}\n"
-            f"models = {models[number % MODELS]}\nrequests_per_second = {10 + number % 90}\n"
+            f"models = {models[number % MODEL_COUNT]}\nrequests_per_second = {10 + number % 90}\n"
         )
-    for number in range(ENGINES):
+    for number in range(ENGINE_COUNT):
         address = f"10.{number // 65536}.{number // 256 % 256}.{number % 256}:8000"
         sections.append(
             f"[engine engine-{number}]\naddress = {address}\n"
-            f"failure_domain = domain-{number % DOMAINS}\nmodels = {models[number % MODELS]}\n"
+            f"failure_domain = domain-{number % FAILURE_DOMAIN_COUNT}\n"
+            f"models = {models[number % MODEL_COUNT]}\n"
             f"memory_tokens = {60000 + number % 7}\n"
         )
     return "\n".join(sections)
 
 
-def _base64(random: Random, length: int) -> str:
+def _random_base64(random: Random, length: int) -> str:
     return base64.b64encode(random.randbytes(length)).decode().rstrip("=")
 
 
 async def _measure(*, declared: DeclarationSet, random: Random) -> dict[str, object]:
     store = FakeStore()
-    started = time.process_time()
+    start = time.process_time()
     head = await _publish(store=store, declared=declared)
-    first_s = time.process_time() - started
+    first_publish_s = time.process_time() - start
     chunks = [len(entry.value) for key, entry in store.backend.entries.items() if "/chunks/" in key]
     follower = Follower(store=store, prefix=PREFIX, clock=Clock(), random=random)
     content = {
@@ -118,67 +120,69 @@
         if "/chunks/" in key
     }
     head_json = store.backend.entries[f"{PREFIX}/declarations/head"].value
-    started = time.process_time()
+    start = time.process_time()
     await follower.offer_from_peer(head=head_json, chunks=content)
-    start_s = time.process_time() - started
+    host_start_s = time.process_time() - start
     memory_mib = await _measure_memory(store=store, head_json=head_json, content=content)
     change = await _measure_changes(store=store, follower=follower, declared=declared)
-    per_second = CHANGES_PER_DAY / SECONDS_PER_DAY
+    changes_per_second = CHANGES_PER_DAY / SECONDS_PER_DAY
     return {
         "sections": len(declared.accounts) + len(declared.engines) + len(declared.models) + 1,
-        "first_publish_s": round(first_s, 2),
+        "first_publish_s": round(first_publish_s, 2),
         "chunks": len(head.chunks),
         "chunk_bytes_min": min(chunks),
         "chunk_bytes_max": max(chunks),
         "chunk_bytes_total": sum(chunks),
-        "host_start_s": round(start_s, 2),
+        "host_start_s": round(host_start_s, 2),
         "host_memory_mib": memory_mib,
         "one_section_changed": {
-            name: round(getattr(change, name), 2) for name in ChangeFigures.__slots__
+            name: round(getattr(change, name), 2) for name in ChangeCosts.__slots__
         },
-        "host_watch_bytes_per_s": round(change.watch_bytes * per_second),
-        "host_ms_per_s": round(change.host_ms * per_second, 2),
-        "operator_chunk_bytes_per_s": round(change.chunk_bytes * per_second),
+        "host_watch_bytes_per_s": round(change.watch_bytes * changes_per_second),
+        "host_ms_per_s": round(change.host_ms * changes_per_second, 2),
+        "operator_chunk_bytes_per_s": round(change.chunk_bytes * changes_per_second),
     }
 
 
 async def _measure_memory(*, store: FakeStore, head_json: bytes, content: dict[str, str]) -> float:
-    """Return the memory that a host's copy holds, in MiB."""
+    """Return the memory used by a host's copy of the declarations, in MiB."""
     tracemalloc.start()
     follower = Follower(store=store, prefix=PREFIX, clock=Clock(), random=Random(2))
     await follower.offer_from_peer(head=head_json, chunks=content)
-    held, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert follower.head_revision == 1
-    return round(held / MIB, 1)
+    return round(memory_bytes / BYTES_PER_MIB, 1)
 
 
 async def _measure_changes(
     *, store: FakeStore, follower: Follower, declared: DeclarationSet
-) -> ChangeFigures:
-    heads, applies, hosts, chunks = [], [], [], []
-    for number in range(CHANGES_MEASURED):
+) -> ChangeCosts:
+    head_sizes, apply_times_ms, host_times_ms, chunks = [], [], [], []
+    for number in range(MEASURED_CHANGE_COUNT):
         engines = list(declared.engines)
         engine = engines[number * 7]
         engines[number * 7] = msgspec.structs.replace(engine, max_batch=100 + number)
         declared = msgspec.structs.replace(declared, engines=engines)
-        known = set(store.backend.entries)
-        started = time.process_time()
+        existing_keys = set(store.backend.entries)
+        start = time.process_time()
         await _publish(store=store, declared=declared)
-        applies.append((time.process_time() - started) * MS_PER_SECOND)
-        new = [key for key in store.backend.entries if key not in known and "/chunks/" in key]
-        chunks.append(sum(len(store.backend.entries[key].value) for key in new))
+        apply_times_ms.append((time.process_time() - start) * MS_PER_SECOND)
+        new_keys = [
+            key for key in store.backend.entries if key not in existing_keys and "/chunks/" in key
+        ]
+        chunks.append(sum(len(store.backend.entries[key].value) for key in new_keys))
         head_json = store.backend.entries[f"{PREFIX}/declarations/head"].value
-        heads.append(len(head_json))
-        started = time.process_time()
+        head_sizes.append(len(head_json))
+        start = time.process_time()
         result = await follower.offer_from_peer(head=head_json, chunks={})
-        hosts.append((time.process_time() - started) * MS_PER_SECOND)
+        host_times_ms.append((time.process_time() - start) * MS_PER_SECOND)
         assert result.unwrap() == Revision(number + 2)
-    return ChangeFigures(
-        head_bytes=_median(heads),
-        watch_bytes=_median([len(base64.b64encode(bytes(size))) for size in heads]),
-        apply_ms=_median(applies),
-        host_ms=_median(hosts),
+    return ChangeCosts(
+        head_bytes=_median(head_sizes),
+        watch_bytes=_median([len(base64.b64encode(bytes(size))) for size in head_sizes]),
+        apply_ms=_median(apply_times_ms),
+        host_ms=_median(host_times_ms),
         chunk_bytes=_median(chunks),
     )
 
--- a/tools/bench_recovery.py
+++ b/tools/bench_recovery.py
@@ -1,4 +1,4 @@
-"""Useful work, retries and refusals before, during and after mass failures, in virtual time.
+"""Measure goodput, retries and refusals before, during and after mass failures, in virtual time.
 
 Run it as ``python -m tools.bench_recovery``; the failures are of engines and of the store.
 """
@@ -22,98 +22,110 @@
 from testing._simulation import Simulation
 from testing._virtual_time import run_virtually
 
-FAIL_MS = 40_000
-BACK_MS = 60_000
+CRASH_MS = 40_000
+RESTART_MS = 60_000
 END_MS = 120_000
 WINDOW_MS = 5_000
-RECOVERED = 0.95
+RECOVERED_FRACTION = 0.95
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Case:
-    """One run.
+    """Parameters of one run.
 
-    :param load: Part of what all engines can do that callers ask for.
-    :param dead: Engines of four that die at once.
-    :param hosts: Hosts that the callers are spread over.
-    :param max_batch: Most attempts that an engine runs at once.
-    :param reserve: Retries that a host saves up.
+    :param load: Offered load as a fraction of the total engine capacity.
+    :param crashed_engines: Number of the four engines that crash at the same time.
+    :param hosts: Number of hosts that the callers are distributed over.
+    :param max_batch: Maximum number of attempts that an engine runs concurrently.
+    :param reserve: Maximum number of retries that a host accumulates in its retry budget.
     """
 
     load: float
-    dead: int
+    crashed_engines: int
     hosts: int = 3
     max_batch: int = 8
     reserve: float = RETRY_RESERVE
 
 
 CASES = (
-    Case(load=0.4, dead=2),
-    Case(load=0.7, dead=2),
-    Case(load=0.9, dead=2),
-    Case(load=0.7, dead=4),
-    Case(load=0.9, dead=2, hosts=1, max_batch=64, reserve=10.0),
-    Case(load=0.9, dead=2, hosts=1, max_batch=64, reserve=32.0),
-    Case(load=0.9, dead=2, hosts=1, max_batch=64),
-    Case(load=0.9, dead=2, hosts=3, max_batch=64, reserve=10.0),
-    Case(load=0.9, dead=2, hosts=3, max_batch=64),
+    Case(load=0.4, crashed_engines=2),
+    Case(load=0.7, crashed_engines=2),
+    Case(load=0.9, crashed_engines=2),
+    Case(load=0.7, crashed_engines=4),
+    Case(load=0.9, crashed_engines=2, hosts=1, max_batch=64, reserve=10.0),
+    Case(load=0.9, crashed_engines=2, hosts=1, max_batch=64, reserve=32.0),
+    Case(load=0.9, crashed_engines=2, hosts=1, max_batch=64),
+    Case(load=0.9, crashed_engines=2, hosts=3, max_batch=64, reserve=10.0),
+    Case(load=0.9, crashed_engines=2, hosts=3, max_batch=64),
 )
 
 
 async def _run(case: Case) -> Simulation:
-    world = Simulation(hosts=case.hosts, max_batch=case.max_batch, reserve=case.reserve)
-    asking = asyncio.create_task(world.generate_load(END_MS, load=case.load))
-    victims: Sequence[SimulatedEngine] = list(world.engines.values())[: case.dead]
-    await world.clock.sleep(FAIL_MS)
-    for engine in victims:
+    simulation = Simulation(hosts=case.hosts, max_batch=case.max_batch, reserve=case.reserve)
+    load_task = asyncio.create_task(simulation.generate_load(END_MS, load=case.load))
+    crashing_engines: Sequence[SimulatedEngine] = list(simulation.engines.values())[
+        : case.crashed_engines
+    ]
+    await simulation.clock.sleep(CRASH_MS)
+    for engine in crashing_engines:
         engine.crash()
-    await world.clock.sleep(BACK_MS - world.clock.now())
-    for engine in victims:
+    await simulation.clock.sleep(RESTART_MS - simulation.clock.now())
+    for engine in crashing_engines:
         engine.restart()
-    await asking
-    await world.wait_for_callers()
-    return world
-
-
-def _recovery_ms(world: Simulation, before: float) -> int:
-    """Return how long after the return useful work is back for a window."""
-    for begin in range(BACK_MS, END_MS - WINDOW_MS, 1_000):
-        if world.completed_per_s(begin, begin + WINDOW_MS) >= RECOVERED * before:
-            return begin - BACK_MS
+    await load_task
+    await simulation.wait_for_callers()
+    return simulation
+
+
+def _compute_recovery_ms(simulation: Simulation, goodput_before: float) -> int:
+    """Return the milliseconds from the restart to the first recovered window, or -1."""
+    for window_start in range(RESTART_MS, END_MS - WINDOW_MS, 1_000):
+        if (
+            simulation.completed_per_s(window_start, window_start + WINDOW_MS)
+            >= RECOVERED_FRACTION * goodput_before
+        ):
+            return window_start - RESTART_MS
     return -1
 
 
-def _most_together(refused: Sequence[RefusedCall]) -> int:
-    """Return the most refused callers that come back within one tenth of a second."""
-    moments = Counter(each.retry_at // 100 for each in refused)
-    return max(moments.values(), default=0)
+def _count_simultaneous_retries(refused: Sequence[RefusedCall]) -> int:
+    """Return the largest number of refused callers that retry within one tenth of a second."""
+    retries_by_slot = Counter(refusal.retry_at // 100 for refusal in refused)
+    return max(retries_by_slot.values(), default=0)
 
 
-def _print(case: Case, world: Simulation) -> None:
-    before = world.completed_per_s(20_000, FAIL_MS)
-    slowest = max((each.refused_at - each.arrived_at for each in world.refused), default=0)
-    kinds = Counter(
-        f"{each.problem.kind.value}/{each.problem.execution.value}" for each in world.refused
+def _print_row(case: Case, simulation: Simulation) -> None:
+    goodput_before = simulation.completed_per_s(20_000, CRASH_MS)
+    slowest_refusal_ms = max(
+        (refusal.refused_at - refusal.arrived_at for refusal in simulation.refused), default=0
+    )
+    refusal_kinds = Counter(
+        f"{refusal.problem.kind.value}/{refusal.problem.execution.value}"
+        for refusal in simulation.refused
     )
     print(
-        f"{case.hosts:5} {case.max_batch:5} {case.load:4} {case.dead:4} {case.reserve:7.0f} "
-        f"{before:8.1f} {world.completed_per_s(FAIL_MS, BACK_MS):8.1f} "
-        f"{world.completed_per_s(BACK_MS, END_MS):7.1f} {_recovery_ms(world, before):10} "
-        f"{world.started:8} {world.retries:7} {len(world.refused):7} {slowest:10} "
-        f"{_most_together(world.refused):8} {world.completed_at[-1] / 1000:6.0f} {dict(kinds)}",
+        f"{case.hosts:5} {case.max_batch:5} {case.load:4} {case.crashed_engines:4} "
+        f"{case.reserve:7.0f} "
+        f"{goodput_before:8.1f} {simulation.completed_per_s(CRASH_MS, RESTART_MS):8.1f} "
+        f"{simulation.completed_per_s(RESTART_MS, END_MS):7.1f} "
+        f"{_compute_recovery_ms(simulation, goodput_before):10} "
+        f"{simulation.started:8} {simulation.retries:7} {len(simulation.refused):7} "
+        f"{slowest_refusal_ms:10} "
+        f"{_count_simultaneous_retries(simulation.refused):8} "
+        f"{simulation.completed_at[-1] / 1000:6.0f} {dict(refusal_kinds)}",
         flush=True,
     )
 
 
 def main() -> None:
-    """Print the table."""
+    """Run all cases and print a table."""
     logbook.NullHandler().push_application()
     print(
         "hosts batch load dead reserve before/s during/s after/s recover_ms requests retries "
         "refused slowest_ms together done_s refusals"
     )
     for case in CASES:
-        _print(case, run_virtually(_run(case)))
+        _print_row(case, run_virtually(_run(case)))
 
 
 if __name__ == "__main__":
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -1,7 +1,7 @@
-"""Measure the processor time of a relayed token against a bare pass-through, in one run.
+"""Compare the processor time per relayed token of the product with that of a bare proxy.
 
-Three processes: a source of events, a relay, and this one as the caller. Each round runs the
-bare pass-through and the product's own entry over the same number of streams and tokens.
+Uses three processes: a source of events, a relay, and this process as the caller. Each round runs
+the bare proxy and the product's entry with the same number of streams and tokens.
 """
 
 from __future__ import annotations
@@ -58,15 +58,15 @@
 ENGINE = UpstreamId("engine-1")
 ACCOUNT = ClientAccountId("bench")
 MODEL = "bench-model"
-ROUNDS = 3
+ROUND_COUNT = 3
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """What one round carries.
+    """Load of one round.
 
-    :param streams: Streams open at once.
-    :param tokens: Tokens of each.
+    :param streams: Number of concurrent streams.
+    :param tokens: Number of tokens per stream.
     :param gap_ms: Time between two tokens of a stream, in milliseconds.
     """
 
@@ -77,10 +77,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoundResult:
-    """What one round took in the relay's process.
+    """Resource usage of the relay process in one round.
 
-    :param cpu_us_per_token: Processor time for each token, in microseconds.
-    :param memory_kb_per_stream: Growth of resident memory for each open stream, in kilobytes.
+    :param cpu_us_per_token: Processor time per token, in microseconds.
+    :param memory_kb_per_stream: Growth of resident memory per open stream, in kilobytes.
     """
 
     cpu_us_per_token: float
@@ -97,10 +97,10 @@
 
 
 def source(*, tokens: int, gap_ms: int) -> None:
-    """Serve as an engine that sends tokens at a fixed pace.
+    """Serve as an engine that sends tokens at a fixed rate.
 
-    :param tokens: Tokens of each answer.
-    :param gap_ms: Time between two of them, in milliseconds.
+    :param tokens: Number of tokens per answer.
+    :param gap_ms: Time between two tokens, in milliseconds.
     """
 
     async def complete(request: web.Request) -> web.StreamResponse:
@@ -110,9 +110,9 @@
         for offset in range(tokens):
             await asyncio.sleep(gap_ms / 1000)
             event = TokenEvent(attempt_id=attempt, offset=offset, text=" window")
-            await response.write(_frame(event))
+            await response.write(_encode_event(event))
         end = TokenEvent(attempt_id=attempt, offset=tokens, finish_reason=FinishReason.STOP)
-        await response.write(_frame(end))
+        await response.write(_encode_event(end))
         return response
 
     app = web.Application()
@@ -120,12 +120,12 @@
     asyncio.run(_serve(app))
 
 
-def _frame(event: TokenEvent) -> bytes:
+def _encode_event(event: TokenEvent) -> bytes:
     return b"id: %d\ndata: " % event.offset + msgspec.json.encode(event) + b"\n\n"
 
 
 def bare(*, engine_port: int) -> None:
-    """Serve as a bare pass-through.
+    """Serve as a bare proxy that forwards chunks without parsing them.
 
     :param engine_port: Port of the source.
     """
@@ -151,34 +151,34 @@
     asyncio.run(run())
 
 
-class OneEngineRouter:
-    """Places everything on the one engine."""
+class SingleEngineRouter:
+    """Router that places every generation on the only engine."""
 
     async def place(self, *, request: PlacementRequest) -> Result[Placement, Problem]:
-        """Place at once."""
+        """Return a placement on the engine without waiting."""
         return Success(Placement(generation=request.generation, engine=ENGINE))
 
     def adopt(self, *, request: PlacementRequest, engine: UpstreamId, tokens: int) -> Placement:
-        """Hold it where it runs."""
+        """Return a placement on the engine that runs the generation."""
         return Placement(generation=request.generation, engine=engine)
 
     def report_progress(self, *, generation: GenerationId, tokens: int) -> None:
-        """Take no note."""
+        """Do nothing."""
 
     def release(
         self, *, generation: GenerationId, tokens: int, complete: bool, engine_lost: bool
     ) -> None:
-        """Take no note."""
+        """Do nothing."""
 
 
 def product(*, engine_port: int) -> None:
-    """Serve with the product's entry, dispatch and delivery.
+    """Serve as a relay with the product's entry, dispatch and delivery.
 
     :param engine_port: Port of the source.
     """
 
     async def run() -> None:
-        completions = _completions(engine_port)
+        completions = _build_completions(engine_port)
 
         async def complete(request: web.Request) -> web.StreamResponse:
             return await completions.complete(request=request, account=ACCOUNT, chat=False)
@@ -190,7 +190,7 @@
     asyncio.run(run())
 
 
-def _completions(engine_port: int) -> Completions:
+def _build_completions(engine_port: int) -> Completions:
     declared = DeclarationSet(
         objective=Objective(),
         models=[Model(name=MODEL, version="1")],
@@ -210,7 +210,7 @@
     client = HttpEngineClient(session=session, address=f"{LOOPBACK}:{engine_port}")
     gate = UpstreamGate(clock=clock, rng=random.Random(1), spread=lambda _message: None)
     dispatch = DispatchContext(
-        router=OneEngineRouter(),
+        router=SingleEngineRouter(),
         client_of=lambda _engine: client,
         observer=GateNotes(gate=gate),
         crash_watch=NoCrashWatch(),
@@ -228,16 +228,16 @@
             dispatch=dispatch,
             declarations=lambda: declarations,
             limits=HostLimits(clock=clock),
-            attached=_no_attachment,
+            attached=_ignore_attachment,
         )
     )
 
 
-def _no_attachment(_host: HostId, _attempt: AttemptId) -> None:
+def _ignore_attachment(_host: HostId, _attempt: AttemptId) -> None:
     return None
 
 
-async def _round(port: int, process: psutil.Process, load: Load) -> RoundResult:
+async def _run_load(port: int, process: psutil.Process, load: Load) -> RoundResult:
     url = f"http://{LOOPBACK}:{port}/v1/completions"
     body = {"model": MODEL, "prompt": "p", "stream": True}
     session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -263,43 +263,43 @@
     )
 
 
-def _start(role: str, **options: int) -> tuple[subprocess.Popen[str], int]:
-    arguments = [f"--{name}={value}" for name, value in options.items()]
+def _start_process(role: str, **options: int) -> tuple[subprocess.Popen[str], int]:
+    options_list = [f"--{name}={value}" for name, value in options.items()]
     process = subprocess.Popen(
-        [sys.executable, __file__, role, *arguments], stdout=subprocess.PIPE, text=True
+        [sys.executable, __file__, role, *options_list], stdout=subprocess.PIPE, text=True
     )
     assert process.stdout is not None
     return process, int(process.stdout.readline())
 
 
 def bench(*, streams: int = 200, tokens: int = 200, gap_ms: int = 20) -> None:
-    """Run all rounds and print the figures.
+    """Run all rounds and print the medians.
 
-    :param streams: Streams open at once.
-    :param tokens: Tokens of each.
+    :param streams: Number of concurrent streams.
+    :param tokens: Number of tokens per stream.
     :param gap_ms: Time between two tokens of a stream, in milliseconds.
     """
     load = Load(streams=streams, tokens=tokens, gap_ms=gap_ms)
     results: dict[str, list[RoundResult]] = {"bare": [], "product": []}
-    for _ in range(ROUNDS):
+    for _ in range(ROUND_COUNT):
         for role, rounds in results.items():
-            rounds.append(_one_round(role, load))
+            rounds.append(_measure_round(role, load))
     for role, rounds in results.items():
         cpu = statistics.median(result.cpu_us_per_token for result in rounds)
         memory = statistics.median(result.memory_kb_per_stream for result in rounds)
         print(f"{role}: {cpu:.1f} us of processor a token, {memory:.1f} KB an open stream")
     ratio = statistics.median(
-        ours.cpu_us_per_token / theirs.cpu_us_per_token
-        for ours, theirs in zip(results["product"], results["bare"], strict=True)
+        product_result.cpu_us_per_token / bare_result.cpu_us_per_token
+        for product_result, bare_result in zip(results["product"], results["bare"], strict=True)
     )
     print(f"ratio: {ratio:.2f} (the aim is below 1.5)")
 
 
-def _one_round(role: str, load: Load) -> RoundResult:
-    engine, engine_port = _start("source", tokens=load.tokens, gap_ms=load.gap_ms)
-    relay, relay_port = _start(role, engine_port=engine_port)
+def _measure_round(role: str, load: Load) -> RoundResult:
+    engine, engine_port = _start_process("source", tokens=load.tokens, gap_ms=load.gap_ms)
+    relay, relay_port = _start_process(role, engine_port=engine_port)
     try:
-        return asyncio.run(_round(relay_port, psutil.Process(relay.pid), load))
+        return asyncio.run(_run_load(relay_port, psutil.Process(relay.pid), load))
     finally:
         for process in (relay, engine):
             process.kill()
