--- a/tools/replay_matrix.py
+++ b/tools/replay_matrix.py
@@ -1,4 +1,4 @@
-"""Run the replays that docs/MEASURES.md quotes, and print them as Markdown tables.
+"""Run the replays reported in docs/MEASURES.md, and print the results as Markdown tables.
 
 Usage: ``python -m tools.replay_matrix TABLE [SEEDS [PROCESSES]]``, where the table is one of
 capacity, loads, settings, parts, objectives and cases.
@@ -33,28 +33,28 @@
 LOADS = (0.5, 0.7, 0.9, 1.1, 1.5)
 BUSY_LOADS = (0.9, 1.1)
 NEW_POLICIES = ("hosts-alone", "owner", "credit-windows", "clairvoyant")
-NEVER_MS = 1e12
-FILM = Objective(preemption_weight=10.0, stall_weight=1.0)
-ROUNDS = Objective(preemption_weight=1.0, stall_weight=10.0)
+DISABLED_MS = 1e12
+FILM_OBJECTIVE = Objective(preemption_weight=10.0, stall_weight=1.0)
+ROUNDS_OBJECTIVE = Objective(preemption_weight=1.0, stall_weight=10.0)
 
 
 class Variant(Struct, frozen=True, kw_only=True):
-    """One line of a table.
+    """One row of a table.
 
-    :param name: What it is called.
-    :param run: The replay, but for its seed.
-    :param learn: Whether lengths are learnt.
+    :param name: Name shown in the policy column.
+    :param run: Parameters of the replay; the seed is set later.
+    :param learn: Whether answer lengths are learned from earlier requests.
     """
 
     name: str
     run: ReplayRun
-    learn: bool = True
+    learn_lengths: bool = True
 
 
 @contextmanager
-def _without_lengths(off: bool) -> Iterator[None]:
+def _length_learning_disabled(disabled: bool) -> Iterator[None]:
     observe = LengthEstimator.observe
-    if off:
+    if disabled:
         LengthEstimator.observe = lambda self, *, request, tokens: None  # type: ignore[method-assign]
     try:
         yield
@@ -62,95 +62,100 @@
         LengthEstimator.observe = observe  # type: ignore[method-assign]
 
 
-def _do(variant: Variant) -> ReplayReport:
-    with _without_lengths(not variant.learn):
+def _run_variant(variant: Variant) -> ReplayReport:
+    with _length_learning_disabled(not variant.learn_lengths):
         return do_run(variant.run)
 
 
-def _run(policy: str, user: str, load: float) -> ReplayRun:
+def _make_run(policy: str, user: str, load: float) -> ReplayRun:
     return ReplayRun(policy=policy, seed=0, user=user, load=load)
 
 
-def _loads() -> Iterator[Variant]:
+def _load_variants() -> Iterator[Variant]:
     for user in USERS:
         for load in LOADS:
-            # Beyond 1.1 the clairvoyant takes minutes for a replay, and no aim needs it there.
-            new = NEW_POLICIES if load <= max(BUSY_LOADS) else ("hosts-alone", "owner")
-            for policy in (*BASELINES, *new):
-                yield Variant(name=policy, run=_run(policy, user, load))
+            # Above a load of 1.1, the clairvoyant policy takes minutes per replay, and no target
+            # needs its results.
+            policies = NEW_POLICIES if load <= max(BUSY_LOADS) else ("hosts-alone", "owner")
+            for policy in (*BASELINES, *policies):
+                yield Variant(name=policy, run=_make_run(policy, user, load))
 
 
-def _settings() -> Iterator[Variant]:
+def _setting_variants() -> Iterator[Variant]:
     for setting in ("small-memory", "slow"):
         for user in USERS:
             for load in BUSY_LOADS:
                 for policy in (*BASELINES, "owner"):
-                    run = replace(_run(policy, user, load), setting=setting)
+                    run = replace(_make_run(policy, user, load), setting=setting)
                     yield Variant(name=policy, run=run)
 
 
-def _parts() -> Iterator[Variant]:
-    whole = Tuning()
+def _part_variants() -> Iterator[Variant]:
+    full_tuning = Tuning()
     parts = {
-        "whole": whole,
-        "without prefixes": replace(whole, use_prefixes=False),
-        "without priorities": replace(whole, priority_ms=0.0),
-        "without length order": replace(whole, length_ms_per_token=0.0),
-        "without fairness": replace(whole, fairness_ms_per_token=0.0),
-        "without deviations": replace(whole, deviations=0.0),
-        "without shedding": replace(whole, shed_after_ms=NEVER_MS),
-        "without fill in placement": replace(whole, fill_tokens=0.0),
-        "without batch in placement": replace(whole, neighbour_tokens=0.0),
+        "whole": full_tuning,
+        "without prefixes": replace(full_tuning, use_prefixes=False),
+        "without priorities": replace(full_tuning, priority_ms=0.0),
+        "without length order": replace(full_tuning, length_ms_per_token=0.0),
+        "without fairness": replace(full_tuning, fairness_ms_per_token=0.0),
+        "without deviations": replace(full_tuning, deviations=0.0),
+        "without shedding": replace(full_tuning, shed_after_ms=DISABLED_MS),
+        "without fill in placement": replace(full_tuning, fill_tokens=0.0),
+        "without batch in placement": replace(full_tuning, neighbour_tokens=0.0),
     }
     for user in USERS:
-        # The long queues of trois-rivieres at 1.5 take minutes for a replay.
+        # At a load of 1.5, the long queues of trois-rivieres take minutes per replay.
         for load in (1.1,) if user == USERS[0] else (1.1, 1.5):
             for name, tuning in parts.items():
-                yield Variant(name=name, run=replace(_run("owner", user, load), tuning=tuning))
-            yield Variant(name="without learnt lengths", run=_run("owner", user, load), learn=False)
+                yield Variant(name=name, run=replace(_make_run("owner", user, load), tuning=tuning))
+            yield Variant(
+                name="without learnt lengths",
+                run=_make_run("owner", user, load),
+                learn_lengths=False,
+            )
 
 
-def _objectives() -> Iterator[Variant]:
-    chosen = {
+def _objective_variants() -> Iterator[Variant]:
+    objectives = {
         "default": Objective(),
-        "film office 10:1": FILM,
-        "rounds 1:10": ROUNDS,
+        "film office 10:1": FILM_OBJECTIVE,
+        "rounds 1:10": ROUNDS_OBJECTIVE,
         "tail 10:1": Objective(tail_weight=10.0),
     }
     for user in USERS:
         for load in BUSY_LOADS:
-            for name, objective in chosen.items():
-                run = replace(_run("owner", user, load), objective=objective)
+            for name, objective in objectives.items():
+                run = replace(_make_run("owner", user, load), objective=objective)
                 yield Variant(name=name, run=run)
 
 
-def _cases() -> Iterator[Variant]:
+def _case_variants() -> Iterator[Variant]:
     for case in Case:
         for load in (0.7, 0.9):
             for policy in ("two-choices", "hosts-alone", "owner"):
-                run = replace(_run(policy, "trois-rivieres", load), case=case)
+                run = replace(_make_run(policy, "trois-rivieres", load), case=case)
                 yield Variant(name=policy, run=run)
             if case in (Case.ENGINE_LOST, Case.ENGINE_RECLAIMED):
-                run = replace(_run("clairvoyant", "trois-rivieres", load), case=case)
+                run = replace(_make_run("clairvoyant", "trois-rivieres", load), case=case)
                 yield Variant(name="clairvoyant", run=run)
 
 
 TABLES: dict[str, Callable[[], Iterator[Variant]]] = {
-    "loads": _loads,
-    "settings": _settings,
-    "parts": _parts,
-    "objectives": _objectives,
-    "cases": _cases,
+    "loads": _load_variants,
+    "settings": _setting_variants,
+    "parts": _part_variants,
+    "objectives": _objective_variants,
+    "cases": _case_variants,
 }
 
-HEAD = (
+TABLE_HEADER = (
     "| user | load | setting | case | policy | stall s | short s | preempt | p50/p99/p99.9 gap ms "
     "| first p99 ms | good answers % | good tokens | cost ms | shed | worst share | next try "
     "| refusal ms | recovery s | messages |"
 )
 
 
-def _line(variant: Variant, reports: Sequence[ReplayReport]) -> str:
+def _format_row(variant: Variant, reports: Sequence[ReplayReport]) -> str:
     run = variant.run
 
     def mean(measure: str) -> float:
@@ -189,15 +194,18 @@
     print("| user | setting | requests/s by seed | mean | stated |")
     print("|---|---|---|---|---|")
     with Pool(processes) as pool:
-        for (user, setting), stated in CAPACITY.items():
-            found = pool.map(_capacity, [(user, setting, seed) for seed in seeds])
-            listed = ", ".join(f"{value:.1f}" for value in found)
-            mean = sum(found) / len(found)
-            print(f"| {user} | {setting} | {listed} | {mean:.1f} | {stated} |", flush=True)
+        for (user, setting), stated_rate in CAPACITY.items():
+            measured_rates = pool.map(_capacity, [(user, setting, seed) for seed in seeds])
+            rates_text = ", ".join(f"{value:.1f}" for value in measured_rates)
+            mean = sum(measured_rates) / len(measured_rates)
+            print(f"| {user} | {setting} | {rates_text} | {mean:.1f} | {stated_rate} |", flush=True)
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Print one table."""
+    """Run the replays of one table and print it.
+
+    :param arguments: Name of the table, optionally the seeds and the number of processes.
+    """
     seeds = parse_seeds(arguments[1] if len(arguments) > 1 else "101-105")
     processes = int(arguments[2]) if len(arguments) > 2 else 1
     if arguments[0] == "capacity":
@@ -209,15 +217,15 @@
         for variant in variants
         for seed in seeds
     ]
-    print(HEAD)
-    print("|---" * (HEAD.count("|") - 1) + "|", flush=True)
+    print(TABLE_HEADER)
+    print("|---" * (TABLE_HEADER.count("|") - 1) + "|", flush=True)
     with Pool(processes) as pool:
-        done: list[ReplayReport] = []
-        for report in pool.imap(_do, jobs):
-            done.append(report)
-            if len(done) % len(seeds) == 0:
-                variant = variants[len(done) // len(seeds) - 1]
-                print(_line(variant, done[-len(seeds) :]), flush=True)
+        reports: list[ReplayReport] = []
+        for report in pool.imap(_run_variant, jobs):
+            reports.append(report)
+            if len(reports) % len(seeds) == 0:
+                variant = variants[len(reports) // len(seeds) - 1]
+                print(_format_row(variant, reports[-len(seeds) :]), flush=True)
 
 
 if __name__ == "__main__":
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,7 +1,7 @@
-"""Measures how the cost of each role grows, and prints lines through the figures.
+"""Measure how the cost of each role grows with size, and fit lines to the measurements.
 
-Run it with ``make slopes``. At most three processes run at once. Figures on a machine that
-others use vary by some tens of percent; the shape of the lines is what counts.
+Run it with ``make slopes``. At most three processes run at once. On a shared machine the
+measurements vary by some tens of percent; only the trend of the lines is meaningful.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 from rich.console import Console
 
 from tools.slopes_fit import Fit
-from tools.slopes_fit import each_size
 from tools.slopes_fit import fit
+from tools.slopes_fit import measure_sizes
 from tools.slopes_fit import print_fits
 from tools.slopes_fit import print_rows
-from tools.slopes_mesh import CONNECTIONS
+from tools.slopes_mesh import CONNECTION_COUNTS
 from tools.slopes_mesh import measure_connections
-from tools.slopes_mesh import measure_message_us
-from tools.slopes_partners import Choose
-from tools.slopes_partners import everyone
+from tools.slopes_mesh import measure_receive_us
+from tools.slopes_partners import Strategy
+from tools.slopes_partners import evaluate_strategy
+from tools.slopes_partners import full_mesh
 from tools.slopes_partners import lookup_rounds
-from tools.slopes_partners import measure
-from tools.slopes_partners import rendezvous
 from tools.slopes_partners import rendezvous_near_and_far
+from tools.slopes_partners import rendezvous_top
 from tools.slopes_partners import xor_buckets
-from tools.slopes_poll import ENGINES
+from tools.slopes_poll import ENGINE_COUNTS
 from tools.slopes_poll import measure_poll
 from tools.slopes_routing import CELL_SIZES
 from tools.slopes_routing import LEDGER_SIZES
@@ -35,15 +35,15 @@
 from tools.slopes_spread import MESH_SIZES
 from tools.slopes_spread import measure_spread
 
-TARGET_HOSTS = 390
+TARGET_HOST_COUNT = 390
 TARGET_RUNNING_PER_HOST = 390
-"""2,000,000 tokens a second at 76 ms a token, over 390 hosts."""
-TARGET_CELL = 32
+"""2,000,000 tokens per second at 76 ms per token, distributed over 390 hosts."""
+TARGET_CELL_ENGINES = 32
 
-STRATEGIES: dict[str, Choose] = {
-    "full mesh": everyone,
-    "rendezvous, 4 chosen": rendezvous(4),
-    "rendezvous, 8 chosen": rendezvous(8),
+STRATEGIES: dict[str, Strategy] = {
+    "full mesh": full_mesh,
+    "rendezvous, 4 chosen": rendezvous_top(4),
+    "rendezvous, 8 chosen": rendezvous_top(8),
     "rendezvous, 4 near and 4 far": rendezvous_near_and_far(8),
     "rendezvous, 3 near and 3 far": rendezvous_near_and_far(6),
     "XOR buckets, 1 each": xor_buckets(1, region_first=False),
@@ -53,60 +53,60 @@
 
 
 def main() -> None:
-    """Measure and print everything."""
+    """Run all measurements and print the tables."""
     console = Console(width=150)
     print_fits(_mesh_fits(), title="Mesh member (one host, idle peers)", console=console)
-    console.print(f"One ask received over a WebSocket: {measure_message_us():.1f} us")
+    console.print(f"One ask received over a WebSocket: {measure_receive_us():.1f} us")
     print_fits(_routing_fits(), title="Entry and pool owner", console=console)
     print_fits(_spread_fits(), title="Declarations follower in a full mesh", console=console)
     print_fits(_poll_fits(), title="Pool owner: reading engines", console=console)
-    _print_partners(console)
+    _print_strategies(console)
 
 
 def _mesh_fits() -> list[Fit]:
-    figures = [measure_connections(number) for number in CONNECTIONS]
+    costs = [measure_connections(number) for number in CONNECTION_COUNTS]
     columns = {
-        "CPU, ms/s": [each.cpu_ms_per_s for each in figures],
-        "sent in frames, B/s": [each.sent_bytes_per_s for each in figures],
-        "messages, 1/s": [each.messages_per_s for each in figures],
-        "memory, KiB": [each.memory_kib for each in figures],
+        "CPU, ms/s": [each.cpu_ms_per_s for each in costs],
+        "sent in frames, B/s": [each.sent_bytes_per_s for each in costs],
+        "messages, 1/s": [each.messages_per_s for each in costs],
+        "memory, KiB": [each.memory_kib for each in costs],
     }
     return [
         fit(
             name=name,
             size_name="connection",
-            sizes=CONNECTIONS,
+            sizes=CONNECTION_COUNTS,
             values=values,
-            target=TARGET_HOSTS - 1,
+            target=TARGET_HOST_COUNT - 1,
         )
         for name, values in columns.items()
     ]
 
 
 def _routing_fits() -> list[Fit]:
-    by_cell = [measure_placement(engines=number, running=100) for number in CELL_SIZES]
-    by_running = [measure_placement(engines=16, running=number) for number in RUNNING_SIZES]
+    costs_by_cell = [measure_placement(engines=number, running=100) for number in CELL_SIZES]
+    costs_by_running = [measure_placement(engines=16, running=number) for number in RUNNING_SIZES]
     return [
         fit(
             name="placement, both hosts, CPU us",
             size_name="engine of the cell",
             sizes=CELL_SIZES,
-            values=[each.cpu_us for each in by_cell],
-            target=TARGET_CELL,
+            values=[each.cpu_us for each in costs_by_cell],
+            target=TARGET_CELL_ENGINES,
         ),
         fit(
             name="placement, both hosts, CPU us",
             size_name="running generation",
             sizes=RUNNING_SIZES,
-            values=[each.cpu_us for each in by_running],
+            values=[each.cpu_us for each in costs_by_running],
             target=TARGET_RUNNING_PER_HOST,
         ),
         fit(
             name="placement, frames, B",
             size_name="engine of the cell",
             sizes=CELL_SIZES,
-            values=[each.frame_bytes for each in by_cell],
-            target=TARGET_CELL,
+            values=[each.frame_bytes for each in costs_by_cell],
+            target=TARGET_CELL_ENGINES,
         ),
         fit(
             name="running with progress, both hosts, CPU ms/s",
@@ -119,65 +119,65 @@
             name="progress message, B",
             size_name="running generation",
             sizes=RUNNING_SIZES,
-            values=each_size(RUNNING_SIZES, progress_bytes),
+            values=measure_sizes(RUNNING_SIZES, progress_bytes),
             target=TARGET_RUNNING_PER_HOST,
         ),
         fit(
             name="entry and ledger together, KiB",
             size_name="placement",
             sizes=LEDGER_SIZES,
-            values=each_size(LEDGER_SIZES, measure_ledger_kib),
+            values=measure_sizes(LEDGER_SIZES, measure_ledger_kib),
             target=TARGET_RUNNING_PER_HOST,
         ),
     ]
 
 
 def _spread_fits() -> list[Fit]:
-    figures = [measure_spread(number) for number in MESH_SIZES]
+    costs = [measure_spread(number) for number in MESH_SIZES]
     columns = {
-        "time until the last host has a change, ms": [each.spread_ms for each in figures],
-        "one change at one host, CPU ms": [each.host_cpu_ms for each in figures],
-        "one change, messages a host sends": [each.host_messages for each in figures],
-        "one change, frames a host sends, B": [each.host_bytes for each in figures],
+        "time until the last host has a change, ms": [each.spread_ms for each in costs],
+        "one change at one host, CPU ms": [each.host_cpu_ms for each in costs],
+        "one change, messages a host sends": [each.host_messages for each in costs],
+        "one change, frames a host sends, B": [each.host_bytes for each in costs],
     }
     return [
-        fit(name=name, size_name="host", sizes=MESH_SIZES, values=values, target=TARGET_HOSTS)
+        fit(name=name, size_name="host", sizes=MESH_SIZES, values=values, target=TARGET_HOST_COUNT)
         for name, values in columns.items()
     ]
 
 
 def _poll_fits() -> list[Fit]:
-    figures = [measure_poll(number) for number in ENGINES]
+    costs = [measure_poll(number) for number in ENGINE_COUNTS]
     columns = {
-        "one read of load and cache events, CPU us": [each.cpu_us for each in figures],
-        "one read of load and cache events, HTTP B": [each.wire_bytes for each in figures],
+        "one read of load and cache events, CPU us": [each.cpu_us for each in costs],
+        "one read of load and cache events, HTTP B": [each.wire_bytes for each in costs],
     }
     return [
         fit(
             name=name,
             size_name="engine read at once",
-            sizes=ENGINES,
+            sizes=ENGINE_COUNTS,
             values=values,
-            target=TARGET_CELL,
+            target=TARGET_CELL_ENGINES,
         )
         for name, values in columns.items()
     ]
 
 
-def _print_partners(console: Console) -> None:
+def _print_strategies(console: Console) -> None:
     rows = []
-    for name, choose in STRATEGIES.items():
-        figures = measure(choose)
+    for name, strategy in STRATEGIES.items():
+        properties = evaluate_strategy(strategy)
         rows.append(
             [
                 name,
-                f"{figures.degree:.1f} / {figures.most}",
-                f"{figures.beat_bytes_per_s:.0f}",
-                f"{figures.change_bytes_per_s:.0f}",
-                f"{figures.spread_ms:.0f}",
-                f"{figures.lost_domain_ms:.0f} ({figures.lost_domain_reached:.3f})",
-                f"{figures.region_together:.2f}",
-                f"{figures.heal_ms:.0f}",
+                f"{properties.degree:.1f} / {properties.max_degree}",
+                f"{properties.heartbeat_bytes_per_s:.0f}",
+                f"{properties.change_bytes_per_s:.0f}",
+                f"{properties.spread_ms:.0f}",
+                f"{properties.lost_domain_ms:.0f} ({properties.lost_domain_reached:.3f})",
+                f"{properties.partition_connected:.2f}",
+                f"{properties.heal_ms:.0f}",
             ]
         )
     headings = [
--- a/tools/slopes_fit.py
+++ b/tools/slopes_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured figures."""
+"""Linear fits of measurements."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fit:
-    """A figure that grows with a size.
+    """A linear fit of a quantity over a size.
 
-    :param name: What is measured, with its unit.
-    :param size_name: What the size counts.
-    :param sizes: The sizes measured.
-    :param values: The figure at each.
-    :param target: The size to foretell.
+    :param name: Name of the quantity, with its unit.
+    :param size_name: Name of one unit of the size.
+    :param sizes: Sizes at which the quantity was measured.
+    :param values: Measured value at each size.
+    :param target: Size to extrapolate to.
     """
 
     name: str
@@ -30,22 +30,22 @@
 
     @property
     def slope(self) -> float:
-        """Growth of the figure for each one more."""
+        """Growth of the quantity per unit of size."""
         return linear_regression(self.sizes, self.values).slope
 
     @property
     def intercept(self) -> float:
-        """The figure at size zero, on the fitted line."""
+        """Value of the fitted line at size zero."""
         return linear_regression(self.sizes, self.values).intercept
 
     @property
-    def worst_error(self) -> float:
-        """Largest distance of a measured figure from the line."""
+    def max_residual(self) -> float:
+        """Largest absolute residual."""
         pairs = zip(self.sizes, self.values, strict=True)
-        return max(abs(value - self.at(size)) for size, value in pairs)
+        return max(abs(value - self.predict(size)) for size, value in pairs)
 
-    def at(self, size: int) -> float:
-        """Return the figure that the line gives for a size."""
+    def predict(self, size: int) -> float:
+        """Return the value of the fitted line at a size."""
         return self.intercept + self.slope * size
 
 
@@ -57,7 +57,7 @@
     values: Sequence[float],
     target: int,
 ) -> Fit:
-    """Return a line through measured figures."""
+    """Return a linear fit of measured values."""
     return Fit(
         name=name,
         size_name=size_name,
@@ -68,7 +68,7 @@
 
 
 def print_fits(fits: Sequence[Fit], *, title: str, console: Console) -> None:
-    """Print the measured figures and what the lines say at the target size."""
+    """Print the measured values, the fits and the extrapolation to the target size."""
     table = Table(title=title)
     for heading in (
         "figure",
@@ -90,8 +90,8 @@
             measured,
             f"{each.slope:.4g}",
             f"{each.intercept:.4g}",
-            f"{each.worst_error:.3g}",
-            f"{each.target}: {each.at(each.target):.4g}",
+            f"{each.max_residual:.3g}",
+            f"{each.target}: {each.predict(each.target):.4g}",
         )
     console.print(table)
 
@@ -99,7 +99,7 @@
 def print_rows(
     rows: Sequence[Sequence[str]], *, title: str, headings: Sequence[str], console: Console
 ) -> None:
-    """Print a plain table."""
+    """Print a table."""
     table = Table(title=title)
     for heading in headings:
         table.add_column(heading, overflow="fold")
@@ -108,6 +108,6 @@
     console.print(table)
 
 
-def each_size(sizes: Sequence[int], measure: Callable[[int], float]) -> list[float]:
-    """Return a figure measured at each size."""
+def measure_sizes(sizes: Sequence[int], measure: Callable[[int], float]) -> list[float]:
+    """Return the value measured at each size."""
     return [measure(size) for size in sizes]
--- a/tools/slopes_mesh.py
+++ b/tools/slopes_mesh.py
@@ -1,4 +1,4 @@
-"""What connections between hosts cost: one real mesh in a process of its own, peers in another."""
+"""Measure the cost of connections between hosts: one mesh in one process, its peers in another."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from tanagerscale.membership import Message
 from tanagerscale.membership import PeerAddress
 
-CONNECTIONS = (4, 16, 48, 96, 128)
+CONNECTION_COUNTS = (4, 16, 48, 96, 128)
 WINDOW_S = 6.0
-BURST = 20_000
-BURST_PAUSE_EVERY = 200
-KIB = 1024
+BURST_MESSAGES = 20_000
+MESSAGES_PER_PAUSE = 200
+BYTES_PER_KIB = 1024
 MS_PER_SECOND = 1000
-HOST = "127.0.0.1:0"
+LISTEN_ADDRESS = "127.0.0.1:0"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class MeshFigures:
-    """What one host spends on idle connections.
+class MeshCosts:
+    """Cost of idle connections at one host.
 
-    :param cpu_ms_per_s: Processor time, in milliseconds a second.
-    :param sent_bytes_per_s: Bytes of frames sent, without WebSocket, TLS, TCP and IP headers.
-    :param messages_per_s: Messages sent and received.
+    :param cpu_ms_per_s: Processor time, in milliseconds per second.
+    :param sent_bytes_per_s: Size of the frames sent, without WebSocket, TLS, TCP and IP headers.
+    :param messages_per_s: Number of messages sent and received.
     :param memory_kib: Growth of resident memory over a mesh without peers, in KiB.
     """
 
@@ -45,33 +45,33 @@
     memory_kib: float
 
 
-def measure_connections(connections: int) -> MeshFigures:
-    """Measure a host with a number of peers that only beat."""
+def measure_connections(connections: int) -> MeshCosts:
+    """Measure a host whose peers send only heartbeats."""
     context = multiprocessing.get_context("spawn")
-    mine, its = context.Pipe()
-    hub = context.Process(target=_run_hub, args=(its, connections))
+    parent_pipe, child_pipe = context.Pipe()
+    hub = context.Process(target=_run_hub, args=(child_pipe, connections))
     hub.start()
-    address = mine.recv()
+    address = parent_pipe.recv()
     peers = context.Process(target=_run_peers, args=(address, connections))
     peers.start()
-    figures = mine.recv()
+    costs = parent_pipe.recv()
     peers.terminate()
     peers.join()
     hub.join()
-    assert isinstance(figures, MeshFigures)
-    return figures
+    assert isinstance(costs, MeshCosts)
+    return costs
 
 
-def measure_message_us() -> float:
+def measure_receive_us() -> float:
     """Return processor time to receive one ask over a WebSocket and decode it, in microseconds."""
     context = multiprocessing.get_context("spawn")
-    mine, its = context.Pipe()
-    hub = context.Process(target=_run_receiver, args=(its,))
+    parent_pipe, child_pipe = context.Pipe()
+    hub = context.Process(target=_run_receiver, args=(child_pipe,))
     hub.start()
-    address = mine.recv()
+    address = parent_pipe.recv()
     sender = context.Process(target=_run_sender, args=(address,))
     sender.start()
-    microseconds = mine.recv()
+    microseconds = parent_pipe.recv()
     sender.terminate()
     sender.join()
     hub.join()
@@ -79,7 +79,7 @@
 
 
 def sample_ask() -> Ask:
-    """Return an ask of usual size."""
+    """Return an ask of typical size."""
     return Ask(
         cell="3f9c01ab-17",
         serial=1_234_567,
@@ -96,12 +96,12 @@
     )
 
 
-def _make(name: str) -> Mesh:
+def _make_mesh(name: str) -> Mesh:
     return Mesh(
         host=HostId(name),
         failure_domain=FailureDomainId("zone-a"),
         incarnation=1,
-        listen=HOST,
+        listen=LISTEN_ADDRESS,
         clock=Clock(),
         rng=Random(name),
         heartbeat_source=lambda: Heartbeat(revision=123_456),
@@ -113,26 +113,26 @@
 
 
 async def _hub(pipe: Connection, connections: int) -> None:
-    mesh = _make("hub")
+    mesh = _make_mesh("hub")
     pipe.send(await mesh.start())
     process = psutil.Process()
-    resident = process.memory_info().rss
+    resident_before = process.memory_info().rss
     while len(mesh.live.value) < connections:
         await asyncio.sleep(0.05)
     await asyncio.sleep(2)
     counters = mesh.counters
-    started, cpu = time.perf_counter(), time.process_time()
+    started, cpu_s = time.perf_counter(), time.process_time()
     sent, messages = counters.sent_bytes, counters.sent_messages + counters.received_messages
     await asyncio.sleep(WINDOW_S)
-    elapsed = time.perf_counter() - started
+    elapsed_s = time.perf_counter() - started
     all_messages = counters.sent_messages + counters.received_messages
-    figures = MeshFigures(
-        cpu_ms_per_s=(time.process_time() - cpu) * MS_PER_SECOND / elapsed,
-        sent_bytes_per_s=(counters.sent_bytes - sent) / elapsed,
-        messages_per_s=(all_messages - messages) / elapsed,
-        memory_kib=(process.memory_info().rss - resident) / KIB,
+    costs = MeshCosts(
+        cpu_ms_per_s=(time.process_time() - cpu_s) * MS_PER_SECOND / elapsed_s,
+        sent_bytes_per_s=(counters.sent_bytes - sent) / elapsed_s,
+        messages_per_s=(all_messages - messages) / elapsed_s,
+        memory_kib=(process.memory_info().rss - resident_before) / BYTES_PER_KIB,
     )
-    pipe.send(figures)
+    pipe.send(costs)
     await mesh.stop()
 
 
@@ -142,7 +142,7 @@
 
 async def _peers(address: str, connections: int) -> None:
     for index in range(connections):
-        mesh = _make(f"peer-{index:04}")
+        mesh = _make_mesh(f"peer-{index:04}")
         await mesh.start()
         mesh.set_peers([PeerAddress(address=address, host=HostId("hub"))])
     await asyncio.Event().wait()
@@ -153,26 +153,26 @@
 
 
 async def _receiver(pipe: Connection) -> None:
-    mesh = _make("hub")
+    mesh = _make_mesh("hub")
     received = 0
-    first = cpu = 0.0
+    first = cpu_s = 0.0
     done = asyncio.Event()
 
     def count(message: Message) -> None:
-        nonlocal received, cpu, first
+        nonlocal received, cpu_s, first
         if not isinstance(message, Ask):
             return
         received += 1
         if received == 1:
             first = time.process_time()
-        if received == BURST:
-            cpu = time.process_time() - first
+        if received == BURST_MESSAGES:
+            cpu_s = time.process_time() - first
             done.set()
 
     mesh.messages.subscribe(lambda each: count(each.message))
     pipe.send(await mesh.start())
     await done.wait()
-    pipe.send(cpu * MS_PER_SECOND * MS_PER_SECOND / (BURST - 1))
+    pipe.send(cpu_s * MS_PER_SECOND * MS_PER_SECOND / (BURST_MESSAGES - 1))
     await mesh.stop()
 
 
@@ -181,16 +181,16 @@
 
 
 async def _sender(address: str) -> None:
-    mesh = _make("sender")
+    mesh = _make_mesh("sender")
     await mesh.start()
     mesh.set_peers([PeerAddress(address=address, host=HostId("hub"))])
     while not mesh.live.value:
         await asyncio.sleep(0.01)
     ask = sample_ask()
     sent = 0
-    while sent < BURST:
+    while sent < BURST_MESSAGES:
         if mesh.send(host=HostId("hub"), message=ask):
             sent += 1
-        if sent % BURST_PAUSE_EVERY == 0:
+        if sent % MESSAGES_PER_PAUSE == 0:
             await asyncio.sleep(0.001)
     await asyncio.Event().wait()
--- a/tools/slopes_routing.py
+++ b/tools/slopes_routing.py
@@ -1,4 +1,4 @@
-"""What placements cost: two real routers with the real scheduler and real frames between them."""
+"""Measure the cost of placements with two routers, the scheduler and frames between them."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 from tanagerscale.policy import make_scheduler
 from tanagerscale.routing import PoolRouter
 
-ENTRY = HostId("entry")
-OWNER = HostId("owner")
+ENTRY_HOST = HostId("entry")
+OWNER_HOST = HostId("owner")
 CELL_SIZES = (4, 8, 16, 32)
 RUNNING_SIZES = (50, 100, 200, 400)
 LEDGER_SIZES = (500, 1000, 2000, 4000)
-PLACEMENTS = 400
-RUNS = 5
-PAST_PROMPT = 20
+PLACEMENT_COUNT = 400
+RUN_COUNT = 5
+GENERATED_TOKENS = 20
 MEMORY_TOKENS = 10_000_000
-MICROSECONDS = 1_000_000
+US_PER_SECOND = 1_000_000
 BYTES_PER_KIB = 1024
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PlacementFigures:
-    """What one placement costs, from the ask to the end.
+class PlacementCosts:
+    """Cost of one placement, from the ask to the release.
 
-    :param cpu_us: Processor time of the entry host and the owner together, in microseconds.
-    :param frame_bytes: Bytes of frames in both directions.
-    :param messages: Messages in both directions.
+    :param cpu_us: Processor time of the entry host and the owner combined, in microseconds.
+    :param frame_bytes: Size of the frames in both directions, in bytes.
+    :param messages: Number of messages in both directions.
     """
 
     cpu_us: float
@@ -61,8 +61,8 @@
     messages: float
 
 
-class _Wire:
-    """Carries frames between two routers, encoded and decoded as on the network."""
+class _Link:
+    """In-process network link between two routers that encodes and decodes every message."""
 
     def __init__(self, *, host: HostId, peer: HostId) -> None:
         self.host = host
@@ -76,31 +76,34 @@
             leaving=False,
         )
         self.live: BehaviorSubject[tuple[PeerInfo, ...]] = BehaviorSubject((info,))
-        self.other = self
+        self.peer_link = self
         self.frames = 0
         self.frame_bytes = 0
 
     def send(self, *, host: HostId, message: Message) -> bool:
-        """Deliver a message in the loop's next round."""
+        """Deliver a message in the next iteration of the event loop."""
         frame = encode_frame(message)
         self.frames += 1
         self.frame_bytes += len(frame)
-        asyncio.get_running_loop().call_soon(self.other.take, self.host, frame)
+        asyncio.get_running_loop().call_soon(self.peer_link.receive, self.host, frame)
         return True
 
-    def take(self, sender: HostId, frame: bytes) -> None:
-        """Take in a frame."""
+    def receive(self, sender: HostId, frame: bytes) -> None:
+        """Decode a frame and publish its message."""
         message = decode_frame(frame).unwrap()
         self.messages.on_next(Received(host=sender, message=message))
 
 
-class _Pair:
-    """An entry host and the owner of the only cell."""
+class _RouterPair:
+    """An entry host and the owner of the only cell, connected to each other."""
 
     def __init__(self, *, engines: int) -> None:
-        self.wires = [_Wire(host=ENTRY, peer=OWNER), _Wire(host=OWNER, peer=ENTRY)]
-        self.wires[0].other, self.wires[1].other = self.wires[1], self.wires[0]
-        self.routers = [self._router(wire) for wire in self.wires]
+        self.links = [
+            _Link(host=ENTRY_HOST, peer=OWNER_HOST),
+            _Link(host=OWNER_HOST, peer=ENTRY_HOST),
+        ]
+        self.links[0].peer_link, self.links[1].peer_link = self.links[1], self.links[0]
+        self.routers = [self._router(link) for link in self.links]
         self.engines = _engines(engines)
         for router in self.routers:
             router.set_engines(self.engines)
@@ -108,9 +111,9 @@
         self.entry = next(router for router in self.routers if not router.owned)
 
     @staticmethod
-    def _router(wire: _Wire) -> PoolRouter:
+    def _router(link: _Link) -> PoolRouter:
         return PoolRouter(
-            network=wire,
+            network=link,
             gate=UpstreamGate(clock=Clock(), rng=Random(1), spread=lambda _message: None),
             make_scheduler=lambda: make_scheduler(
                 objective=Objective(), accounts={}, rng=Random(2)
@@ -121,88 +124,92 @@
 
     @property
     def frames(self) -> int:
-        """Messages so far."""
-        return sum(wire.frames for wire in self.wires)
+        """Number of messages sent so far."""
+        return sum(link.frames for link in self.links)
 
     @property
     def frame_bytes(self) -> int:
-        """Bytes so far."""
-        return sum(wire.frame_bytes for wire in self.wires)
+        """Number of bytes sent so far."""
+        return sum(link.frame_bytes for link in self.links)
 
-    def fill(self, number: int, *, name: str = "running") -> None:
-        """Hold generations that are past their prompts and go on running."""
+    def add_running(self, number: int, *, name: str = "running") -> None:
+        """Add running generations that have finished prefill."""
         for index in range(number):
             engine = UpstreamId(self.engines[index % len(self.engines)].name)
             request = _request(f"{name}-{index:024}")
-            self.entry.adopt(request=request, engine=engine, tokens=PAST_PROMPT)
+            self.entry.adopt(request=request, engine=engine, tokens=GENERATED_TOKENS)
 
     async def stop(self) -> None:
-        """End both routers."""
+        """Stop both routers."""
         for router in self.routers:
             await router.stop()
 
 
-def measure_placement(*, engines: int, running: int) -> PlacementFigures:
-    """Measure placements one after the other while others run; the fastest of some runs."""
-    runs = [asyncio.run(_measure_placement(engines=engines, running=running)) for _ in range(RUNS)]
+def measure_placement(*, engines: int, running: int) -> PlacementCosts:
+    """Measure sequential placements while other generations run; return the fastest run."""
+    runs = [
+        asyncio.run(_measure_placement(engines=engines, running=running)) for _ in range(RUN_COUNT)
+    ]
     return min(runs, key=lambda run: run.cpu_us)
 
 
-async def _measure_placement(*, engines: int, running: int) -> PlacementFigures:
-    pair = _Pair(engines=engines)
-    pair.fill(running)
+async def _measure_placement(*, engines: int, running: int) -> PlacementCosts:
+    pair = _RouterPair(engines=engines)
+    pair.add_running(running)
     await asyncio.sleep(0.2)
-    frames, frame_bytes, cpu = pair.frames, pair.frame_bytes, time.process_time()
-    for index in range(PLACEMENTS):
+    frames, frame_bytes, cpu_start = pair.frames, pair.frame_bytes, time.process_time()
+    for index in range(PLACEMENT_COUNT):
         generation = f"gen-{index:024}"
         await pair.entry.place(request=_request(generation))
         pair.entry.release(
             generation=GenerationId(generation), tokens=200, complete=True, engine_lost=False
         )
     await asyncio.sleep(0)
-    figures = PlacementFigures(
-        cpu_us=(time.process_time() - cpu) * MICROSECONDS / PLACEMENTS,
-        frame_bytes=(pair.frame_bytes - frame_bytes) / PLACEMENTS,
-        messages=(pair.frames - frames) / PLACEMENTS,
+    costs = PlacementCosts(
+        cpu_us=(time.process_time() - cpu_start) * US_PER_SECOND / PLACEMENT_COUNT,
+        frame_bytes=(pair.frame_bytes - frame_bytes) / PLACEMENT_COUNT,
+        messages=(pair.frames - frames) / PLACEMENT_COUNT,
     )
     await pair.stop()
-    return figures
+    return costs
 
 
 def measure_idle_cpu_ms(*, running: int) -> float:
-    """Return processor time a second of both routers while generations run, in milliseconds."""
+    """Return processor time per second of both routers while generations run, in milliseconds."""
     return asyncio.run(_measure_idle(running=running))
 
 
 async def _measure_idle(*, running: int) -> float:
     window_s = 4.0
-    pair = _Pair(engines=32)
-    pair.fill(running)
+    pair = _RouterPair(engines=32)
+    pair.add_running(running)
     await asyncio.sleep(1)
-    cpu = time.process_time()
+    cpu_start = time.process_time()
     for step in range(int(window_s * 2)):
         for index in range(running):
             generation = GenerationId(f"running-{index:024}")
-            pair.entry.report_progress(generation=generation, tokens=PAST_PROMPT + 10 * (step + 1))
+            pair.entry.report_progress(
+                generation=generation, tokens=GENERATED_TOKENS + 10 * (step + 1)
+            )
         await asyncio.sleep(0.5)
-    spent = time.process_time() - cpu
+    cpu_s = time.process_time() - cpu_start
     await pair.stop()
-    return spent * 1000 / window_s
+    return cpu_s * 1000 / window_s
 
 
 def measure_ledger_kib(reservations: int) -> float:
-    """Return the memory of an entry host and an owner for a number of placements, in KiB."""
+    """Return the memory used at entry host and owner by a number of placements, in KiB."""
     return asyncio.run(_measure_ledger(reservations))
 
 
 async def _measure_ledger(reservations: int) -> float:
-    pair = _Pair(engines=32)
-    pair.fill(10)
+    pair = _RouterPair(engines=32)
+    pair.add_running(10)
     await asyncio.sleep(0.2)
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    pair.fill(reservations, name="more")
+    pair.add_running(reservations, name="more")
     await asyncio.sleep(0.2)
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
@@ -212,7 +219,7 @@
 
 
 def progress_bytes(placements: int) -> int:
-    """Return the bytes of a progress message that names a number of placements."""
+    """Return the size of a progress message for a number of placements, in bytes."""
     serials = [1_000_000 + 7 * index for index in range(placements)]
     return len(
         encode_frame(Progress(cell="3f9c01ab-17", serials=serials, tokens=[900] * placements))
