--- a/tools/bench_decisions.py
+++ b/tools/bench_decisions.py
@@ -22,8 +22,8 @@
 
 ENGINE_COUNTS = (5, 32, 50, 500)
 HOST_COUNTS = (9, 90, 390)
-MAX_CELL_ENGINES = 32
-"""Maximum engines per cell: larger pools are split into cells with a scheduler each."""
+TARGET_CELL_ENGINES = 32
+"""Target engines per cell: larger pools are split into cells with a scheduler each."""
 
 ACCOUNT_COUNT = 20
 RUNNING_PER_ENGINE = 24
@@ -141,7 +141,7 @@
     print("engines  us/request  us/request in cells of 32  us/load report")
     for engines in ENGINE_COUNTS:
         pool_us = _measure_request_us(engines)
-        cell_us = _measure_request_us(min(engines, MAX_CELL_ENGINES))
+        cell_us = _measure_request_us(min(engines, TARGET_CELL_ENGINES))
         print(
             f"{engines:7d}  {pool_us:10.1f}  {cell_us:25.1f}  {_measure_report_us(engines):14.2f}"
         )
