--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller that follows the published interface: it resumes, retries, and checks every token."""
+"""A caller of the published interface that resumes, retries and verifies every token."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import msgspec
 
 from standins.caller_reports import AnswerReport
+from standins.caller_reports import AnswerRequest
 from standins.caller_reports import AnswerState
-from standins.caller_reports import Ask
 from standins.caller_reports import BookingReport
 from standins.caller_reports import BookingState
 from standins.sse import read_events
@@ -28,19 +28,19 @@
 from tanagerscale.measures import RequestTimeline
 
 CONNECT_TIMEOUT_S = 2.0
-SILENCE_TIMEOUT_S = 20.0
-PAUSE_MS = 200
-LONGEST_PAUSE_MS = 3_000
-GIVE_UP_MS = 90_000
-MOST_RESUMES = 100
-DONE = "[DONE]"
-GENERATION_LOST = ":generation-lost"
-SHARE_WITHOUT_BODY = 0.25
-RETRIED_STATUS = frozenset({409, 429, 500, 502, 503, 504})
+READ_TIMEOUT_S = 20.0
+RETRY_DELAY_MS = 200
+MAX_RETRY_DELAY_MS = 3_000
+CALLER_TIMEOUT_MS = 90_000
+MAX_RESUMES = 100
+DONE_EVENT = "[DONE]"
+GENERATION_LOST_SUFFIX = ":generation-lost"
+BODYLESS_RESUME_PROBABILITY = 0.25
+RETRYABLE_STATUSES = frozenset({409, 429, 500, 502, 503, 504})
 
 
 class BookingReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What is read of the booking service's answer."""
+    """Fields that the caller reads from an answer of the booking service."""
 
     number: int
 
@@ -55,86 +55,88 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Trial:
-    """One sending of a request and what has come of it."""
+class _Submission:
+    """One submission of a request and its result so far."""
 
     prompt: str
     expected: str
     text: str = ""
     cursor: str = ""
     request_id: str = ""
-    finish: str = ""
+    finish_reason: str = ""
     done: bool = False
     problem: ProblemDetails | None = None
 
 
 class _WrongAnswerError(Exception):
-    """The answer differs from what the engine generated."""
+    """The answer differs from the tokens that the engine generates for the request."""
 
 
 @final
 class Caller:
-    """One caller behind the platform's balancer.
-
-    :param session: Its connections.
-    :param hosts: Returns the base URLs that the balancer offers now.
-    :param key: Its bearer key.
-    :param rng: Chooses among them.
-    :param give_up_ms: How long it tries, in milliseconds.
-    :param objective: What it counts as stall time.
-    :param silence_s: Longest silence before it goes to another host, in seconds.
-    :param share_without_body: How often it first goes on without sending its body again.
+    """A caller that reaches the hosts through the load balancer.
+
+    :param session: HTTP session used for all requests.
+    :param get_urls: Returns the base URLs that the load balancer offers now.
+    :param key: Bearer key of the client account.
+    :param rng: Random number generator used to select a base URL and how to resume.
+    :param timeout_ms: Time after which no further submission or call is started, in milliseconds.
+    :param objective: Latency objective from which the stall time is computed.
+    :param read_timeout_s: Longest time without data before the caller switches to another host, in
+        seconds.
+    :param bodyless_resume_probability: Probability that a resumption is first tried without
+        the request body.
     """
 
     def __init__(
         self,
         *,
         session: aiohttp.ClientSession,
-        hosts: Callable[[], Sequence[str]],
+        get_urls: Callable[[], Sequence[str]],
         key: str,
         rng: Random,
         objective: Objective,
-        give_up_ms: int = GIVE_UP_MS,
-        silence_s: float = SILENCE_TIMEOUT_S,
-        share_without_body: float = SHARE_WITHOUT_BODY,
+        timeout_ms: int = CALLER_TIMEOUT_MS,
+        read_timeout_s: float = READ_TIMEOUT_S,
+        bodyless_resume_probability: float = BODYLESS_RESUME_PROBABILITY,
     ) -> None:
         self._session = session
-        self._hosts = hosts
+        self._get_urls = get_urls
         self._headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json"}
         self._rng = rng
         self._objective = objective
         self._clock = Clock()
-        self._give_up_ms = give_up_ms
-        self._share_without_body = share_without_body
+        self._timeout_ms = timeout_ms
+        self._bodyless_resume_probability = bodyless_resume_probability
         self._timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=silence_s
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=read_timeout_s
         )
-        self._last_host = ""
+        self._last_url = ""
 
-    async def complete(self, ask: Ask) -> AnswerReport:
-        """Send a request until its answer is whole, finally refused, wrong, or given up.
+    async def complete(self, request: AnswerRequest) -> AnswerReport:
+        """Submit a request until its answer is complete, refused or wrong, or the timeout expires.
 
-        :param ask: The request.
+        :param request: The request to send.
         """
-        began = self._clock.now()
-        report = AnswerReport(ask=ask, began_ms=began)
+        started_ms = self._clock.now()
+        report = AnswerReport(ask=request, began_ms=started_ms)
         timeline = RequestTimeline(
-            arrived=began,
+            arrived=started_ms,
             first_token_ms=self._objective.first_token_ms,
             token_gap_ms=self._objective.token_gap_ms,
         )
         try:
-            while self._clock.now() - began < self._give_up_ms:
-                trial = self._new_trial(ask, report)
-                pause_ms = await self._run_trial(trial, ask, report, timeline)
-                if pause_ms is None:
+            while self._clock.now() - started_ms < self._timeout_ms:
+                submission = self._new_submission(request, report)
+                delay_ms = await self._run_submission(submission, request, report, timeline)
+                if delay_ms is None:
                     break
-                await self._clock.sleep(pause_ms)
+                await self._clock.sleep(delay_ms)
         except _WrongAnswerError as error:
             report.state = AnswerState.WRONG
             report.detail = str(error)
-        report.took_ms = self._clock.now() - began
-        if report.state is not AnswerState.WHOLE:
+        report.took_ms = self._clock.now() - started_ms
+        if report.state is not AnswerState.COMPLETE:
             timeline.give_up(now=self._clock.now())
         report.stall_ms = round(timeline.stall_ms)
         if timeline.first_token_wait is not None:
@@ -142,27 +144,28 @@
         return report
 
     async def book(self, *, service: str, key: str, retry_refused: bool) -> BookingReport:
-        """Send a booking with one key until its outcome is final.
+        """Send a booking with one key until its outcome is final or the timeout expires.
 
         :param service: Name of the service.
-        :param key: Idempotency key, and id of the booking.
-        :param retry_refused: Whether to come back after "not executed", as one is told to.
+        :param key: Idempotency key, also used as the id of the booking.
+        :param retry_refused: Whether to retry after "not executed", as the interface asks callers
+            to do.
         """
         report = BookingReport(key=key)
-        began = self._clock.now()
-        while self._clock.now() - began < self._give_up_ms:
+        started_ms = self._clock.now()
+        while self._clock.now() - started_ms < self._timeout_ms:
             report.calls += 1
-            pause_ms = await self._book_once(service, report, retry_refused)
-            if pause_ms is None:
+            delay_ms = await self._book_once(service, report, retry_refused)
+            if delay_ms is None:
                 break
-            await self._clock.sleep(pause_ms)
-        report.took_ms = self._clock.now() - began
+            await self._clock.sleep(delay_ms)
+        report.took_ms = self._clock.now() - started_ms
         return report
 
     async def _book_once(
         self, service: str, report: BookingReport, retry_refused: bool
     ) -> int | None:
-        url = f"{self._pick_host()}/services/{service}/bookings"
+        url = f"{self._select_url()}/services/{service}/bookings"
         headers = self._headers | {"Idempotency-Key": report.key}
         body = msgspec.json.encode({"id": report.key})
         try:
@@ -171,14 +174,14 @@
             ) as reply:
                 content = await reply.read()
                 report.events.append(f"{url} {reply.status} {content[:300]!r}")
-                return self._judge_booking(reply, content, report, retry_refused)
+                return self._handle_booking_reply(reply, content, report, retry_refused)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             report.events.append(f"{url} {error!r}")
             report.state = BookingState.LOST
             report.uncertain = True
-            return PAUSE_MS
+            return RETRY_DELAY_MS
 
-    def _judge_booking(
+    def _handle_booking_reply(
         self,
         reply: aiohttp.ClientResponse,
         content: bytes,
@@ -195,98 +198,112 @@
         report.detail = f"{problem.title}: {problem.detail}"
         if problem.execution == Execution.NOT_EXECUTED.value:
             report.state = BookingState.NOT_EXECUTED
-            # The word is about this call; what became of an earlier one must still be asked.
-            if (retry_refused or report.uncertain) and reply.status in RETRIED_STATUS:
-                return self._pause_of(problem)
+            # "Not executed" refers to this call only; an earlier call may have been executed.
+            if (retry_refused or report.uncertain) and reply.status in RETRYABLE_STATUSES:
+                return self._compute_retry_delay_ms(problem)
             return None
         report.state = BookingState.UNKNOWN
         report.uncertain = True
         if problem.retry_after_ms is not None:
-            return self._pause_of(problem)
+            return self._compute_retry_delay_ms(problem)
         return None
 
-    def _new_trial(self, ask: Ask, report: AnswerReport) -> _Trial:
+    def _new_submission(self, request: AnswerRequest, report: AnswerReport) -> _Submission:
         report.trials += 1
-        prompt = ask.prompt(trial=report.trials)
-        asked = EngineRequest(
+        prompt = request.prompt(submission=report.trials)
+        engine_request = EngineRequest(
             attempt_id="",
-            model=ask.model,
-            version=ask.version,
+            model=request.model,
+            version=request.version,
             prompt=prompt,
-            seed=ask.seed,
-            max_tokens=ask.max_tokens,
+            seed=request.seed,
+            max_tokens=request.max_tokens,
         )
-        return _Trial(prompt=prompt, expected="".join(answer_tokens(asked)))
+        return _Submission(prompt=prompt, expected="".join(answer_tokens(engine_request)))
 
-    async def _run_trial(
-        self, trial: _Trial, ask: Ask, report: AnswerReport, timeline: RequestTimeline
+    async def _run_submission(
+        self,
+        submission: _Submission,
+        request: AnswerRequest,
+        report: AnswerReport,
+        timeline: RequestTimeline,
     ) -> int | None:
         body = msgspec.json.encode(
             CompletionRequest(
-                model=ask.model,
-                prompt=trial.prompt,
-                stream=ask.stream,
-                seed=ask.seed,
-                max_tokens=ask.max_tokens,
-                request_class=ask.request_class,
+                model=request.model,
+                prompt=submission.prompt,
+                stream=request.stream,
+                seed=request.seed,
+                max_tokens=request.max_tokens,
+                request_class=request.request_class,
             )
         )
-        await self._exchange("POST", "/v1/completions", body, {}, trial, report, timeline)
-        while not trial.done and trial.problem is None and trial.cursor:
-            if report.resumes > MOST_RESUMES:
-                return PAUSE_MS
-            await self._clock.sleep(PAUSE_MS)
+        await self._exchange("POST", "/v1/completions", body, {}, submission, report, timeline)
+        while not submission.done and submission.problem is None and submission.cursor:
+            if report.resumes > MAX_RESUMES:
+                return RETRY_DELAY_MS
+            await self._clock.sleep(RETRY_DELAY_MS)
             report.resumes += 1
-            await self._go_on(trial, body, report, timeline)
-            self._forgive_busy_host(trial, report)
-        return self._judge(trial, report)
+            await self._resume(submission, body, report, timeline)
+            self._clear_busy_host_problem(submission, report)
+        return self._handle_outcome(submission, report)
 
-    async def _go_on(
-        self, trial: _Trial, body: bytes, report: AnswerReport, timeline: RequestTimeline
+    async def _resume(
+        self, submission: _Submission, body: bytes, report: AnswerReport, timeline: RequestTimeline
     ) -> None:
-        path = f"/v1/completions/{trial.request_id}/events"
-        if self._rng.random() < self._share_without_body:
-            await self._exchange("GET", path, None, _cursor(trial), trial, report, timeline)
-            if trial.problem is None or not trial.problem.type.endswith(GENERATION_LOST):
+        path = f"/v1/completions/{submission.request_id}/events"
+        if self._rng.random() < self._bodyless_resume_probability:
+            await self._exchange(
+                "GET", path, None, _cursor_headers(submission), submission, report, timeline
+            )
+            if submission.problem is None or not submission.problem.type.endswith(
+                GENERATION_LOST_SUFFIX
+            ):
                 return
-            # With the first body a host can make the lost generation again.
-            trial.problem = None
-        await self._exchange("POST", path, body, _cursor(trial), trial, report, timeline)
+            # A host needs the original body to repeat a lost generation.
+            submission.problem = None
+        await self._exchange(
+            "POST", path, body, _cursor_headers(submission), submission, report, timeline
+        )
 
-    def _forgive_busy_host(self, trial: _Trial, report: AnswerReport) -> None:
-        # A host that is starting or stopping says to go elsewhere; the cursor is still good.
-        if trial.problem is not None and trial.problem.type.endswith((":stopping", ":overloaded")):
-            self._note_denial(trial.problem, report)
-            trial.problem = None
+    def _clear_busy_host_problem(self, submission: _Submission, report: AnswerReport) -> None:
+        # A host that starts or stops redirects callers to other hosts; the cursor stays valid.
+        if submission.problem is not None and submission.problem.type.endswith(
+            (":stopping", ":overloaded")
+        ):
+            self._record_not_executed(submission.problem, report)
+            submission.problem = None
 
-    def _note_denial(self, problem: ProblemDetails, report: AnswerReport) -> None:
+    def _record_not_executed(self, problem: ProblemDetails, report: AnswerReport) -> None:
         if problem.execution == Execution.NOT_EXECUTED.value:
             report.told_not_executed.append(f"{report.ask.name}.{report.trials}")
 
-    def _judge(self, trial: _Trial, report: AnswerReport) -> int | None:
-        if trial.done:
-            if trial.finish in ("stop", "length"):
-                if trial.text != trial.expected:
-                    raise _WrongAnswerError(_difference(trial, "ended too early"))
-                report.state = AnswerState.WHOLE
-                report.tokens = _count(trial.text)
+    def _handle_outcome(self, submission: _Submission, report: AnswerReport) -> int | None:
+        if submission.done:
+            if submission.finish_reason in ("stop", "length"):
+                if submission.text != submission.expected:
+                    raise _WrongAnswerError(_describe_difference(submission, "ended too early"))
+                report.state = AnswerState.COMPLETE
+                report.tokens = _count_tokens(submission.text)
                 return None
-            report.detail = f"finish reason {trial.finish}"
-            raise _WrongAnswerError(f"an end marker with finish reason {trial.finish!r}")
-        if trial.problem is None:
-            return PAUSE_MS
-        problem = trial.problem
+            report.detail = f"finish reason {submission.finish_reason}"
+            raise _WrongAnswerError(
+                f"the answer ended with unexpected finish reason {submission.finish_reason!r}"
+            )
+        if submission.problem is None:
+            return RETRY_DELAY_MS
+        problem = submission.problem
         report.detail = f"{problem.title}: {problem.detail}"
         report.execution = problem.execution
-        self._note_denial(problem, report)
-        if problem.status in RETRIED_STATUS:
-            return self._pause_of(problem)
+        self._record_not_executed(problem, report)
+        if problem.status in RETRYABLE_STATUSES:
+            return self._compute_retry_delay_ms(problem)
         report.state = AnswerState.REFUSED
         return None
 
-    def _pause_of(self, problem: ProblemDetails) -> int:
-        asked = PAUSE_MS if problem.retry_after_ms is None else problem.retry_after_ms
-        return min(asked, LONGEST_PAUSE_MS)
+    def _compute_retry_delay_ms(self, problem: ProblemDetails) -> int:
+        requested_ms = RETRY_DELAY_MS if problem.retry_after_ms is None else problem.retry_after_ms
+        return min(requested_ms, MAX_RETRY_DELAY_MS)
 
     async def _exchange(
         self,
@@ -294,93 +311,99 @@
         path: str,
         body: bytes | None,
         headers: dict[str, str],
-        trial: _Trial,
+        submission: _Submission,
         report: AnswerReport,
         timeline: RequestTimeline,
     ) -> None:
-        url = self._pick_host() + path
+        url = self._select_url() + path
         try:
             async with self._session.request(
                 method, url, data=body, headers=self._headers | headers, timeout=self._timeout
             ) as reply:
-                trial.request_id = trial.request_id or reply.headers.get("X-Request-Id", "")
-                report.events.append(f"{method} {url} {reply.status} at {len(trial.text)}")
+                submission.request_id = submission.request_id or reply.headers.get(
+                    "X-Request-Id", ""
+                )
+                report.events.append(f"{method} {url} {reply.status} at {len(submission.text)}")
                 if reply.status != 200:
-                    trial.problem = msgspec.json.decode(await reply.read(), type=ProblemDetails)
-                    report.events.append(f"{trial.problem}")
+                    submission.problem = msgspec.json.decode(
+                        await reply.read(), type=ProblemDetails
+                    )
+                    report.events.append(f"{submission.problem}")
                 elif reply.content_type == "text/event-stream":
-                    await self._read_stream(reply, trial, report, timeline)
+                    await self._read_stream(reply, submission, report, timeline)
                 else:
-                    self._read_whole(await reply.read(), trial, report, timeline)
+                    self._read_completion(await reply.read(), submission, report, timeline)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            report.events.append(f"{method} {url} {error!r} at {len(trial.text)}")
+            report.events.append(f"{method} {url} {error!r} at {len(submission.text)}")
         except msgspec.MsgspecError as error:
-            raise _WrongAnswerError(f"an answer that is not the published one: {error}") from error
+            raise _WrongAnswerError(
+                f"the answer violates the published interface: {error}"
+            ) from error
 
-    def _read_whole(
-        self, body: bytes, trial: _Trial, report: AnswerReport, timeline: RequestTimeline
+    def _read_completion(
+        self, body: bytes, submission: _Submission, report: AnswerReport, timeline: RequestTimeline
     ) -> None:
         choice = msgspec.json.decode(body, type=Completion).choices[0]
-        trial.text = choice.text
-        trial.finish = choice.finish_reason or ""
-        trial.done = True
-        timeline.on_tokens(total=_count(trial.text), now=self._clock.now())
+        submission.text = choice.text
+        submission.finish_reason = choice.finish_reason or ""
+        submission.done = True
+        timeline.on_tokens(total=_count_tokens(submission.text), now=self._clock.now())
 
     async def _read_stream(
         self,
         reply: aiohttp.ClientResponse,
-        trial: _Trial,
+        submission: _Submission,
         report: AnswerReport,
         timeline: RequestTimeline,
     ) -> None:
         async for event in read_events(reply):
             if event.event == "error":
-                trial.problem = msgspec.json.decode(event.data, type=ProblemDetails)
-                report.events.append(f"{trial.problem}")
+                submission.problem = msgspec.json.decode(event.data, type=ProblemDetails)
+                report.events.append(f"{submission.problem}")
                 return
-            if event.data == DONE:
-                trial.done = True
+            if event.data == DONE_EVENT:
+                submission.done = True
                 return
             if event.data:
-                self._take(event.data, trial, report, timeline)
-            # The cursor counts only together with the tokens before it.
-            trial.cursor = event.id or trial.cursor
+                self._handle_tokens(event.data, submission, report, timeline)
+            # The cursor is valid only after the tokens before it have been processed.
+            submission.cursor = event.id or submission.cursor
 
-    def _take(
-        self, data: str, trial: _Trial, report: AnswerReport, timeline: RequestTimeline
+    def _handle_tokens(
+        self, data: str, submission: _Submission, report: AnswerReport, timeline: RequestTimeline
     ) -> None:
         choice = msgspec.json.decode(data, type=_EventBody).choices[0]
-        trial.finish = choice.finish_reason or trial.finish
+        submission.finish_reason = choice.finish_reason or submission.finish_reason
         if not choice.text:
             return
-        trial.text += choice.text
-        gap = timeline.on_tokens(total=_count(trial.text), now=self._clock.now())
+        submission.text += choice.text
+        gap = timeline.on_tokens(total=_count_tokens(submission.text), now=self._clock.now())
         if gap is not None:
             report.gaps_ms.append(round(gap))
-        if not trial.expected.startswith(trial.text):
-            raise _WrongAnswerError(_difference(trial, "differs"))
+        if not submission.expected.startswith(submission.text):
+            raise _WrongAnswerError(_describe_difference(submission, "differs"))
 
-    def _pick_host(self) -> str:
-        hosts = [host for host in self._hosts() if host != self._last_host]
-        self._last_host = self._rng.choice(hosts or list(self._hosts()))
-        return self._last_host
+    def _select_url(self) -> str:
+        urls = [url for url in self._get_urls() if url != self._last_url]
+        self._last_url = self._rng.choice(urls or list(self._get_urls()))
+        return self._last_url
 
 
-def _cursor(trial: _Trial) -> dict[str, str]:
-    return {"Last-Event-ID": trial.cursor}
+def _cursor_headers(submission: _Submission) -> dict[str, str]:
+    return {"Last-Event-ID": submission.cursor}
 
 
-def _count(text: str) -> int:
-    # Each token of the stand-in but the first begins with a space.
+def _count_tokens(text: str) -> int:
+    # Every token of the engine stand-in except the first begins with a space.
     return len(text.split(" ")) if text else 0
 
 
-def _difference(trial: _Trial, what: str) -> str:
+def _describe_difference(submission: _Submission, what: str) -> str:
     common = 0
-    for got, wanted in zip(trial.text, trial.expected, strict=False):
+    for got, wanted in zip(submission.text, submission.expected, strict=False):
         if got != wanted:
             break
         common += 1
     start = max(0, common - 40)
-    got, wanted = trial.text[start : common + 40], trial.expected[start : common + 40]
-    return f"the answer {what} at character {common}: got {got!r}, not {wanted!r}"
+    got, wanted = submission.text[start : common + 40], submission.expected[start : common + 40]
+    return f"the answer {what} at character {common}: got {got!r}, expected {wanted!r}"
--- a/standins/caller_reports.py
+++ b/standins/caller_reports.py
@@ -1,4 +1,4 @@
-"""What callers ask and what they report."""
+"""Requests of callers and reports of their results."""
 
 from __future__ import annotations
 
@@ -12,36 +12,37 @@
 class AnswerState(Enum):
     """How a request for an answer ended."""
 
-    WHOLE = "whole"
-    """All tokens came once and in order, and the end marker with them."""
+    COMPLETE = "whole"
+    """Every token arrived once and in order, followed by the end marker."""
     REFUSED = "refused"
-    """A typed final answer in place of one."""
+    """A final problem response was received instead of an answer."""
     WRONG = "wrong"
-    """Tokens came that are not the answer's, or an end marker before its end."""
+    """Tokens differ from the expected answer, or the end marker arrived too early."""
     LOST = "lost"
-    """Neither an answer nor a final refusal came in the time a caller waits."""
+    """Neither an answer nor a final refusal arrived before the caller's timeout."""
 
 
 @unique
 class BookingState(Enum):
-    """What a caller knows of a booking at the end."""
+    """Final state of a booking as reported to its caller."""
 
     BOOKED = "booked"
     NOT_EXECUTED = "not-executed"
     UNKNOWN = "unknown"
     LOST = "lost"
-    """No final answer came in the time a caller waits."""
+    """No final answer arrived before the caller's timeout."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class AnswerRequest:
     """One request for an answer.
 
-    :param name: Unique name, which the engine's journal shows.
-    :param tokens: Length of its answer; ``None`` lets the engine choose.
-    :param directives: More directives for the engine stand-in.
-    :param stream: Whether tokens are wanted as they come.
-    :param same_prompt: Whether each trial sends the same text, as callers do.
+    :param name: Unique name, which appears in the journal of the engine.
+    :param tokens: Length of the answer; ``None`` lets the engine choose.
+    :param directives: Additional directives for the engine stand-in.
+    :param stream: Whether tokens are streamed as they are generated.
+    :param same_prompt: Whether each submission sends the same prompt, as real callers do; otherwise
+        each prompt carries the number of its submission.
     """
 
     name: str
@@ -56,32 +57,32 @@
     text: str = "Please answer this."
     same_prompt: bool = False
 
-    def prompt(self, *, trial: int) -> str:
-        """Return the prompt of one trial.
+    def prompt(self, *, submission: int) -> str:
+        """Return the prompt of one submission.
 
-        :param trial: Its number.
+        :param submission: Number of the submission, from 1.
         """
         length = "" if self.tokens is None else f"[[tokens={self.tokens}]]"
-        tag = self.name if self.same_prompt else f"{self.name}.{trial}"
+        tag = self.name if self.same_prompt else f"{self.name}.{submission}"
         return f"{self.text} [[tag={tag}]] {length} {self.directives}".strip()
 
 
 @dataclass(kw_only=True, slots=True)
 class AnswerReport:
-    """What a caller saw of one request; times in milliseconds.
-
-    :param first_token_ms: From the first sending to the first token.
-    :param gaps_ms: Times between two events with new tokens.
-    :param stall_ms: Waiting beyond the objectives, as ``tanagerscale.measures`` defines it.
-    :param began_ms: When it was sent first, on the loop's clock.
-    :param resumes: How often it went on with its cursor.
-    :param trials: How often it sent the request.
-    :param told_not_executed: Trials of which it was told that they had not run.
-    :param tokens: Tokens of the whole answer.
-    :param events: What happened, for people.
+    """Result of one request as observed by its caller; times in milliseconds.
+
+    :param first_token_ms: Time from the first submission to the first token.
+    :param gaps_ms: Times between consecutive events with new tokens.
+    :param stall_ms: Waiting time beyond the objectives, as defined by ``tanagerscale.measures``.
+    :param began_ms: Time of the first submission, on the clock of the event loop.
+    :param resumes: Number of times the answer was resumed from its cursor.
+    :param trials: Number of submissions of the request.
+    :param told_not_executed: Submissions that were reported as not executed, as ``NAME.NUMBER``.
+    :param tokens: Number of tokens in the complete answer.
+    :param events: Human-readable history of the request.
     """
 
-    ask: Ask
+    ask: AnswerRequest
     state: AnswerState = AnswerState.LOST
     detail: str = ""
     execution: str = ""
@@ -99,12 +100,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class BookingReport:
-    """What a caller saw of one booking.
+    """Result of one booking as observed by its caller.
 
-    :param calls: How often it sent the call.
-    :param number: Number that the service gave it.
-    :param uncertain: Whether a call broke or its outcome was called unknown.
-    :param events: What happened, for people.
+    :param calls: Number of calls sent.
+    :param number: Number that the service assigned to the booking.
+    :param uncertain: Whether a call failed without an answer or was reported with an unknown
+        outcome.
+    :param events: Human-readable history of the booking.
     """
 
     key: str
--- a/standins/cluster_files.py
+++ b/standins/cluster_files.py
@@ -1,4 +1,4 @@
-"""The INI files of a small cluster: declarations and host settings."""
+"""INI files of a test cluster: declarations and host settings."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from tanagerscale.generated.declarations import DeclarationSet
 from tanagerscale.generated.settings import HostSettings
 
-# The keys of tests need no strength, and the hosts of a busy machine no work.
-HASHER = PasswordHasher(time_cost=1, memory_cost=1_024, parallelism=1)
+# Test keys need no strong hash, and a cheap one saves CPU time on a busy machine.
+KEY_HASHER = PasswordHasher(time_cost=1, memory_cost=1_024, parallelism=1)
 SECTION_KINDS = {
     "models": "model",
     "adapters": "adapter",
@@ -24,39 +24,39 @@
 
 
 def account_key(account: str) -> str:
-    """Return the bearer key of an account of a test.
+    """Return the bearer key of a test account.
 
-    :param account: Its name.
+    :param account: Name of the account.
     """
     return f"{account}.test-secret-of-{account}"
 
 
 def account_key_hash(account: str) -> str:
-    """Return the salted hash of that key.
+    """Return the salted hash of the bearer key of a test account.
 
-    :param account: Its name.
+    :param account: Name of the account.
     """
-    return HASHER.hash(account_key(account))
+    return KEY_HASHER.hash(account_key(account))
 
 
 def write_declarations(*, path: Path, declarations: DeclarationSet) -> None:
     """Write a set of declarations as one INI file.
 
-    :param path: The file.
-    :param declarations: The set.
+    :param path: File to write.
+    :param declarations: Set of declarations.
     """
     lines = _section("objective", declarations.objective)
     for group, kind in SECTION_KINDS.items():
         for item in getattr(declarations, group):
-            lines += _section(f"{kind} {item.name}", item, left_out="name")
+            lines += _section(f"{kind} {item.name}", item, excluded="name")
     path.write_text("\n".join(lines))
 
 
 def write_settings(*, path: Path, settings: HostSettings) -> None:
     """Write the settings of a host as an INI file.
 
-    :param path: The file.
-    :param settings: The settings.
+    :param path: File to write.
+    :param settings: Settings of the host.
     """
     lines: list[str] = []
     for section in msgspec.structs.fields(settings):
@@ -64,11 +64,11 @@
     path.write_text("\n".join(lines))
 
 
-def _section(title: str, item: msgspec.Struct, *, left_out: str = "") -> list[str]:
+def _section(title: str, item: msgspec.Struct, *, excluded: str = "") -> list[str]:
     values = {
         field.name: getattr(item, field.name)
         for field in msgspec.structs.fields(item)
-        if field.name != left_out and getattr(item, field.name) not in ("", [])
+        if field.name != excluded and getattr(item, field.name) not in ("", [])
     }
     return [f"[{title}]", *(f"{name} = {_text(value)}" for name, value in values.items()), ""]
 
--- a/standins/command_line.py
+++ b/standins/command_line.py
@@ -1,4 +1,4 @@
-"""Runs of the operators' command line."""
+"""Runs the command-line tool of the operators as a process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CommandResult:
-    """How a run of the command line ended."""
+    """Exit code and output of one run of the command-line tool."""
 
     returncode: int
     output: str
@@ -24,7 +24,9 @@
 async def run_command(*arguments: str) -> CommandResult:
     """Run the command-line tool.
 
-    :param arguments: Its command line.
+    :param arguments: Arguments of the tool.
+    :returns: Exit code, standard output and standard error.
+    :raises TimeoutError: If the tool runs for longer than ``COMMAND_TIMEOUT_S``.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/standins/demo_tables.py
+++ b/standins/demo_tables.py
@@ -1,4 +1,4 @@
-"""The demo's tables: what callers saw, the measures, the promises."""
+"""Tables of the demo: results of callers, measures and guarantees."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from tanagerscale.core import MS_PER_SECOND
 from tanagerscale.measures import GapHistogram
 
-SHOWN_EXAMPLES = 5
+MAX_EXAMPLES = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
-    """One promise and whether it held."""
+class Guarantee:
+    """A guarantee and whether it held in the run."""
 
     text: str
     held: bool
 
 
-def print_seen(
+def print_caller_results(
     *, console: Console, answers: Sequence[AnswerReport], bookings: Sequence[BookingReport]
 ) -> None:
-    """Print what each caller saw.
+    """Print the results that each caller observed.
 
-    :param console: Where.
-    :param answers: Its requests.
-    :param bookings: Its bookings.
+    :param console: Console to print to.
+    :param answers: Reports of the requests.
+    :param bookings: Reports of the bookings.
     """
-    table = Table(title="What each caller saw", title_justify="left")
+    table = Table(title="Results by caller", title_justify="left")
     table.add_column("caller")
-    for name in ("requests", "whole, once, in order", "went on by cursor", "sent again"):
+    for name in ("requests", "complete, in order", "resumed by cursor", "resubmitted"):
         table.add_column(name, justify="right")
     for caller, reports in _by_caller(answers).items():
         table.add_row(
             caller,
             str(len(reports)),
-            str(sum(1 for report in reports if report.state is AnswerState.WHOLE)),
+            str(sum(1 for report in reports if report.state is AnswerState.COMPLETE)),
             str(sum(1 for report in reports if report.resumes)),
             str(sum(1 for report in reports if report.trials > 1)),
         )
@@ -61,44 +61,44 @@
 
 
 def print_measures(*, console: Console, answers: Sequence[AnswerReport], preemptions: int) -> None:
-    """Print the measures, whose definitions stand in docs/MEASURES.md.
+    """Print the measures, which are defined in docs/MEASURES.md.
 
-    :param console: Where.
-    :param answers: What callers saw.
-    :param preemptions: Preemptions by engines; those of killed ones as last read.
+    :param console: Console to print to.
+    :param answers: Reports of the requests.
+    :param preemptions: Number of preemptions by engines; the last count read for a killed engine.
     """
-    table = Table(title="Measures, as the callers see them", title_justify="left")
-    table.add_column("requests of")
+    table = Table(title="Measures observed by the callers", title_justify="left")
+    table.add_column("request class")
     for name in (
         "stall s",
         "first token p50 ms",
         "p99 ms",
         "token gap p50 ms",
         "p99 ms",
-        "whole answer p50 s",
+        "complete answer p50 s",
     ):
         table.add_column(name, justify="right")
     kinds = sorted({report.ask.request_class for report in answers})
     for kind in kinds:
-        chosen = [report for report in answers if report.ask.request_class == kind]
-        table.add_row(kind, *_measures(chosen))
+        selected = [report for report in answers if report.ask.request_class == kind]
+        table.add_row(kind, *_measures(selected))
     console.print(table)
     console.print(f"{preemptions} preemptions by engines", highlight=False)
 
 
-def print_promises(
-    *, console: Console, promises: Sequence[Promise], examples: Sequence[str]
+def print_guarantees(
+    *, console: Console, guarantees: Sequence[Guarantee], examples: Sequence[str]
 ) -> None:
-    """Print which promises held.
+    """Print which guarantees held.
 
-    :param console: Where.
-    :param promises: The promises.
-    :param examples: What went wrong.
+    :param console: Console to print to.
+    :param guarantees: Guarantees and their results.
+    :param examples: Descriptions of failures, of which ``MAX_EXAMPLES`` at most are printed.
     """
-    for promise in promises:
-        word = "[green]held[/green]  " if promise.held else "[red]BROKEN[/red]"
-        console.print(f"{word} {promise.text}", highlight=False)
-    for example in examples[:SHOWN_EXAMPLES]:
+    for guarantee in guarantees:
+        label = "[green]held[/green]  " if guarantee.held else "[red]BROKEN[/red]"
+        console.print(f"{label} {guarantee.text}", highlight=False)
+    for example in examples[:MAX_EXAMPLES]:
         console.print(example, markup=False, highlight=False, soft_wrap=True)
 
 
@@ -111,20 +111,22 @@
 
 
 def _measures(answers: Sequence[AnswerReport]) -> tuple[str, ...]:
-    first, gaps, whole = GapHistogram(), GapHistogram(), GapHistogram()
+    first_token_times, gaps, durations = GapHistogram(), GapHistogram(), GapHistogram()
     streamed = [report for report in answers if report.ask.stream]
     for report in streamed:
         if report.first_token_ms is not None:
-            first.record(report.first_token_ms)
+            first_token_times.record(report.first_token_ms)
         for gap in report.gaps_ms:
             gaps.record(gap)
     for report in answers:
-        whole.record(report.took_ms)
+        durations.record(report.took_ms)
     stall_ms = sum(report.stall_ms for report in streamed)
-    # An answer that comes in one piece has no first token and no gaps.
-    shown = [f"{stall_ms / MS_PER_SECOND:.1f}"] + [
-        f"{histogram.quantile(part):.0f}" for histogram in (first, gaps) for part in (0.5, 0.99)
+    # An answer that is not streamed has no first-token time and no token gaps.
+    cells = [f"{stall_ms / MS_PER_SECOND:.1f}"] + [
+        f"{histogram.quantile(part):.0f}"
+        for histogram in (first_token_times, gaps)
+        for part in (0.5, 0.99)
     ]
     if not streamed:
-        shown = ["-"] * len(shown)
-    return (*shown, f"{whole.quantile(0.5) / MS_PER_SECOND:.1f}")
+        cells = ["-"] * len(cells)
+    return (*cells, f"{durations.quantile(0.5) / MS_PER_SECOND:.1f}")
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,4 +1,4 @@
-"""A small cluster of real processes on loopback: stand-ins, hosts, declarations."""
+"""A small cluster of real processes on loopback: stand-ins, hosts and declarations."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 from tanagerscale.generated.upstream import ListedState
 
 PORT_IN_USE = "address already in use"
-PORT_TRIES = 40
-PORT_PAUSE_S = 0.5
+MAX_PORT_RETRIES = 40
+PORT_RETRY_DELAY_S = 0.5
 ANY_PORT = f"{LOOPBACK}:0"
 CURSOR_KEY = "cursor-key-of-the-test-cluster-0123456789"
 FAILURE_DOMAINS = ("domain-a", "domain-b", "domain-c")
@@ -57,17 +57,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClusterPlan:
-    """What a cluster has.
+    """Size and settings of a cluster.
 
-    :param engine_options: Command line options of every engine, without dashes.
-    :param store_options: Those of the store.
-    :param models: What is declared and loaded from the start.
+    :param engine_options: Command-line options of every engine, without dashes.
+    :param store_options: Command-line options of the store, without dashes.
+    :param models: Models that are declared and loaded at start.
     :param accounts: Names of the client accounts.
-    :param base: Declarations whose engines and services are replaced by the cluster's own, in
-        place of a set made from the rest of the plan.
-    :param not_idempotent: Calls of every service that may not be repeated.
-    :param list_lag_ms: How late the host list is, in milliseconds.
-    :param stop_grace_ms: How long a planned stop waits for running answers, in milliseconds.
+    :param base: Declarations whose engines and services are replaced by those of the cluster;
+        ``None`` builds a set from the other fields.
+    :param not_idempotent: Calls of every service that must not be repeated.
+    :param list_lag_ms: Delay of changes in the host list, in milliseconds.
+    :param stop_grace_ms: Longest time that a planned stop waits for running answers, in
+        milliseconds.
     """
 
     hosts: int = 3
@@ -90,10 +91,10 @@
 
 @final
 class Cluster:
-    """The processes of one cluster, all ended when the cluster is.
+    """The processes of one cluster, which end when the context exits.
 
-    :param plan: What it has.
-    :param directory: Where files and logs go.
+    :param plan: Size and settings of the cluster.
+    :param directory: Directory for settings, declarations, journals and logs.
     """
 
     def __init__(self, *, plan: ClusterPlan, directory: Path) -> None:
@@ -112,12 +113,12 @@
 
     @property
     def launcher(self) -> Launcher:
-        """What starts the processes."""
+        """Launcher that starts the processes of the cluster."""
         return self._launcher
 
     async def __aenter__(self) -> Self:
-        """Start the stand-ins, but no host, and write the declarations."""
-        # What an earlier run in the same directory executed is not to be counted.
+        """Start the stand-ins without any host, and build the declarations."""
+        # Executions of an earlier run in the same directory must not be counted.
         for journal in self.directory.glob("*.journal"):
             journal.unlink()
         await self._stack.enter_async_context(self._launcher)
@@ -127,53 +128,53 @@
         except BaseException:
             await self._stack.aclose()
             raise
-        self.declarations = self._declare()
+        self.declarations = self._build_declarations()
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End all processes."""
+        """End all processes of the cluster."""
         await self._stack.aclose()
 
     async def start_engine(
         self, name: str, *, options: dict[str, str] | None = None
     ) -> ManagedProcess:
-        """Start an engine; one that replaces a former one takes its port.
+        """Start an engine; a replacement uses the port of the previous engine of that name.
 
-        :param name: Its declared name.
-        :param options: More command line options, without dashes.
+        :param name: Declared name of the engine.
+        :param options: Additional command-line options, without dashes.
         """
-        held = ",".join(f"{model.name}={model.version}" for model in self.plan.models)
+        model_versions = ",".join(f"{model.name}={model.version}" for model in self.plan.models)
         adapters = self.plan.base.adapters if self.plan.base else []
-        added = ",".join(f"{adapter.name}={adapter.version}" for adapter in adapters)
-        given = {
-            "models": held,
-            "adapters": added,
+        adapter_versions = ",".join(f"{adapter.name}={adapter.version}" for adapter in adapters)
+        launch_options = {
+            "models": model_versions,
+            "adapters": adapter_versions,
             "fencing": self.plan.fencing.value,
             **self.plan.engine_options,
         }
-        given |= {"journal": str(self.journal_path(name))}
-        given |= self._same_port(self.engines.get(name)) | (options or {})
-        self.engines[name] = await self._start(name, "standins.engine", given)
-        await self._list(name, ListedKind.UPSTREAM, self.engines[name].address)
+        launch_options |= {"journal": str(self.journal_path(name))}
+        launch_options |= self._port_option(self.engines.get(name)) | (options or {})
+        self.engines[name] = await self._start(name, "standins.engine", launch_options)
+        await self._add_to_host_list(name, ListedKind.UPSTREAM, self.engines[name].address)
         return self.engines[name]
 
     async def start_service(self, name: str) -> ManagedProcess:
-        """Start an upstream of the plain service; a replacement takes the former one's port.
+        """Start an upstream of the plain service; a replacement uses the port of the previous one.
 
-        :param name: Its name in the cluster.
+        :param name: Name of the upstream in the cluster.
         """
-        given = {"journal": str(self.journal_path(name))}
-        given |= self._same_port(self.services.get(name))
-        self.services[name] = await self._start(name, "standins.service", given)
+        launch_options = {"journal": str(self.journal_path(name))}
+        launch_options |= self._port_option(self.services.get(name))
+        self.services[name] = await self._start(name, "standins.service", launch_options)
         address = self.services[name].address
-        await self._list(address, ListedKind.UPSTREAM, address)
+        await self._add_to_host_list(address, ListedKind.UPSTREAM, address)
         return self.services[name]
 
     async def start_host(self, name: str, *, store_url: str = "") -> ManagedProcess:
-        """Start a host, which takes new ports.
+        """Start a host on new ports.
 
-        :param name: Its id.
-        :param store_url: Where it reaches the store, when not directly.
+        :param name: Id of the host.
+        :param store_url: URL at which the host reaches the store; empty for the store itself.
         """
         path = self.directory / f"{name}.ini"
         write_settings(path=path, settings=self._settings(name, store_url or self.store.url))
@@ -182,32 +183,32 @@
             name=name, module="tanagerscale.daemon", arguments=arguments
         )
         self.hosts[name] = host
-        await self._list(name, ListedKind.HOST, host.address_of("peers"))
+        await self._add_to_host_list(name, ListedKind.HOST, host.address_of("peers"))
         return host
 
     async def start_hosts(self) -> None:
-        """Start all hosts of the plan at once."""
+        """Start all hosts of the plan concurrently."""
         names = [f"host-{number}" for number in range(1, self.plan.hosts + 1)]
         async with asyncio.TaskGroup() as group:
             for name in names:
                 group.create_task(self.start_host(name))
 
-    async def list_state(self, entry: str, state: ListedState) -> None:
-        """Change what the host list says of an entry.
+    async def set_listed_state(self, entry: str, state: ListedState) -> None:
+        """Change the state of an entry in the host list.
 
-        :param entry: Its id.
-        :param state: What it says from now on.
+        :param entry: Id of the entry.
+        :param state: New state of the entry.
         """
         self._entries[entry] = msgspec.structs.replace(self._entries[entry], state=state)
-        await self._publish()
+        await self._publish_host_list()
 
-    async def unlist(self, entry: str) -> None:
-        """Take an entry from the host list.
+    async def remove_from_host_list(self, entry: str) -> None:
+        """Remove an entry from the host list.
 
-        :param entry: Its id.
+        :param entry: Id of the entry.
         """
         self._entries.pop(entry, None)
-        await self._publish()
+        await self._publish_host_list()
 
     async def apply(
         self,
@@ -216,11 +217,11 @@
         author: str = "operator",
         wait: bool = False,
     ) -> CommandResult:
-        """Apply declarations by the command line.
+        """Apply declarations with the command-line tool.
 
-        :param declarations: The set; the cluster's own when left out.
-        :param author: Who applies it.
-        :param wait: Whether to wait until it is in force at all running hosts.
+        :param declarations: Set to apply; ``None`` applies the declarations of the cluster.
+        :param author: Author recorded with the change.
+        :param wait: Whether to wait until the set is in force at all running hosts.
         """
         path = self.directory / f"declarations-{author}.ini"
         write_declarations(path=path, declarations=declarations or self.declarations)
@@ -233,57 +234,59 @@
     async def command(self, *arguments: str) -> CommandResult:
         """Run the command-line tool.
 
-        :param arguments: Its command line.
+        :param arguments: Arguments of the tool.
         """
         return await run_command(*arguments)
 
     def journal_path(self, name: str) -> Path:
-        """Return where an engine or service notes what it executes.
+        """Return the path of the journal in which an engine or service records its executions.
 
-        :param name: Its name in the cluster.
+        :param name: Name of the engine or service in the cluster.
         """
         return self.directory / f"{name}.journal"
 
     def executions(self, names: Iterable[str]) -> list[Execution]:
-        """Return what engines or services executed, in all their lives.
+        """Return the executions of engines or services, including those before a restart.
 
-        :param names: Their names in the cluster.
+        :param names: Names of the engines or services in the cluster.
         """
         return [item for name in names for item in read_journal(self.journal_path(name))]
 
     def caller_url(self, host: str) -> str:
-        """Return the base URL that callers of a host use.
+        """Return the base URL of a host for callers.
 
-        :param host: Its id.
+        :param host: Id of the host.
         """
         return f"http://{self.hosts[host].address_of('callers')}"
 
     async def post(self, process: ManagedProcess, path: str, body: msgspec.Struct) -> None:
-        """Send a stand-in an admin call.
+        """Send an admin call to a stand-in.
 
-        :param process: The stand-in.
+        :param process: Process of the stand-in.
         :param path: Path of the call.
-        :param body: Its body.
+        :param body: Body of the call, sent as JSON.
+        :raises aiohttp.ClientError: If the call fails or is answered with an error status.
         """
         data = msgspec.json.encode(body)
         async with self._session.post(process.url + path, data=data) as reply:
             reply.raise_for_status()
 
     async def get(self, process: ManagedProcess, path: str, kind: type[_Body]) -> _Body:
-        """Read an admin page of a stand-in.
+        """Read an admin resource of a stand-in.
 
-        :param process: The stand-in.
-        :param path: Path of the page.
-        :param kind: What it holds.
+        :param process: Process of the stand-in.
+        :param path: Path of the resource.
+        :param kind: Type to which the JSON body is decoded.
+        :raises aiohttp.ClientError: If the call fails or is answered with an error status.
         """
         async with self._session.get(process.url + path) as reply:
             reply.raise_for_status()
             return msgspec.json.decode(await reply.read(), type=kind)
 
     async def _start_standins(self) -> None:
-        lag = {"lag_ms": str(self.plan.list_lag_ms)}
+        host_list_options = {"lag_ms": str(self.plan.list_lag_ms)}
         self.store = await self._start("store", "standins.store", self.plan.store_options)
-        self.host_list = await self._start("host-list", "standins.host_list", lag)
+        self.host_list = await self._start("host-list", "standins.host_list", host_list_options)
         engines = [f"engine-{number}" for number in range(1, self.plan.engines + 1)]
         services = [f"booking-{number}" for number in range(1, self.plan.services + 1)]
         async with asyncio.TaskGroup() as group:
@@ -294,33 +297,33 @@
 
     async def _start(self, name: str, module: str, options: dict[str, str]) -> ManagedProcess:
         arguments = [f"--{option}={value}" for option, value in options.items()]
-        for _ in range(PORT_TRIES):
+        for _ in range(MAX_PORT_RETRIES):
             try:
                 return await self._launcher.start(name=name, module=module, arguments=arguments)
             except StartError as error:
-                # The port of a process that died may serve as some connection's own for a while.
+                # An outgoing connection may use the port of the ended process for a while.
                 if PORT_IN_USE not in str(error):
                     raise
-            await asyncio.sleep(PORT_PAUSE_S)
+            await asyncio.sleep(PORT_RETRY_DELAY_S)
         return await self._launcher.start(name=name, module=module, arguments=arguments)
 
-    async def _list(self, entry: str, kind: ListedKind, address: str) -> None:
+    async def _add_to_host_list(self, entry: str, kind: ListedKind, address: str) -> None:
         self._incarnation += 1
         self._entries[entry] = ListedEntry(
             id=entry,
             kind=kind,
             address=address,
             state=ListedState.LIVE,
-            failure_domain=self._domain_of(entry),
+            failure_domain=self._failure_domain_of(entry),
             incarnation=self._incarnation,
         )
-        await self._publish()
+        await self._publish_host_list()
 
-    async def _publish(self) -> None:
+    async def _publish_host_list(self) -> None:
         entries = HostList(entries=list(self._entries.values()))
         await self.post(self.host_list, "/admin/entries", entries)
 
-    def _declare(self) -> DeclarationSet:
+    def _build_declarations(self) -> DeclarationSet:
         base = self.plan.base or DeclarationSet(
             objective=Objective(),
             models=list(self.plan.models),
@@ -334,7 +337,7 @@
             Engine(
                 name=name,
                 address=process.address,
-                failure_domain=self._domain_of(name),
+                failure_domain=self._failure_domain_of(name),
                 models=names,
                 adapters=[adapter.name for adapter in base.adapters],
                 memory_tokens=int(self.plan.engine_options.get("memory_tokens", "60000")),
@@ -344,7 +347,7 @@
             for name, process in sorted(self.engines.items())
         ]
         addresses = [
-            f"{process.address}@{self._domain_of(name)}"
+            f"{process.address}@{self._failure_domain_of(name)}"
             for name, process in sorted(self.services.items())
         ]
         service = Service(
@@ -364,7 +367,7 @@
         return HostSettings(
             host=HostSection(
                 id=name,
-                failure_domain=self._domain_of(name),
+                failure_domain=self._failure_domain_of(name),
                 callers=ANY_PORT,
                 peers=ANY_PORT,
                 stop_grace_ms=self.plan.stop_grace_ms,
@@ -377,10 +380,10 @@
             log=LogSection(level=self.plan.log_level),
         )
 
-    def _same_port(self, former: ManagedProcess | None) -> dict[str, str]:
-        return {} if former is None else {"port": former.address.rpartition(":")[2]}
+    def _port_option(self, previous: ManagedProcess | None) -> dict[str, str]:
+        return {} if previous is None else {"port": previous.address.rpartition(":")[2]}
 
-    def _domain_of(self, name: str) -> str:
+    def _failure_domain_of(self, name: str) -> str:
         digits = name.rpartition("-")[2]
         number = int(digits) if digits.isdecimal() else 0
         return self.plan.failure_domains[number % len(self.plan.failure_domains)]
--- a/standins/observers.py
+++ b/standins/observers.py
@@ -1,4 +1,4 @@
-"""What a soak run watches while failures happen: revisions in force, and engines that crash."""
+"""Background tasks of the soak run: revision checks, operators and restarts of crashed engines."""
 
 from __future__ import annotations
 
@@ -16,40 +16,43 @@
 from tanagerscale.generated.callers import HostStatus
 from tanagerscale.generated.declarations import DeclarationSet
 
-INTERVAL_MS = 200
-RESTART_MS = 2_000
-APPLY_PAUSE_MS = (3_000, 6_000)
-SETTLE_MS = 15_000
-TIMEOUT = aiohttp.ClientTimeout(total=0.5)
+POLL_INTERVAL_MS = 200
+ENGINE_RESTART_DELAY_MS = 2_000
+APPLY_INTERVAL_RANGE_MS = (3_000, 6_000)
+CONVERGENCE_TIMEOUT_MS = 15_000
+REQUEST_TIMEOUT = aiohttp.ClientTimeout(total=0.5)
 OPERATORS = ("operator-a", "operator-b")
 
 
 @final
-class RevisionWatch:
-    """Reads which revision each host has in force, and notes when one goes back.
+class RevisionMonitor:
+    """Reads the revision in force at each host, and records inconsistent revisions.
 
-    :param cluster: Whose hosts.
-    :param session: For its questions.
+    A violation is a host that returns to an older revision, or two hosts that have different
+    declarations under the same revision.
+
+    :param cluster: Cluster whose hosts are read.
+    :param session: HTTP session used for the reads.
     """
 
     def __init__(self, *, cluster: Cluster, session: aiohttp.ClientSession) -> None:
         self._cluster = cluster
         self._session = session
         self._clock = Clock()
-        self._highest: dict[str, int] = {}
+        self._highest_revisions: dict[str, int] = {}
         self._digests: dict[int, str] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
 
     async def run_forever(self) -> None:
-        """Watch."""
+        """Check the revisions of all hosts until cancelled."""
         while True:
-            await self.statuses()
-            await self._clock.sleep(INTERVAL_MS)
+            await self.get_statuses()
+            await self._clock.sleep(POLL_INTERVAL_MS)
 
-    async def statuses(self) -> dict[str, HostStatus]:
-        """Return what the hosts say now, by host; those that don't answer are left out."""
+    async def get_statuses(self) -> dict[str, HostStatus]:
+        """Return the current status by host; hosts that do not answer are omitted."""
         names = [name for name, host in self._cluster.hosts.items() if host.running]
-        answers = await asyncio.gather(*(self._ask(name) for name in names))
+        answers = await asyncio.gather(*(self._fetch_status(name) for name in names))
         found = {
             name: status for name, status in zip(names, answers, strict=True) if status is not None
         }
@@ -57,32 +60,37 @@
             self._check(name, status)
         return found
 
-    async def settle(self) -> bool:
-        """Wait until all hosts have the highest revision seen; false when they don't get there."""
-        for _ in range(SETTLE_MS // INTERVAL_MS):
-            statuses = await self.statuses()
+    async def wait_for_convergence(self) -> bool:
+        """Wait until all running hosts have the highest revision seen.
+
+        :returns: Whether they reached it within ``CONVERGENCE_TIMEOUT_MS``.
+        """
+        for _ in range(CONVERGENCE_TIMEOUT_MS // POLL_INTERVAL_MS):
+            statuses = await self.get_statuses()
             running = [host for host in self._cluster.hosts.values() if host.running]
             revisions = {status.revision for status in statuses.values()}
             if len(statuses) == len(running) and revisions == {max(self._digests, default=0)}:
                 return True
-            await self._clock.sleep(INTERVAL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
         return False
 
     def _check(self, name: str, status: HostStatus) -> None:
-        before = self._highest.get(name, 0)
-        if status.revision < before:
-            self.broken.append(f"{name} went from revision {before} to {status.revision}")
-        self._highest[name] = max(before, status.revision)
+        previous = self._highest_revisions.get(name, 0)
+        if status.revision < previous:
+            self.violations.append(
+                f"{name} went back from revision {previous} to {status.revision}"
+            )
+        self._highest_revisions[name] = max(previous, status.revision)
         if not status.revision:
             return
         known = self._digests.setdefault(status.revision, status.digest)
         if known != status.digest:
-            self.broken.append(f"{name} has another set as revision {status.revision}")
+            self.violations.append(f"{name} has a different digest for revision {status.revision}")
 
-    async def _ask(self, name: str) -> HostStatus | None:
+    async def _fetch_status(self, name: str) -> HostStatus | None:
         try:
             url = f"{self._cluster.caller_url(name)}/v1/status"
-            async with self._session.get(url, timeout=TIMEOUT) as reply:
+            async with self._session.get(url, timeout=REQUEST_TIMEOUT) as reply:
                 return msgspec.json.decode(await reply.read(), type=HostStatus)
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.MsgspecError):
             return None
@@ -90,67 +98,69 @@
 
 @final
 class Operators:
-    """Two operators who apply their files at the same moment, again and again.
+    """Two operators who repeatedly apply their declarations at the same time.
 
-    :param cluster: Where.
-    :param rng: Chooses when.
-    :param say: Tells people what happens.
+    :param cluster: Cluster to which the declarations are applied.
+    :param rng: Random number generator used to choose the intervals.
+    :param log: Prints a progress message.
     """
 
-    def __init__(self, *, cluster: Cluster, rng: Random, say: Callable[[str], None]) -> None:
+    def __init__(self, *, cluster: Cluster, rng: Random, log: Callable[[str], None]) -> None:
         self._cluster = cluster
         self._rng = rng
-        self._say = say
+        self._log = log
         self._clock = Clock()
-        self._number = 0
-        self.codes: list[int] = []
+        self._apply_count = 0
+        self.exit_codes: list[int] = []
         self.tracebacks: list[str] = []
 
     async def run_forever(self) -> None:
-        """Apply."""
+        """Apply declarations at random intervals until cancelled."""
         while True:
-            await self._clock.sleep(self._rng.randint(*APPLY_PAUSE_MS))
+            await self._clock.sleep(self._rng.randint(*APPLY_INTERVAL_RANGE_MS))
             results = await asyncio.gather(
                 *(
-                    self._cluster.apply(declarations=self._next(), author=author)
+                    self._cluster.apply(declarations=self._next_declarations(), author=author)
                     for author in OPERATORS
                 )
             )
             codes = [result.returncode for result in results]
-            self.codes += codes
+            self.exit_codes += codes
             self.tracebacks += [item.errors for item in results if "Traceback" in item.errors]
-            self._say(f"two operators applied at once: exit codes {codes}")
+            self._log(f"two operators applied concurrently: exit codes {codes}")
 
-    def _next(self) -> DeclarationSet:
-        self._number += 1
+    def _next_declarations(self) -> DeclarationSet:
+        self._apply_count += 1
         declared = self._cluster.declarations
-        objective = msgspec.structs.replace(declared.objective, first_token_ms=2_000 + self._number)
+        objective = msgspec.structs.replace(
+            declared.objective, first_token_ms=2_000 + self._apply_count
+        )
         return msgspec.structs.replace(declared, objective=objective)
 
 
 @final
-class Restarter:
-    """Restarts engines that a request has crashed, as the platform does.
+class EngineRestarter:
+    """Restarts engines that were crashed by a request, as the platform does.
 
-    :param cluster: Whose engines.
-    :param say: Tells people what happens.
+    :param cluster: Cluster whose engines are restarted.
+    :param log: Prints a progress message.
     """
 
-    def __init__(self, *, cluster: Cluster, say: Callable[[str], None]) -> None:
+    def __init__(self, *, cluster: Cluster, log: Callable[[str], None]) -> None:
         self._cluster = cluster
-        self._say = say
+        self._log = log
         self._clock = Clock()
         self.crashes = 0
 
     async def run_forever(self) -> None:
-        """Restart."""
+        """Restart crashed engines until cancelled."""
         while True:
             for name, engine in tuple(self._cluster.engines.items()):
                 if engine.returncode == CRASH_STATUS:
                     self.crashes += 1
-                    self._say(f"a request crashed {name}")
-                    await self._clock.sleep(RESTART_MS)
-                    # A failure that was inflicted meanwhile has its own restart.
+                    self._log(f"a request crashed {name}")
+                    await self._clock.sleep(ENGINE_RESTART_DELAY_MS)
+                    # An injected failure may have replaced the engine in the meantime.
                     if self._cluster.engines[name] is engine:
                         await self._cluster.start_engine(name)
-            await self._clock.sleep(INTERVAL_MS)
+            await self._clock.sleep(POLL_INTERVAL_MS)
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' upstreams: engines whose runs can be copied, and plain services."""
+"""Stand-in for upstreams of the platform: engines whose runs can be copied, and plain services."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 from standins._common import json_response
 
 MS_PER_S = 1000
-COPY_KEPT_S = 5.0
+COPY_RETENTION_S = 5.0
 
 
 @unique
-class UpstreamMood(Enum):
-    """How an upstream treats requests."""
+class UpstreamBehavior(Enum):
+    """How an upstream handles requests."""
 
-    WELL = "well"
+    NORMAL = "well"
     FULL = "full"
-    """It refuses before execution."""
-    LOSES_ANSWERS = "loses-answers"
-    """It runs requests and resets their connections."""
+    """Refuses requests before execution."""
+    RESET_AFTER_EXECUTION = "loses-answers"
+    """Executes requests and resets their connections."""
     FAILS = "fails"
-    """It runs requests and answers 500."""
+    """Executes requests and answers with status 500."""
     HANGS = "hangs"
-    """It runs requests and never answers."""
+    """Executes requests and never answers."""
 
 
 @dataclass(slots=True)
-class Arrival:
-    """A request as it reached an upstream.
+class ReceivedRequest:
+    """A request received by an upstream.
 
     :param request: Id of the caller's request.
     :param method: HTTP method.
-    :param target: Path and query.
+    :param target: Path and query of the URL.
     :param headers: All header fields.
-    :param body: The body.
-    :param ran: Whether the upstream began to work on it.
+    :param body: Body of the request.
+    :param executed: Whether the upstream started to execute the request.
     """
 
     request: str
@@ -53,7 +53,7 @@
     target: str
     headers: Mapping[str, str]
     body: bytes
-    ran: bool = False
+    executed: bool = False
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
     generation: int
     prompt: int
     length: int
-    made: int = 0
+    events_sent: int = 0
     stopped: bool = False
     copying: bool = False
 
@@ -70,34 +70,35 @@
 @dataclass(slots=True)
 class _Copy:
     run: _Run
-    made: int
+    events_sent: int
 
 
 @dataclass(slots=True)
 class Ledger:
-    """What all upstreams of a world have seen, by which the promises are checked.
+    """Record of the requests at all upstreams of a cluster, from which tests check guarantees.
 
-    :param arrivals: Every request that reached an upstream.
-    :param generations: How often each request began anew.
-    :param running: Upstream ids on which each request runs now.
-    :param engines: All engines by address.
+    :param received_requests: Every request that reached an upstream.
+    :param generations: Number of times each request was started from the beginning.
+    :param running: Ids of the upstreams on which each request runs now.
+    :param overlaps: Requests that started on an upstream while they already ran on one.
+    :param engines: All running upstreams by address.
     """
 
-    arrivals: list[Arrival] = field(default_factory=list)
+    received_requests: list[ReceivedRequest] = field(default_factory=list)
     generations: dict[str, int] = field(default_factory=dict)
     running: dict[str, set[str]] = field(default_factory=dict)
     overlaps: list[str] = field(default_factory=list)
     engines: dict[str, UpstreamEmulator] = field(default_factory=dict)
 
-    def begin(self, request: str, upstream: str) -> None:
-        """Count a request that runs on an upstream."""
-        there = self.running.setdefault(request, set())
-        if there:
+    def start_run(self, request: str, upstream: str) -> None:
+        """Record that a request starts to run on an upstream."""
+        upstreams = self.running.setdefault(request, set())
+        if upstreams:
             self.overlaps.append(request)
-        there.add(upstream)
+        upstreams.add(upstream)
 
-    def end(self, request: str, upstream: str) -> None:
-        """Count a request that no longer runs on an upstream."""
+    def end_run(self, request: str, upstream: str) -> None:
+        """Record that a request no longer runs on an upstream."""
         self.running.get(request, set()).discard(upstream)
 
 
@@ -105,14 +106,15 @@
 class UpstreamEmulator:
     """One upstream on a loopback port.
 
-    :param upstream: Its id.
-    :param ledger: Takes what it sees.
-    :param event_ms: Time for each event of a stream.
-    :param events: Events of each answer.
-    :param copy_ms: Time to copy a run's memory when none of it was copied before.
-    :param room: Copies it takes.
-    :param born: When it started, in milliseconds since 1970; 0 when it does not tell.
-    :param port: Where it serves; 0 takes a free one.
+    :param upstream: Id of the upstream.
+    :param ledger: Record of the requests at all upstreams.
+    :param event_ms: Time to generate one event of a stream, in milliseconds.
+    :param events: Number of events in each answer.
+    :param copy_ms: Time to copy the memory of a run that was not copied to the target before, in
+        milliseconds; later copies of it take a tenth.
+    :param copy_capacity: Number of copies that the upstream can hold.
+    :param born: Start time reported by the upstream, in milliseconds since 1970; 0 reports none.
+    :param port: Listening port; 0 takes a free one.
     """
 
     def __init__(
@@ -123,17 +125,17 @@
         event_ms: float = 5.0,
         events: int = 20,
         copy_ms: float = 10.0,
-        room: int = 1000,
+        copy_capacity: int = 1000,
         born: int = 0,
         port: int = 0,
     ) -> None:
         self.upstream = upstream
         self.born = born
         self._port = port
-        self.mood = UpstreamMood.WELL
+        self.behavior = UpstreamBehavior.NORMAL
         self.address = ""
         self.leaving = False
-        self.room = room
+        self.copy_capacity = copy_capacity
         self._ledger = ledger
         self._event_ms = event_ms
         self._events = events
@@ -145,7 +147,7 @@
         self._transports: set[asyncio.Transport] = set()
 
     async def start(self) -> str:
-        """Serve and return the address."""
+        """Start serving and return the listening address."""
         server = web.Server(self._handle, handler_cancellation=True, auto_decompress=False)
         self._runner = web.ServerRunner(server, shutdown_timeout=0.05)
         await self._runner.setup()
@@ -156,7 +158,7 @@
         return self.address
 
     async def stop(self) -> None:
-        """End at once with all that runs, as a crash does."""
+        """Stop at once and abort all running requests, as a crash does."""
         self._ledger.engines.pop(self.address, None)
         for transport in self._transports:
             transport.abort()
@@ -164,7 +166,7 @@
 
     @property
     def running(self) -> list[str]:
-        """Requests that run now."""
+        """Ids of the requests that run now."""
         return list(self._runs)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -182,72 +184,85 @@
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         headers = request.headers
-        arrival = Arrival(
+        received = ReceivedRequest(
             request=headers.get("Tanagerscale-Attempt-Id", ""),
             method=request.method,
             target=request.raw_path,
             headers=request.headers,
             body=await request.read(),
         )
-        self._ledger.arrivals.append(arrival)
+        self._ledger.received_requests.append(received)
         if headers.get("Tanagerscale-Expect-Instance") not in (None, self.upstream):
             return web.Response(status=421)
-        if self.mood is UpstreamMood.FULL:
+        if self.behavior is UpstreamBehavior.FULL:
             return web.Response(status=503, headers={"Tanagerscale-Not-Executed": "1"})
-        run = self._run_for(arrival, headers)
+        run = self._create_or_resume_run(received, headers)
         if run is None:
             return web.Response(status=503, headers={"Tanagerscale-Not-Executed": "1"})
-        arrival.ran = True
-        self._ledger.begin(run.request, self.upstream)
+        received.executed = True
+        self._ledger.start_run(run.request, self.upstream)
         self._runs[run.request] = run
         try:
             return await self._answer(request, run, headers)
         finally:
             self._runs.pop(run.request, None)
-            self._ledger.end(run.request, self.upstream)
+            self._ledger.end_run(run.request, self.upstream)
 
-    def _run_for(self, arrival: Arrival, headers: Mapping[str, str]) -> _Run | None:
-        """Begin a run, or take one up from a copy; ``None`` when there is none."""
+    def _create_or_resume_run(
+        self, received: ReceivedRequest, headers: Mapping[str, str]
+    ) -> _Run | None:
+        """Start a run, or resume one from a copy; ``None`` when the copy does not exist."""
         prompt, _, _ = headers.get("Tanagerscale-Token-Usage", "0,0").partition(",")
-        origin = headers.get("Kv-From")
-        if origin is None:
-            generation = self._ledger.generations.get(arrival.request, 0) + 1
-            self._ledger.generations[arrival.request] = generation
-            return _Run(arrival.request, generation, int(prompt), self._events)
-        copy = self._copies.pop(origin.rpartition("/")[2], None)
-        if copy is None or copy.run.request != arrival.request:
+        copy_url = headers.get("Kv-From")
+        if copy_url is None:
+            generation = self._ledger.generations.get(received.request, 0) + 1
+            self._ledger.generations[received.request] = generation
+            return _Run(received.request, generation, int(prompt), self._events)
+        copy = self._copies.pop(copy_url.rpartition("/")[2], None)
+        if copy is None or copy.run.request != received.request:
             return None
-        known = copy.run
+        source_run = copy.run
         after = int(headers["Last-Event-Id"])
-        return _Run(known.request, known.generation, known.prompt, known.length, made=after)
+        return _Run(
+            source_run.request,
+            source_run.generation,
+            source_run.prompt,
+            source_run.length,
+            events_sent=after,
+        )
 
     async def _answer(
         self, request: web.BaseRequest, run: _Run, headers: Mapping[str, str]
     ) -> web.StreamResponse:
-        if self.mood is UpstreamMood.HANGS:
+        if self.behavior is UpstreamBehavior.HANGS:
             await asyncio.Event().wait()
-        if self.mood is UpstreamMood.LOSES_ANSWERS:
+        if self.behavior is UpstreamBehavior.RESET_AFTER_EXECUTION:
             _abort(request)
-        own = {"Tanagerscale-Attempt-Id": run.request, "Tanagerscale-Server-Stamp": self.upstream}
-        if self.mood is UpstreamMood.FAILS:
-            return web.Response(status=500, headers=own, body=b"failed")
+        identity_headers = {
+            "Tanagerscale-Attempt-Id": run.request,
+            "Tanagerscale-Server-Stamp": self.upstream,
+        }
+        if self.behavior is UpstreamBehavior.FAILS:
+            return web.Response(status=500, headers=identity_headers, body=b"failed")
         if "Tanagerscale-Token-Usage" not in headers:
             body = f"{self.upstream} answers {run.request}".encode()
-            return web.Response(headers=own, body=body)
-        return await self._stream(request, run, own)
+            return web.Response(headers=identity_headers, body=body)
+        return await self._stream(request, run, identity_headers)
 
     async def _stream(
-        self, request: web.BaseRequest, run: _Run, own: Mapping[str, str]
+        self, request: web.BaseRequest, run: _Run, identity_headers: Mapping[str, str]
     ) -> web.StreamResponse:
-        response = web.StreamResponse(headers={**own, "Content-Type": "text/event-stream"})
+        response = web.StreamResponse(
+            headers={**identity_headers, "Content-Type": "text/event-stream"}
+        )
         response.enable_chunked_encoding()
         await asyncio.sleep(self._event_ms / MS_PER_S)
         await response.prepare(request)
-        while run.made < run.length:
+        while run.events_sent < run.length:
             if run.stopped:
                 _abort(request)
-            run.made += 1
-            await response.write(event_bytes(run.request, run.generation, run.made))
+            run.events_sent += 1
+            await response.write(event_bytes(run.request, run.generation, run.events_sent))
             await asyncio.sleep(self._event_ms / MS_PER_S)
         await response.write_eof()
         return response
@@ -255,38 +270,38 @@
     async def _move(self, order: Mapping[str, object]) -> web.Response:
         run = self._runs.get(str(order["id"]))
         target = self._ledger.engines.get(str(order["to"]))
-        if run is None or run.made == 0:
+        if run is None or run.events_sent == 0:
             return web.Response(status=404)
         if run.copying:
             return web.Response(status=409)
         if order["last"]:
             run.stopped = True
         handle = f"h{next(self._handles)}"
-        if target is None or len(target._copies) >= target.room:
-            kept = {"handle": handle} if order["last"] else {}
-            self._copies[handle] = _Copy(run, run.made)
-            return json_response(kept, status=503)
+        if target is None or len(target._copies) >= target.copy_capacity:
+            response_body = {"handle": handle} if order["last"] else {}
+            self._copies[handle] = _Copy(run, run.events_sent)
+            return json_response(response_body, status=503)
         run.copying = True
         try:
-            known = (run.request, target.upstream) in self._copied
-            await asyncio.sleep((0.1 if known else 1.0) * self._copy_ms / MS_PER_S)
+            was_copied_before = (run.request, target.upstream) in self._copied
+            await asyncio.sleep((0.1 if was_copied_before else 1.0) * self._copy_ms / MS_PER_S)
         finally:
             run.copying = False
         self._copied.add((run.request, target.upstream))
-        target._copies[handle] = _Copy(run, run.made)
-        return json_response({"handle": handle, "createdRev": run.made})
+        target._copies[handle] = _Copy(run, run.events_sent)
+        return json_response({"handle": handle, "createdRev": run.events_sent})
 
     def _report(self) -> web.Response:
         report: dict[str, object] = {
             "running": len(self._runs),
             "state": "draining" if self.leaving else "ready",
-            "runs": [[run.request, run.prompt, run.made, 5] for run in self._runs.values()],
+            "runs": [[run.request, run.prompt, run.events_sent, 5] for run in self._runs.values()],
         }
         return json_response(report | ({"born": self.born} if self.born else {}))
 
 
 def event_bytes(request: str, generation: int, number: int) -> bytes:
-    """Return one event, whose data tell which generation made it."""
+    """Return one event, whose data contain the number of the generation that produced it."""
     return f"id: {number}\ndata: {request}.{generation}.{number}\n\n".encode()
 
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' platform store: keys with revisions, leases, watches, and its failures."""
+"""Stand-in for the store of the platform: keys with revisions, leases, watches and failures."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 GONE_STATUS = 410
 CONFLICT_STATUS = 412
-MOST_ITEMS = 500
+MAX_PAGE_ITEMS = 500
 MS_PER_S = 1000
 
 
 @unique
-class StoreMood(Enum):
-    """How the store treats calls."""
+class StoreBehavior(Enum):
+    """How the store handles calls."""
 
-    WELL = "well"
+    NORMAL = "well"
     BUSY = "busy"
-    """It answers 503 and does nothing."""
+    """Answers with status 503 without executing the call."""
     RESET = "reset"
-    """It resets the connection and does nothing."""
+    """Resets the connection without executing the call."""
     SILENT = "silent"
-    """It never answers and does nothing."""
-    LOSES_ANSWERS = "loses-answers"
-    """Writes are done and their connection is reset."""
+    """Never answers and does not execute the call."""
+    RESET_AFTER_EXECUTION = "loses-answers"
+    """Executes writes and resets their connections; reads are answered."""
 
 
 @dataclass(slots=True)
@@ -68,14 +68,14 @@
 class StoreEmulator:
     """An in-memory store served over HTTP on the loopback address.
 
-    :param page: Most items in one answer to a range.
+    :param page_size: Maximum number of items in one page of a range.
     """
 
-    def __init__(self, *, page: int = MOST_ITEMS) -> None:
-        self.mood = StoreMood.WELL
+    def __init__(self, *, page_size: int = MAX_PAGE_ITEMS) -> None:
+        self.behavior = StoreBehavior.NORMAL
         self.calls: list[str] = []
         self.revision = 1
-        self._page = page
+        self._page = page_size
         self._items: dict[str, _Item] = {}
         self._history: list[dict[str, Any]] = []
         self._compacted = 0
@@ -84,15 +84,15 @@
         self._changed = asyncio.Event()
 
     async def start(self) -> str:
-        """Serve on a free port and return the address."""
+        """Start serving on a free port and return the listening address."""
         app = web.Application()
-        app.router.add_get("/v1/kv-key", self._guarded(self._get))
-        app.router.add_get("/v1/kv-range", self._guarded(self._range))
-        app.router.add_get("/v1/kv-watch", self._guarded(self._watch))
-        app.router.add_post("/v1/kv-txn", self._guarded(self._commit))
-        app.router.add_post("/v1/kv-lease", self._guarded(self._grant))
-        app.router.add_post("/v1/kv-keep/{lease}", self._guarded(self._keep))
-        app.router.add_delete("/v1/kv-lease-end/{lease}", self._guarded(self._end))
+        app.router.add_get("/v1/kv-key", self._with_behavior(self._get))
+        app.router.add_get("/v1/kv-range", self._with_behavior(self._range))
+        app.router.add_get("/v1/kv-watch", self._with_behavior(self._watch))
+        app.router.add_post("/v1/kv-txn", self._with_behavior(self._commit))
+        app.router.add_post("/v1/kv-lease", self._with_behavior(self._grant_lease))
+        app.router.add_post("/v1/kv-keep/{lease}", self._with_behavior(self._renew_lease))
+        app.router.add_delete("/v1/kv-lease-end/{lease}", self._with_behavior(self._revoke_lease))
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, LOOPBACK, 0)
@@ -100,68 +100,70 @@
         return f"{LOOPBACK}:{self._runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """End all connections and timers."""
+        """Cancel all lease timers and close all connections."""
         for lease in self._leases.values():
             if lease.timer is not None:
                 lease.timer.cancel()
         await self._runner.cleanup()
 
     def put(self, key: str, value: bytes, *, lease: int = 0) -> int:
-        """Write a key as the operators and the upstreams do."""
+        """Write a key, as operators and upstreams do, and return the new revision."""
         self.revision += 1
-        before = self._items.get(key)
-        item = _Item(key, value, self.revision, before.created if before else self.revision, lease)
+        previous = self._items.get(key)
+        item = _Item(
+            key, value, self.revision, previous.created if previous else self.revision, lease
+        )
         self._items[key] = item
         if lease:
             self._leases[lease].keys.add(key)
-        self._note(item.to_wire())
+        self._append_event(item.to_wire())
         return self.revision
 
     def delete(self, *keys: str) -> None:
-        """Delete keys at one moment."""
+        """Delete keys without yielding to other calls."""
         for key in keys:
             if self._items.pop(key, None) is not None:
                 self.revision += 1
-                self._note({"key": key, "revision": self.revision, "deleted": True})
+                self._append_event({"key": key, "revision": self.revision, "deleted": True})
 
     def compact(self) -> None:
-        """Drop all history and cut the watches that wait."""
+        """Drop the event history and wake the waiting watches, which then fail as compacted."""
         self._history.clear()
         self._compacted = self.revision
-        self._wake()
+        self._notify_watches()
 
     def keys(self) -> list[str]:
-        """Return all keys there are."""
+        """Return all keys in order."""
         return sorted(self._items)
 
     def value(self, key: str) -> bytes | None:
-        """Return the value of a key."""
+        """Return the value of a key; ``None`` when it does not exist."""
         item = self._items.get(key)
         return None if item is None else item.value
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self._history.append(event)
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _guarded(self, handler: Any) -> Any:
-        async def guarded(request: web.Request) -> web.StreamResponse:
+    def _with_behavior(self, handler: Any) -> Any:
+        async def wrapped(request: web.Request) -> web.StreamResponse:
             self.calls.append(f"{request.method} {request.path}")
-            if self.mood is StoreMood.BUSY:
+            if self.behavior is StoreBehavior.BUSY:
                 return web.Response(status=503)
-            if self.mood is StoreMood.SILENT:
+            if self.behavior is StoreBehavior.SILENT:
                 await asyncio.Event().wait()
-            if self.mood is StoreMood.RESET:
+            if self.behavior is StoreBehavior.RESET:
                 _reset(request)
-            answer: web.StreamResponse = await handler(request)
-            if self.mood is StoreMood.LOSES_ANSWERS and request.method != "GET":
+            response: web.StreamResponse = await handler(request)
+            if self.behavior is StoreBehavior.RESET_AFTER_EXECUTION and request.method != "GET":
                 _reset(request)
-            return answer
+            return response
 
-        return guarded
+        return wrapped
 
     async def _get(self, request: web.Request) -> web.Response:
         item = self._items.get(request.query["key"])
@@ -189,7 +191,7 @@
         prefix = request.query["pathPrefix"]
         after = int(request.query["after"])
         loop = asyncio.get_running_loop()
-        until = loop.time() + int(request.query["waitMs"]) / MS_PER_S
+        deadline = loop.time() + int(request.query["waitMs"]) / MS_PER_S
         while True:
             if after < self._compacted:
                 return web.Response(status=GONE_STATUS)
@@ -198,11 +200,11 @@
                 for event in self._history
                 if event["revision"] > after and str(event["key"]).startswith(prefix)
             ]
-            left = until - loop.time()
-            if events or left <= 0:
+            remaining_s = deadline - loop.time()
+            if events or remaining_s <= 0:
                 return json_response({"events": events, "asOf": self.revision})
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 continue
@@ -222,35 +224,37 @@
         self.delete(*body["remove"])
         return json_response({"revision": self.revision})
 
-    async def _grant(self, request: web.Request) -> web.Response:
+    async def _grant_lease(self, request: web.Request) -> web.Response:
         ttl_ms = msgspec.json.decode(await request.read())["ttlMs"]
         lease = next(self._lease_ids)
         self._leases[lease] = _Lease(ttl_ms)
-        self._arm(lease)
+        self._start_lease_timer(lease)
         return json_response({"lease": lease, "ttlMs": ttl_ms})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _renew_lease(self, request: web.Request) -> web.Response:
         lease = int(request.match_info["lease"])
         if lease not in self._leases:
             return web.Response(status=404)
-        self._arm(lease)
+        self._start_lease_timer(lease)
         return json_response({"ttlMs": self._leases[lease].ttl_ms})
 
-    async def _end(self, request: web.Request) -> web.Response:
-        self._lapse(int(request.match_info["lease"]))
+    async def _revoke_lease(self, request: web.Request) -> web.Response:
+        self._expire_lease(int(request.match_info["lease"]))
         return json_response({})
 
-    def _arm(self, lease: int) -> None:
-        held = self._leases[lease]
-        if held.timer is not None:
-            held.timer.cancel()
+    def _start_lease_timer(self, lease: int) -> None:
+        lease_record = self._leases[lease]
+        if lease_record.timer is not None:
+            lease_record.timer.cancel()
         loop = asyncio.get_running_loop()
-        held.timer = loop.call_later(held.ttl_ms / MS_PER_S, self._lapse, lease)
+        lease_record.timer = loop.call_later(
+            lease_record.ttl_ms / MS_PER_S, self._expire_lease, lease
+        )
 
-    def _lapse(self, lease: int) -> None:
-        held = self._leases.pop(lease, None)
-        if held is not None:
-            self.delete(*held.keys)
+    def _expire_lease(self, lease: int) -> None:
+        lease_record = self._leases.pop(lease, None)
+        if lease_record is not None:
+            self.delete(*lease_record.keys)
 
 
 def _reset(request: web.Request) -> None:
--- a/standins/platform_world.py
+++ b/standins/platform_world.py
@@ -1,4 +1,4 @@
-"""A small platform on loopback: a store, upstreams, and hosts of the product between them."""
+"""A small platform on loopback: a store, upstreams, and the hosts of the product."""
 
 from __future__ import annotations
 
@@ -27,46 +27,47 @@
 from tanagerscale.platform import make_edges
 
 HOST_NAME = "api.example"
-KEY = "key-of-account-one"
+API_KEY = "key-of-account-one"
 MODEL_SERVICE = "drafts"
 PLAIN_SERVICE = "bookings"
 
-FIRST_PORT = 20_000
-LAST_PORT = 32_000
-"""Ports of hosts. They lie below those that the kernel gives to outgoing connections (from 32,768
-on), or one of these may take a port between the look for it and its use."""
+MIN_HOST_PORT = 20_000
+MAX_HOST_PORT = 32_000
+"""End of the range of host ports, exclusive. The range lies below the ports that the kernel assigns
+to outgoing connections (from 32,768 on): such a connection could take a port between the check and
+its use."""
 
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller got.
+    """Answer received by a caller.
 
-    :param status: HTTP status.
+    :param status: HTTP status; 0 when no answer arrived.
     :param headers: Header fields.
-    :param body: All bytes that came.
-    :param whole: Whether the answer came to its proper end.
+    :param body: All bytes received.
+    :param is_complete: Whether the answer came to its proper end.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    is_complete: bool
 
 
-_given_ports: set[int] = set()
-"""Ports that were given out; a server binds its own only some time later."""
+_allocated_ports: set[int] = set()
+"""Ports already returned by ``free_port``; a server binds its port only some time later."""
 
 
 def free_port() -> int:
-    """Return a port that is free now, of those that no outgoing connection gets meanwhile.
+    """Return a port that is free now and outside the range of outgoing connections.
 
-    No port is given out twice by one process.
+    No port is returned twice in one process.
     """
     while True:
-        port = FIRST_PORT + secrets.randbelow(LAST_PORT - FIRST_PORT)
-        if port in _given_ports:
+        port = MIN_HOST_PORT + secrets.randbelow(MAX_HOST_PORT - MIN_HOST_PORT)
+        if port in _allocated_ports:
             continue
-        _given_ports.add(port)
+        _allocated_ports.add(port)
         with socket.socket() as probe:
             try:
                 probe.bind((LOOPBACK, port))
@@ -76,10 +77,10 @@
 
 
 def configuration(*, version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration as the operators write it.
+    """Return a configuration in the format that operators write.
 
-    :param version: Its version.
-    :param changes: Top-level fields that replace the usual ones.
+    :param version: Version of the configuration.
+    :param changes: Top-level fields that replace the default ones.
     """
     engine = {
         "slots": 24,
@@ -92,7 +93,7 @@
         "handleS": 5.0,
         "models": [{"name": "m"}],
     }
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "version": version,
         "routes": [
             _route("stream", "/draft/", "streaming", MODEL_SERVICE, 39000, 1),
@@ -104,9 +105,9 @@
             {"name": PLAIN_SERVICE, "maxConnections": 100},
         ],
         "limits": {"maxBodyBytes": 100_000, "idleTimeoutMs": 15000},
-        "tenants": [{"name": "one", "apiKeys": [KEY]}],
+        "tenants": [{"name": "one", "apiKeys": [API_KEY]}],
     }
-    return {**usual, **changes}
+    return {**defaults, **changes}
 
 
 def _route(
@@ -125,29 +126,29 @@
 
 
 @final
-class PlatformWorld:
-    """Everything around the hosts, and the hosts."""
+class PlatformCluster:
+    """A store, upstreams and hosts, which tests start, call and disturb."""
 
     def __init__(self) -> None:
         self.store = StoreEmulator()
         self.ledger = Ledger()
         self.upstreams: dict[str, UpstreamEmulator] = {}
         self.hosts: dict[str, GatewayHost] = {}
-        self.links: dict[str, TcpRelay] = {}
-        """The way of each host to the store."""
+        self.store_links: dict[str, TcpRelay] = {}
+        """Relay between each host and the store, by host name."""
         self._settings: dict[str, GatewaySettings] = {}
         self._store_address = ""
         self._session: aiohttp.ClientSession | None = None
         self._requests = 0
 
     async def start(self) -> None:
-        """Start the store and write the first configuration."""
+        """Start the store and write the default configuration."""
         self._store_address = await self.store.start()
         self._session = aiohttp.ClientSession(auto_decompress=False)
         self.configure(configuration())
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all hosts, upstreams and the store."""
         for host in list(self.hosts):
             await self.kill_host(host)
         for upstream in self.upstreams.values():
@@ -157,11 +158,16 @@
         await self.store.stop()
 
     def configure(self, value: dict[str, Any]) -> None:
-        """Write a configuration."""
+        """Write a configuration to the store."""
         self.store.put("op/config", msgspec.json.encode(value))
 
     async def add_upstream(self, name: str, service: str, **options: Any) -> UpstreamEmulator:
-        """Start an upstream and register it."""
+        """Start an upstream and register it in the store.
+
+        :param name: Id of the upstream.
+        :param service: Service to which it belongs.
+        :param options: Options of ``UpstreamEmulator``.
+        """
         upstream = UpstreamEmulator(upstream=name, ledger=self.ledger, **options)
         await upstream.start()
         self.upstreams[name] = upstream
@@ -169,7 +175,7 @@
         return upstream
 
     def register(self, upstream: UpstreamEmulator, service: str, *, state: str = "ready") -> None:
-        """Write an upstream's entry."""
+        """Write the entry of an upstream to the store."""
         entry = {
             "service": service,
             "address": upstream.address,
@@ -185,27 +191,31 @@
         )
 
     def put_entry(self, name: str, entry: object) -> None:
-        """Write an entry of an upstream as it is; bytes stand as they are."""
+        """Write an entry of an upstream without checks; bytes are written unencoded."""
         value = entry if isinstance(entry, bytes) else msgspec.json.encode(entry)
         self.store.put(f"servers/{name}", value)
 
     async def restart_upstream(self, name: str, service: str, *, born: int) -> UpstreamEmulator:
-        """End an upstream with all that runs there, and start it under the same name and address.
+        """Stop an upstream with its running requests, and start it at the same name and address.
 
-        :param name: Its name.
-        :param service: Its service.
-        :param born: When the new start began, in milliseconds since 1970.
+        :param name: Id of the upstream.
+        :param service: Service to which it belongs.
+        :param born: Start time of the new process, in milliseconds since 1970.
         """
-        earlier = self.upstreams[name]
-        await earlier.stop()
-        port = int(earlier.address.rpartition(":")[2])
+        previous = self.upstreams[name]
+        await previous.stop()
+        port = int(previous.address.rpartition(":")[2])
         return await self.add_upstream(name, service, born=born, port=port)
 
     async def add_host(self, name: str, *, seeds: tuple[str, ...] = ()) -> GatewayHost:
-        """Start a host, which reaches the store by a link of its own."""
-        link = TcpRelay(target=self._store_address)
-        await link.__aenter__()
-        self.links[name] = link
+        """Start a host that reaches the store through its own relay.
+
+        :param name: Id of the host.
+        :param seeds: Peer addresses of other hosts.
+        """
+        relay = TcpRelay(target=self._store_address)
+        await relay.__aenter__()
+        self.store_links[name] = relay
         settings = GatewaySettings(
             host=HostSection(
                 id=name,
@@ -216,7 +226,7 @@
                 seeds=list(seeds),
                 stop_grace_s=4,
             ),
-            store=GatewayStore(address=link.address),
+            store=GatewayStore(address=relay.address),
             deadlines=DeadlinesSection(),
         )
         clock = Clock()
@@ -229,30 +239,30 @@
         return host
 
     async def kill_host(self, name: str) -> None:
-        """End a host without a planned stop."""
+        """Stop a host without a planned stop."""
         await self.hosts.pop(name).abandon()
-        await self.links.pop(name).__aexit__()
+        await self.store_links.pop(name).__aexit__()
 
-    def cut_from_store(self, name: str) -> None:
-        """Let no call of a host reach the store any more."""
-        link = self.links[name]
-        link.refuse()
-        link.cut()
+    def disconnect_from_store(self, name: str) -> None:
+        """Cut the connections of a host to the store and refuse new ones."""
+        relay = self.store_links[name]
+        relay.refuse()
+        relay.cut()
 
     def callers_address(self, name: str) -> str:
-        """Return where a host takes callers."""
+        """Return the address of a host for callers."""
         return self._settings[name].host.callers
 
     def peers_address(self, name: str) -> str:
-        """Return where a host takes its peers."""
+        """Return the address of a host for its peers."""
         return self._settings[name].host.peers
 
     async def wait_until(self, condition: Any, *, timeout_s: float = 10.0) -> None:
         """Wait until a condition holds.
 
-        :param condition: Called without arguments.
-        :param timeout_s: Longest wait, far beyond what is needed.
-        :raises TimeoutError: It never held.
+        :param condition: Function without parameters that returns whether the condition holds.
+        :param timeout_s: Longest wait in seconds, far longer than needed.
+        :raises TimeoutError: If the condition does not hold within that time.
         """
         async with asyncio.timeout(timeout_s):
             while not condition():
@@ -266,41 +276,46 @@
         method: str = "POST",
         body: bytes = b"content",
         headers: dict[str, str] | None = None,
-        key: str | None = KEY,
+        key: str | None = API_KEY,
         tokens: tuple[int, int] | None = None,
     ) -> Answer:
-        """Make one call and return what came of it."""
+        """Send one call to a host and return the answer.
+
+        :param key: API key; ``None`` sends none.
+        :param tokens: Values of the ``Tanagerscale-Token-Usage`` header, the prompt length first;
+            ``None`` sends a call without a model.
+        """
         assert self._session is not None
         self._requests += 1
-        sent = {
+        request_headers = {
             "Host": HOST_NAME,
             "Tanagerscale-Attempt-Id": f"request-{self._requests}",
             "Tanagerscale-Deadline-Remaining": "20000",
             **(headers or {}),
         }
         if key is not None:
-            sent["Authorization"] = f"Bearer {key}"
+            request_headers["Authorization"] = f"Bearer {key}"
         if tokens is not None:
-            sent["Tanagerscale-Model"] = "m"
-            sent["Tanagerscale-Token-Usage"] = f"{tokens[0]},{tokens[1]}"
+            request_headers["Tanagerscale-Model"] = "m"
+            request_headers["Tanagerscale-Token-Usage"] = f"{tokens[0]},{tokens[1]}"
         url = f"http://{self.callers_address(host)}{path}"
         chunks: list[bytes] = []
         try:
             async with self._session.request(
-                method, url, data=body if method != "GET" else None, headers=sent
+                method, url, data=body if method != "GET" else None, headers=request_headers
             ) as response:
-                status, found = response.status, dict(response.headers)
+                status, response_headers = response.status, dict(response.headers)
                 async for chunk in response.content.iter_any():
                     chunks.append(chunk)
         except aiohttp.ClientPayloadError:
-            return Answer(status, found, b"".join(chunks), whole=False)
+            return Answer(status, response_headers, b"".join(chunks), is_complete=False)
         except aiohttp.ClientError:
-            return Answer(0, {}, b"".join(chunks), whole=False)
-        return Answer(status, found, b"".join(chunks), whole=True)
+            return Answer(0, {}, b"".join(chunks), is_complete=False)
+        return Answer(status, response_headers, b"".join(chunks), is_complete=True)
 
 
 def write_settings(path: Path, settings: GatewaySettings) -> None:
-    """Write settings as the INI file that a host reads."""
+    """Write settings as an INI file that a host reads."""
     lines: list[str] = []
     for title, section in msgspec.to_builtins(settings).items():
         lines.append(f"[{title}]")
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,7 @@
-"""Processes that a test or the demo starts, freezes and ends; it ends no others."""
+"""Processes that a test, the demo or the soak run starts, freezes and ends.
+
+Only processes started by the launcher itself are signalled.
+"""
 
 from __future__ import annotations
 
@@ -15,25 +18,26 @@
 from standins._common import end_task
 
 ROOT = Path(__file__).resolve().parent.parent
-READY_WORD = "listening"
+READY_PREFIX = "listening"
 READY_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 60.0
 DEFAULT_ADDRESS = ""
 
 
 class StartError(Exception):
-    """A process that ended or said nothing in place of getting ready."""
+    """A process ended or timed out before it reported that it listens."""
 
 
 @final
 class ManagedProcess:
-    """One running process.
-
-    :param name: Short name for messages.
-    :param process: The process.
-    :param addresses: Where it listens, by the name it gave; the only one has the empty name.
-    :param log: File with its standard error.
-    :param reader: Task that reads the rest of its output.
+    """A process started by the launcher.
+
+    :param name: Short name used in messages.
+    :param process: Handle of the process.
+    :param addresses: Listening addresses by the names that the process printed; a single address
+        has an empty name.
+    :param log: File to which the standard error is written.
+    :param reader: Task that reads the remaining standard output.
     """
 
     def __init__(
@@ -53,64 +57,64 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         return self._process.pid
 
     @property
     def returncode(self) -> int | None:
-        """How it ended; ``None`` while it runs, negative for a signal."""
+        """Exit code; ``None`` while the process runs, negative if a signal ended it."""
         return self._process.returncode
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not ended."""
         return self._process.returncode is None
 
     @property
     def address(self) -> str:
-        """Where it listens, for a process with one address."""
+        """Listening address of a process that has only one."""
         return self._addresses[DEFAULT_ADDRESS]
 
     @property
     def url(self) -> str:
-        """Base URL of its one address."""
+        """Base URL of a process that has only one address."""
         return f"http://{self.address}"
 
     def address_of(self, name: str) -> str:
-        """Return one of several addresses.
+        """Return one of several listening addresses.
 
-        :param name: Name that the process gave it.
+        :param name: Name that the process printed for the address.
         """
         return self._addresses[name]
 
     def errors(self) -> str:
-        """Return its standard error so far."""
+        """Return the standard error written so far."""
         return self.log.read_text(errors="replace")
 
     def freeze(self) -> None:
-        """Pause it, as a host that is starved."""
-        self._send(signal.SIGSTOP)
+        """Suspend the process with SIGSTOP, as if it were starved of CPU time."""
+        self._send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it run on."""
-        self._send(signal.SIGCONT)
+        """Resume the process with SIGCONT."""
+        self._send_signal(signal.SIGCONT)
 
     def dump_tasks(self) -> None:
         """Send SIGUSR1, which makes a host log the call stacks of its tasks."""
-        self._send(signal.SIGUSR1)
+        self._send_signal(signal.SIGUSR1)
 
     async def kill(self) -> None:
-        """End it without warning."""
-        self._send(signal.SIGKILL)
+        """End the process with SIGKILL and wait for its end."""
+        self._send_signal(signal.SIGKILL)
         await self.wait()
 
     async def stop(self, *, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ask it to end, and wait for that.
+        """Send SIGTERM to the process and wait for its end.
 
-        :param timeout_s: Longest wait; after it the process is killed.
-        :returns: How it ended.
+        :param timeout_s: Time after which the process is killed, in seconds.
+        :returns: Exit code; negative if a signal ended the process.
         """
-        self._send(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
         try:
             return await asyncio.wait_for(self.wait(), timeout_s)
         except TimeoutError:
@@ -118,14 +122,14 @@
             return -signal.SIGKILL
 
     async def wait(self) -> int:
-        """Wait for its end and return how it ended."""
+        """Wait until the process ends and return its exit code."""
         returncode = await self._process.wait()
         with contextlib.suppress(asyncio.CancelledError):
             await end_task(self._reader)
         return returncode
 
-    def _send(self, number: signal.Signals) -> None:
-        # The child is not reaped before its end is noted, so the id can't be another's.
+    def _send_signal(self, number: signal.Signals) -> None:
+        # The child is reaped only when its return code is set, so its id is not yet reused here.
         if self._process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(number)
@@ -133,41 +137,41 @@
 
 @final
 class Launcher:
-    """Starts Python modules as processes, and ends them all at its own end.
+    """Starts Python modules as processes, and ends them all when the context exits.
 
-    :param directory: Where their logs go.
+    :param directory: Directory for the logs of the processes.
     """
 
     def __init__(self, *, directory: Path) -> None:
         self._directory = directory
         self._processes: list[ManagedProcess] = []
-        self._numbers = itertools.count()
+        self._log_numbers = itertools.count()
 
     @property
     def processes(self) -> tuple[ManagedProcess, ...]:
-        """All processes it has started."""
+        """All processes started so far, including those that have ended."""
         return tuple(self._processes)
 
     async def __aenter__(self) -> Self:
-        """Return itself."""
+        """Return the launcher."""
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End what still runs."""
+        """Kill all processes that still run."""
         for process in self._processes:
             if process.running:
                 process.thaw()
                 await process.kill()
 
     async def start(self, *, name: str, module: str, arguments: list[str]) -> ManagedProcess:
-        """Start a module and wait until it says where it listens.
+        """Start a module and wait until it prints its listening addresses.
 
-        :param name: Short name; its log is named after it.
-        :param module: The module, as for ``python -m``.
-        :param arguments: Its command line.
-        :raises StartError: When it does not get ready.
+        :param name: Short name, from which the name of the log file is formed.
+        :param module: Module to run, as for ``python -m``.
+        :param arguments: Command-line arguments of the module.
+        :raises StartError: If the process ends, or prints no address within ``READY_TIMEOUT_S``.
         """
-        log = self._directory / f"{name}-{next(self._numbers)}.log"
+        log = self._directory / f"{name}-{next(self._log_numbers)}.log"
         with log.open("wb") as errors:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -188,7 +192,7 @@
             if not isinstance(error, TimeoutError | StartError):
                 raise
             text = log.read_text(errors="replace")
-            raise StartError(f"{name} did not get ready: {error!r}\n{text}") from error
+            raise StartError(f"{name} did not become ready: {error!r}\n{text}") from error
         started = ManagedProcess(
             name=name,
             process=process,
@@ -201,7 +205,7 @@
 
 
 def environment() -> dict[str, str]:
-    """Return the environment in which the modules of this tree are found."""
+    """Return the environment variables with which Python finds the modules of this tree."""
     paths = [str(ROOT / "src"), str(ROOT), os.environ.get("PYTHONPATH", "")]
     return {**os.environ, "PYTHONPATH": os.pathsep.join(path for path in paths if path)}
 
@@ -209,19 +213,19 @@
 async def _read_ready(process: asyncio.subprocess.Process) -> dict[str, str]:
     assert process.stdout is not None
     while line := await process.stdout.readline():
-        word, *addresses = line.decode(errors="replace").split()
-        if word == READY_WORD:
-            return dict(_split(address) for address in addresses)
-    raise StartError("it ended")
+        prefix, *addresses = line.decode(errors="replace").split()
+        if prefix == READY_PREFIX:
+            return dict(_parse_address(address) for address in addresses)
+    raise StartError("the process ended before it printed its addresses")
 
 
-def _split(address: str) -> tuple[str, str]:
+def _parse_address(address: str) -> tuple[str, str]:
     name, separator, rest = address.partition("=")
     return (name, rest) if separator else (DEFAULT_ADDRESS, address)
 
 
 async def _drain(process: asyncio.subprocess.Process) -> None:
-    # An unread pipe would fill up and stop the process.
+    # A full pipe would block the process.
     assert process.stdout is not None
     while await process.stdout.readline():
         pass
--- a/standins/tcp_relay.py
+++ b/standins/tcp_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay inside the test's own process, which can freeze, delay or cut its links."""
+"""A TCP relay in the process of the test that can freeze, delay or cut its connections."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @final
 class TcpRelay:
-    """Passes bytes between its callers and one target.
+    """Forwards bytes between clients and one target.
 
-    :param target: Address behind the relay, as ``IP:PORT``.
+    :param target: Address to which connections are forwarded, as ``IP:PORT``.
     """
 
     def __init__(self, *, target: str) -> None:
         self._target_host, _, port = target.rpartition(":")
         self._target_port = int(port)
         self._clock = Clock()
-        self._flowing = asyncio.Event()
-        self._flowing.set()
+        self._unfrozen = asyncio.Event()
+        self._unfrozen.set()
         self._delay_ms = 0
         self._refusing = False
         self._server: asyncio.Server | None = None
@@ -34,18 +34,18 @@
 
     @property
     def address(self) -> str:
-        """Where the relay listens, as ``IP:PORT``."""
+        """Listening address of the relay, as ``IP:PORT``."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def __aenter__(self) -> Self:
-        """Start to listen."""
+        """Start listening on a free port."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop to listen and cut all links."""
+        """Stop listening and abort all connections."""
         assert self._server is not None
         self._server.close()
         self.thaw()
@@ -53,29 +53,29 @@
         await asyncio.gather(*self._tasks)
 
     def freeze(self) -> None:
-        """Pass nothing on, but keep all links open."""
-        self._flowing.clear()
+        """Stop forwarding and keep all connections open."""
+        self._unfrozen.clear()
 
     def thaw(self) -> None:
-        """Pass on what waited, and all that follows."""
-        self._flowing.set()
+        """Resume forwarding, beginning with the bytes held back."""
+        self._unfrozen.set()
 
     def delay(self, delay_ms: int) -> None:
-        """Pass each chunk on late.
+        """Delay each chunk.
 
-        :param delay_ms: How late, in milliseconds.
+        :param delay_ms: Delay in milliseconds; 0 forwards at once.
         """
         self._delay_ms = delay_ms
 
     def cut(self) -> None:
-        """Break all links at once; new ones are taken."""
+        """Abort all connections; new connections are still accepted."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     def refuse(self, *, refusing: bool = True) -> None:
-        """Break new links at once, or take them again.
+        """Abort each new connection at once, or accept new connections again.
 
-        :param refusing: Which.
+        :param refusing: Whether new connections are aborted.
         """
         self._refusing = refusing
 
@@ -88,23 +88,26 @@
             writer.transport.abort()
             return
         with contextlib.suppress(OSError):
-            far = await asyncio.open_connection(self._target_host, self._target_port)
-            self._writers.update((writer, far[1]))
+            target_streams = await asyncio.open_connection(self._target_host, self._target_port)
+            self._writers.update((writer, target_streams[1]))
             try:
-                await asyncio.gather(self._pump(reader, far[1]), self._pump(far[0], writer))
+                await asyncio.gather(
+                    self._forward(reader, target_streams[1]),
+                    self._forward(target_streams[0], writer),
+                )
             finally:
-                self._writers.difference_update((writer, far[1]))
-                far[1].close()
+                self._writers.difference_update((writer, target_streams[1]))
+                target_streams[1].close()
         writer.close()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while chunk := await reader.read(CHUNK_BYTES):
                 if self._delay_ms:
                     await self._clock.sleep(self._delay_ms)
-                await self._flowing.wait()
+                await self._unfrozen.wait()
                 writer.write(chunk)
                 await writer.drain()
-        # A frozen link must not even tell its far side that the near one is gone.
-        await self._flowing.wait()
+        # A frozen connection must not forward the end of the stream either.
+        await self._unfrozen.wait()
         writer.close()
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -1,4 +1,4 @@
-"""Callers that ask and book again and again until they are told to stop."""
+"""Load generator: callers that repeatedly request answers and bookings until stopped."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 import aiohttp
 import msgspec
 
-from standins.caller import GIVE_UP_MS
+from standins.caller import CALLER_TIMEOUT_MS
 from standins.caller import Caller
 from standins.caller_reports import AnswerReport
-from standins.caller_reports import Ask
+from standins.caller_reports import AnswerRequest
 from standins.caller_reports import BookingReport
 from tanagerscale.core import Clock
 from tanagerscale.generated.declarations import Model
@@ -27,12 +27,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerKind:
-    """One kind of caller.
+    """Settings of one kind of caller.
 
-    :param name: Names its requests.
-    :param key: Its account's bearer key.
-    :param tokens: Shortest and longest answer.
+    :param name: Prefix of the request names, also sent as the request class.
+    :param key: Bearer key of the client account.
+    :param tokens: Shortest and longest answer, in tokens.
     :param pause_ms: Shortest and longest pause between two requests, in milliseconds.
+    :param stream: Whether answers are streamed.
     """
 
     name: str
@@ -44,28 +45,28 @@
 
 @final
 class Workload:
-    """All callers and what they saw.
-
-    :param session: Their connections.
-    :param hosts: Returns the base URLs that the balancer offers now.
-    :param model: What they ask for.
-    :param objective: What they count as stall time.
-    :param service: Where they book.
-    :param seed: Seed of all that is random.
+    """All callers of a run and their reports.
+
+    :param session: HTTP session of all callers.
+    :param get_urls: Returns the base URLs that the load balancer offers now.
+    :param model: Model that the callers request.
+    :param objective: Latency objective from which the stall time is computed.
+    :param service: Name of the service that takes bookings.
+    :param seed: Seed of all random choices.
     """
 
     def __init__(
         self,
         *,
         session: aiohttp.ClientSession,
-        hosts: Callable[[], Sequence[str]],
+        get_urls: Callable[[], Sequence[str]],
         model: Model,
         objective: Objective,
         service: str,
         seed: int,
     ) -> None:
         self._session = session
-        self._hosts = hosts
+        self._get_urls = get_urls
         self._model = model
         self._objective = objective
         self._service = service
@@ -75,53 +76,53 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.answers: list[AnswerReport] = []
         self.bookings: list[BookingReport] = []
-        self.poisoned: list[AnswerReport] = []
+        self.poison_answers: list[AnswerReport] = []
 
-    def start_askers(self, kind: CallerKind, count: int) -> None:
-        """Start callers that ask for answers.
+    def start_answer_callers(self, kind: CallerKind, count: int) -> None:
+        """Start callers that request answers.
 
-        :param kind: Their kind.
-        :param count: How many.
+        :param kind: Kind of the callers.
+        :param count: Number of callers.
         """
         for number in range(count):
-            self._spawn(self._ask_on(kind, f"{kind.name}-{number}"))
+            self._spawn(self._run_answer_caller(kind, f"{kind.name}-{number}"))
 
-    def start_bookers(self, kind: CallerKind, count: int) -> None:
-        """Start callers that book.
+    def start_booking_callers(self, kind: CallerKind, count: int) -> None:
+        """Start callers that send bookings.
 
-        :param kind: Their kind.
-        :param count: How many.
+        :param kind: Kind of the callers.
+        :param count: Number of callers.
         """
         for number in range(count):
-            self._spawn(self._book_on(kind, f"{kind.name}-{number}"))
+            self._spawn(self._run_booking_caller(kind, f"{kind.name}-{number}"))
 
-    def start_one(self, kind: CallerKind, name: str, tokens: int) -> None:
-        """Start a single request.
+    def start_request(self, kind: CallerKind, name: str, tokens: int) -> None:
+        """Start a single request for an answer.
 
-        :param kind: The caller's kind.
+        :param kind: Kind of the caller.
         :param name: Name of the request.
-        :param tokens: Length of its answer.
+        :param tokens: Length of the answer, in tokens.
         """
-        self._spawn(self._ask_once(self._caller(kind, name), kind, name, tokens))
+        self._spawn(self._request_answer(self._caller(kind, name), kind, name, tokens))
 
-    def start_poison(self, kind: CallerKind, *, every_ms: int) -> None:
-        """Start a caller that sends one request that crashes engines, again and again.
+    def start_poison_caller(self, kind: CallerKind, *, interval_ms: int) -> None:
+        """Start a caller that repeatedly sends one request that crashes engines.
 
-        :param kind: The caller's kind.
-        :param every_ms: Pause between two sendings, in milliseconds.
+        :param kind: Kind of the caller.
+        :param interval_ms: Pause between two requests, also the timeout of each, in milliseconds.
         """
-        self._spawn(self._poison_on(kind, every_ms))
+        self._spawn(self._run_poison_caller(kind, interval_ms))
 
     async def finish(self) -> None:
-        """Begin no more requests, and wait for the end of those that run."""
+        """Start no more requests, and wait until the running ones end."""
         self._stopping.set()
         while self._tasks:
             await asyncio.gather(*self._tasks)
 
     def write_reports(self, path: Path) -> None:
-        """Write all reports to a file, one JSON text a line.
+        """Write all reports to a file, one JSON object per line.
 
-        :param path: The file.
+        :param path: File to write.
         """
         lines = [msgspec.json.encode(report) for report in (*self.answers, *self.bookings)]
         path.write_bytes(b"\n".join(lines) + b"\n")
@@ -131,27 +132,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _caller(self, kind: CallerKind, name: str, *, give_up_ms: int = GIVE_UP_MS) -> Caller:
+    def _caller(
+        self, kind: CallerKind, name: str, *, timeout_ms: int = CALLER_TIMEOUT_MS
+    ) -> Caller:
         return Caller(
             session=self._session,
-            hosts=self._hosts,
+            get_urls=self._get_urls,
             key=kind.key,
             rng=Random(f"{self._seed}-{name}"),
             objective=self._objective,
-            give_up_ms=give_up_ms,
+            timeout_ms=timeout_ms,
         )
 
-    async def _ask_on(self, kind: CallerKind, name: str) -> None:
+    async def _run_answer_caller(self, kind: CallerKind, name: str) -> None:
         rng = Random(f"{self._seed}-asks-{name}")
         caller = self._caller(kind, name)
         number = 0
         while not self._stopping.is_set():
             number += 1
-            await self._ask_once(caller, kind, f"{name}-{number}", rng.randint(*kind.tokens))
+            await self._request_answer(caller, kind, f"{name}-{number}", rng.randint(*kind.tokens))
             await self._pause(rng.randint(*kind.pause_ms))
 
-    async def _ask_once(self, caller: Caller, kind: CallerKind, name: str, tokens: int) -> None:
-        ask = Ask(
+    async def _request_answer(
+        self, caller: Caller, kind: CallerKind, name: str, tokens: int
+    ) -> None:
+        request = AnswerRequest(
             name=name,
             model=self._model.name,
             version=self._model.version,
@@ -160,10 +165,10 @@
             max_tokens=self._model.max_output_tokens,
             request_class=kind.name,
         )
-        self.answers.append(await caller.complete(ask))
+        self.answers.append(await caller.complete(request))
 
-    async def _poison_on(self, kind: CallerKind, every_ms: int) -> None:
-        ask = Ask(
+    async def _run_poison_caller(self, kind: CallerKind, interval_ms: int) -> None:
+        request = AnswerRequest(
             name=kind.name,
             model=self._model.name,
             version=self._model.version,
@@ -172,26 +177,27 @@
             same_prompt=True,
             max_tokens=self._model.max_output_tokens,
         )
-        caller = self._caller(kind, kind.name, give_up_ms=every_ms)
+        caller = self._caller(kind, kind.name, timeout_ms=interval_ms)
         while not self._stopping.is_set():
-            self.poisoned.append(await caller.complete(ask))
-            await self._pause(every_ms)
+            self.poison_answers.append(await caller.complete(request))
+            await self._pause(interval_ms)
 
-    async def _book_on(self, kind: CallerKind, name: str) -> None:
+    async def _run_booking_caller(self, kind: CallerKind, name: str) -> None:
         rng = Random(f"{self._seed}-books-{name}")
         caller = self._caller(kind, name)
         number = 0
         while not self._stopping.is_set():
             number += 1
             key = f"{name}-{number}"
-            # Half of the callers believe "not executed" and let it be, so that it can be checked.
-            retried = rng.random() < 0.5
-            copies = 2 if rng.random() < 0.25 else 1
-            # Some send the same booking twice at the same moment, to different hosts.
+            # Half of the bookings are not retried after "not executed", so that the journals of the
+            # services can confirm it.
+            retry_refused = rng.random() < 0.5
+            call_count = 2 if rng.random() < 0.25 else 1
+            # A quarter of the bookings are sent twice concurrently, to different hosts.
             booked = await asyncio.gather(
                 *(
-                    caller.book(service=self._service, key=key, retry_refused=retried)
-                    for _ in range(copies)
+                    caller.book(service=self._service, key=key, retry_refused=retry_refused)
+                    for _ in range(call_count)
                 )
             )
             self.bookings.extend(booked)
--- a/testing/test_platform_path.py
+++ b/testing/test_platform_path.py
@@ -10,23 +10,23 @@
 import pytest
 import pytest_asyncio
 
-from standins.platform_engine import UpstreamMood
-from standins.platform_store import StoreMood
+from standins.platform_engine import UpstreamBehavior
+from standins.platform_store import StoreBehavior
+from standins.platform_world import API_KEY
 from standins.platform_world import HOST_NAME
-from standins.platform_world import KEY
 from standins.platform_world import MODEL_SERVICE
 from standins.platform_world import PLAIN_SERVICE
 from standins.platform_world import Answer
-from standins.platform_world import PlatformWorld
+from standins.platform_world import PlatformCluster
 from standins.platform_world import configuration
 
 TOKENS = (500, 2000)
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[PlatformWorld]:
+async def world() -> AsyncIterator[PlatformCluster]:
     """Start a platform with one host, two engines and two plain upstreams."""
-    made = PlatformWorld()
+    made = PlatformCluster()
     await made.start()
     for name in ("e1", "e2"):
         await made.add_upstream(name, MODEL_SERVICE)
@@ -38,7 +38,7 @@
     await made.stop()
 
 
-async def _settled(world: PlatformWorld, *hosts: str) -> None:
+async def _settled(world: PlatformCluster, *hosts: str) -> None:
     """Wait until hosts know the declarations and the upstreams."""
     for host in hosts:
         known = world.hosts[host]
@@ -49,7 +49,7 @@
         )
 
 
-def _version(world: PlatformWorld) -> int:
+def _version(world: PlatformCluster) -> int:
     value = world.store.value("op/config")
     assert value is not None
     version: int = msgspec.json.decode(value)["version"]
@@ -66,20 +66,26 @@
     return {line.rpartition(".")[0] for line in lines if line.startswith("data: ")}
 
 
-def _no_request_ran_twice(world: PlatformWorld) -> None:
-    runs = Counter(arrival.request for arrival in world.ledger.arrivals if arrival.ran)
+def _no_request_ran_twice(world: PlatformCluster) -> None:
+    runs = Counter(
+        arrival.request for arrival in world.ledger.received_requests if arrival.executed
+    )
     repeated = {request for request, times in runs.items() if times > 1}
-    moved = {arrival.request for arrival in world.ledger.arrivals if "Kv-From" in arrival.headers}
+    moved = {
+        arrival.request
+        for arrival in world.ledger.received_requests
+        if "Kv-From" in arrival.headers
+    }
     assert repeated <= moved
     assert all(times == 1 for times in world.ledger.generations.values())
 
 
 @pytest.mark.asyncio
-async def test_call_is_answered_by_an_upstream_of_its_service(world: PlatformWorld) -> None:
+async def test_call_is_answered_by_an_upstream_of_its_service(world: PlatformCluster) -> None:
     answer = await world.call("h1", "/book/x?y=1")
     assert answer.status == 200
     assert answer.headers["Tanagerscale-Server-Stamp"] in ("p1", "p2")
-    (arrival,) = world.ledger.arrivals
+    (arrival,) = world.ledger.received_requests
     assert (arrival.method, arrival.target, arrival.body) == ("POST", "/book/x?y=1", b"content")
     assert arrival.headers["Tanagerscale-Tenant"] == "one"
     assert "Authorization" not in arrival.headers
@@ -87,79 +93,88 @@
 
 
 @pytest.mark.asyncio
-async def test_stream_is_passed_on_whole(world: PlatformWorld) -> None:
+async def test_stream_is_passed_on_whole(world: PlatformCluster) -> None:
     answer = await world.call("h1", "/draft/x", tokens=TOKENS)
-    assert (answer.status, answer.whole) == (200, True)
+    assert (answer.status, answer.is_complete) == (200, True)
     assert _numbers(answer) == list(range(1, 21))
 
 
 @pytest.mark.asyncio
 @pytest.mark.parametrize(
     ("path", "key", "status"),
-    [("/book/x", None, 401), ("/book/x", "wrong", 401), ("/none/x", KEY, 404)],
+    [("/book/x", None, 401), ("/book/x", "wrong", 401), ("/none/x", API_KEY, 404)],
 )
 async def test_call_is_refused_when_its_key_or_route_is_unknown(
-    world: PlatformWorld, path: str, key: str | None, status: int
+    world: PlatformCluster, path: str, key: str | None, status: int
 ) -> None:
     answer = await world.call("h1", path, key=key)
     assert answer.status == status
     assert b"detail" in answer.body
-    assert world.ledger.arrivals == []
+    assert world.ledger.received_requests == []
 
 
 @pytest.mark.asyncio
-async def test_call_is_refused_when_its_body_is_too_large(world: PlatformWorld) -> None:
+async def test_call_is_refused_when_its_body_is_too_large(world: PlatformCluster) -> None:
     answer = await world.call("h1", "/book/x", body=b"x" * 200_000)
     assert answer.status in (0, 413)
-    assert world.ledger.arrivals == []
+    assert world.ledger.received_requests == []
 
 
 @pytest.mark.asyncio
-async def test_caller_cannot_set_what_is_the_hosts_to_set(world: PlatformWorld) -> None:
+async def test_caller_cannot_set_what_is_the_hosts_to_set(world: PlatformCluster) -> None:
     await world.call(
         "h1",
         "/book/x",
         headers={"Tanagerscale-Tenant": "other", "Kv-From": "x/y", "Tanagerscale-Hold": "1"},
     )
-    (arrival,) = world.ledger.arrivals
+    (arrival,) = world.ledger.received_requests
     assert arrival.headers["Tanagerscale-Tenant"] == "one"
     assert "Kv-From" not in arrival.headers
     assert "Tanagerscale-Hold" not in arrival.headers
 
 
 @pytest.mark.asyncio
-async def test_booking_runs_once_when_its_answer_is_lost(world: PlatformWorld) -> None:
+async def test_booking_runs_once_when_its_answer_is_lost(world: PlatformCluster) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
+        world.upstreams[name].behavior = UpstreamBehavior.RESET_AFTER_EXECUTION
     answer = await world.call("h1", "/book/x")
     assert answer.status == 502
-    assert len(world.ledger.arrivals) == 1
+    assert len(world.ledger.received_requests) == 1
 
 
 @pytest.mark.asyncio
-async def test_reading_is_repeated_elsewhere_when_its_answer_is_lost(world: PlatformWorld) -> None:
+async def test_reading_is_repeated_elsewhere_when_its_answer_is_lost(
+    world: PlatformCluster,
+) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
+        world.upstreams[name].behavior = UpstreamBehavior.RESET_AFTER_EXECUTION
     answer = await world.call("h1", "/read/x", method="GET")
     assert answer.status == 502
     assert (
-        len({arrival.headers["Tanagerscale-Expect-Instance"] for arrival in world.ledger.arrivals})
+        len(
+            {
+                arrival.headers["Tanagerscale-Expect-Instance"]
+                for arrival in world.ledger.received_requests
+            }
+        )
         == 2
     )
 
 
 @pytest.mark.asyncio
-async def test_refusal_means_not_run_when_all_upstreams_are_full(world: PlatformWorld) -> None:
+async def test_refusal_means_not_run_when_all_upstreams_are_full(world: PlatformCluster) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.FULL
+        world.upstreams[name].behavior = UpstreamBehavior.FULL
     answer = await world.call("h1", "/book/x")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
-    assert not any(arrival.ran for arrival in world.ledger.arrivals)
+    assert not any(arrival.executed for arrival in world.ledger.received_requests)
 
 
 @pytest.mark.asyncio
-async def test_stream_goes_on_as_the_same_run_when_its_engine_leaves(world: PlatformWorld) -> None:
+async def test_stream_goes_on_as_the_same_run_when_its_engine_leaves(
+    world: PlatformCluster,
+) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
     await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
@@ -168,28 +183,28 @@
     world.register(leaving, MODEL_SERVICE, state="draining")
     answers = await asyncio.gather(*calls)
     for answer in answers:
-        assert answer.whole
+        assert answer.is_complete
         assert _numbers(answer) == list(range(1, 21))
         assert len(_generations(answer)) == 1
-    assert any("Kv-From" in arrival.headers for arrival in world.ledger.arrivals)
+    assert any("Kv-From" in arrival.headers for arrival in world.ledger.received_requests)
     assert world.ledger.overlaps == []
     _no_request_ran_twice(world)
 
 
 @pytest.mark.asyncio
-async def test_stream_never_looks_whole_when_its_engine_crashes(world: PlatformWorld) -> None:
+async def test_stream_never_looks_whole_when_its_engine_crashes(world: PlatformCluster) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
     await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
     await world.upstreams["e1"].stop()
     for answer in await asyncio.gather(*calls):
-        assert answer.whole == (_numbers(answer) == list(range(1, 21)))
+        assert answer.is_complete == (_numbers(answer) == list(range(1, 21)))
         assert _numbers(answer) == list(range(1, len(_numbers(answer)) + 1))
     _no_request_ran_twice(world)
 
 
 @pytest.mark.asyncio
-async def test_engine_stops_when_the_caller_leaves(world: PlatformWorld) -> None:
+async def test_engine_stops_when_the_caller_leaves(world: PlatformCluster) -> None:
     call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
     engines = [world.upstreams[name] for name in ("e1", "e2")]
     await world.wait_until(lambda: any(engine.running for engine in engines))
@@ -198,7 +213,7 @@
 
 
 @pytest.mark.asyncio
-async def test_upstream_that_leaves_gets_no_new_work(world: PlatformWorld) -> None:
+async def test_upstream_that_leaves_gets_no_new_work(world: PlatformCluster) -> None:
     leaving = world.upstreams["p1"]
     world.register(leaving, PLAIN_SERVICE, state="draining")
     await world.wait_until(lambda: world.hosts["h1"].upstreams_open(PLAIN_SERVICE) == 1)
@@ -209,18 +224,18 @@
 
 @pytest.mark.asyncio
 async def test_request_goes_elsewhere_when_another_upstream_has_the_address(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     world.upstreams["p1"].upstream = "of-another-service"
     for _ in range(6):
         answer = await world.call("h1", "/book/x")
         assert answer.headers["Tanagerscale-Server-Stamp"] == "p2"
-    ran = [arrival for arrival in world.ledger.arrivals if arrival.ran]
+    ran = [arrival for arrival in world.ledger.received_requests if arrival.executed]
     assert len(ran) == 6
 
 
 @pytest.mark.asyncio
-async def test_new_version_is_in_force_as_a_whole(world: PlatformWorld) -> None:
+async def test_new_version_is_in_force_as_a_whole(world: PlatformCluster) -> None:
     value = configuration(version=5)
     value["routes"] = value["routes"][:2]
     value["tenants"] = [{"name": "two", "apiKeys": ["other-key"]}]
@@ -232,27 +247,27 @@
 
 
 @pytest.mark.asyncio
-async def test_requests_are_served_while_the_store_is_down(world: PlatformWorld) -> None:
-    world.store.mood = StoreMood.SILENT
+async def test_requests_are_served_while_the_store_is_down(world: PlatformCluster) -> None:
+    world.store.behavior = StoreBehavior.SILENT
     assert (await world.call("h1", "/book/x")).status == 200
-    assert (await world.call("h1", "/draft/x", tokens=TOKENS)).whole
+    assert (await world.call("h1", "/draft/x", tokens=TOKENS)).is_complete
 
 
 @pytest.mark.asyncio
 async def test_host_cut_from_the_store_gets_a_new_version_from_its_peers(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     await world.add_host("h2", seeds=(world.peers_address("h1"),))
     await _settled(world, "h1", "h2")
     await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
-    world.cut_from_store("h2")
+    world.disconnect_from_store("h2")
     world.configure(configuration(version=9))
     await _settled(world, "h1", "h2")
 
 
 @pytest.mark.asyncio
 async def test_host_is_not_ready_before_it_knows_a_version() -> None:
-    world = PlatformWorld()
+    world = PlatformCluster()
     await world.start()
     try:
         world.store.delete("op/config")
@@ -269,14 +284,14 @@
 
 @pytest.mark.asyncio
 async def test_planned_stop_ends_what_runs_and_refuses_nothing_that_came_before(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(3)]
-    await world.wait_until(lambda: len(world.ledger.arrivals) == 3)
+    await world.wait_until(lambda: len(world.ledger.received_requests) == 3)
     host = world.hosts["h1"]
     stopping = asyncio.create_task(host.stop())
     answers = await asyncio.gather(*calls)
-    assert all(answer.whole for answer in answers)
+    assert all(answer.is_complete for answer in answers)
     assert not host.ready
     answer = await world.call("h1", "/book/x")
     assert answer.status == 200
@@ -286,7 +301,7 @@
 
 
 @pytest.mark.asyncio
-async def test_hosts_tell_each_other_what_runs(world: PlatformWorld) -> None:
+async def test_hosts_tell_each_other_what_runs(world: PlatformCluster) -> None:
     await world.add_host("h2", seeds=(world.peers_address("h1"),))
     await _settled(world, "h2")
     await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
@@ -297,14 +312,14 @@
 
 
 @pytest.mark.asyncio
-async def test_repeats_are_shared_with_hosts_that_cannot_be_reached(world: PlatformWorld) -> None:
+async def test_repeats_are_shared_with_hosts_that_cannot_be_reached(world: PlatformCluster) -> None:
     for number in range(2, 11):
         record = {"host": f"h{number}", "peers": "127.0.0.1:9", "incarnation": 1}
         world.store.put(f"tanagerscale/hosts/h{number}", msgspec.json.encode(record))
     await world.wait_until(lambda: world.hosts["h1"].sharing_hosts == 10)
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.FULL
+        world.upstreams[name].behavior = UpstreamBehavior.FULL
     for _ in range(18):
         await world.call("h1", "/book/x")
     # A host that counted only those it hears would repeat each of the eighteen.
-    assert 18 <= len(world.ledger.arrivals) < 36
+    assert 18 <= len(world.ledger.received_requests) < 36
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -17,8 +17,8 @@
 from returns.result import Result
 from returns.result import Success
 
+from standins.platform_store import StoreBehavior
 from standins.platform_store import StoreEmulator
-from standins.platform_store import StoreMood
 from tanagerscale.core import Clock
 from tanagerscale.platform._store import PlatformStore
 from tanagerscale.platform._store import _decoded
@@ -48,7 +48,7 @@
 @pytest_asyncio.fixture
 async def pair() -> AsyncIterator[Pair]:
     """Serve a store and connect to it."""
-    emulator = StoreEmulator(page=3)
+    emulator = StoreEmulator(page_size=3)
     address = await emulator.start()
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=2000, idle_ms=60_000)
     yield Pair(emulator=emulator, store=PlatformStore(address=address, pool=pool))
@@ -113,19 +113,19 @@
 @pytest.mark.parametrize(
     ("mood", "kind"),
     [
-        (StoreMood.BUSY, StoreErrorKind.REFUSED),
-        (StoreMood.RESET, StoreErrorKind.UNCERTAIN),
-        (StoreMood.LOSES_ANSWERS, StoreErrorKind.UNCERTAIN),
+        (StoreBehavior.BUSY, StoreErrorKind.REFUSED),
+        (StoreBehavior.RESET, StoreErrorKind.UNCERTAIN),
+        (StoreBehavior.RESET_AFTER_EXECUTION, StoreErrorKind.UNCERTAIN),
     ],
 )
 async def test_failure_tells_whether_a_write_may_have_been_done(
-    pair: Pair, mood: StoreMood, kind: StoreErrorKind
+    pair: Pair, mood: StoreBehavior, kind: StoreErrorKind
 ) -> None:
-    pair.emulator.mood = mood
+    pair.emulator.behavior = mood
     result = await pair.store.commit(puts=[_put("k", b"1")])
     assert isinstance(result, Failure)
     assert result.failure().kind is kind
-    assert (pair.emulator.keys() == ["k"]) == (mood is StoreMood.LOSES_ANSWERS)
+    assert (pair.emulator.keys() == ["k"]) == (mood is StoreBehavior.RESET_AFTER_EXECUTION)
 
 
 @dataclass(slots=True)
@@ -218,13 +218,13 @@
 async def test_follower_reads_everything_once_more_when_the_store_was_away(
     pair: Pair, listener: Listener
 ) -> None:
-    pair.emulator.mood = StoreMood.RESET
+    pair.emulator.behavior = StoreBehavior.RESET
     pair.emulator.put("a/1", b"1")
     while False not in listener.reachable:
         pair.emulator.put("a/1", b"1")
         await asyncio.sleep(0.01)
     pair.emulator.delete("a/0")
-    pair.emulator.mood = StoreMood.WELL
+    pair.emulator.behavior = StoreBehavior.NORMAL
     await _until(listener, {"a/1": b"1"})
     assert listener.reachable[:3] == [True, False, True]
     assert listener.snapshots == 2
@@ -234,11 +234,11 @@
 async def test_follower_knows_that_the_store_answers_again_though_nothing_changes(
     pair: Pair, listener: Listener
 ) -> None:
-    pair.emulator.mood = StoreMood.RESET
+    pair.emulator.behavior = StoreBehavior.RESET
     while False not in listener.reachable:
         pair.emulator.put("a/0", b"0")
         await asyncio.sleep(0.01)
-    pair.emulator.mood = StoreMood.WELL
+    pair.emulator.behavior = StoreBehavior.NORMAL
     while listener.reachable[-1] is False:
         await asyncio.sleep(0.01)
     assert listener.reachable == [True, False, True]
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -226,7 +226,7 @@
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=3, services=0))
-    await cluster.list_state("engine-2", ListedState.LEAVING)
+    await cluster.set_listed_state("engine-2", ListedState.LEAVING)
     applied = await cluster.apply(author="second")
     assert applied.returncode == 0, applied.output + applied.errors
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
@@ -339,7 +339,7 @@
 ) -> None:
     cluster = await start_serving(ClusterPlan(hosts=2, engines=2, services=0))
     await cluster.hosts["host-1"].kill()
-    await cluster.unlist("host-1")
+    await cluster.remove_from_host_list("host-1")
     engines = [
         msgspec.structs.replace(engine, adapters=["ladder"])
         for engine in cluster.declarations.engines
--- a/testing/test_whole_path.py
+++ b/testing/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes."""
+"""Requests from caller to upstream over real processes."""
 
 from __future__ import annotations
 
@@ -27,17 +27,19 @@
         )
         assert answer.done, answer
         assert answer.text == expected(prompt="ladder [[tokens=20]]")
-    bookings = f"{cluster.caller_url('host-1')}/services/bookings/bookings"
-    keyed = {**headers(), "Idempotency-Key": "round-7"}
-    async with session.post(bookings, json={"id": "7"}, headers=keyed) as response:
-        first = await response.read()
-        assert response.status < 300, first
-    other = f"{cluster.caller_url('host-2')}/services/bookings/bookings"
-    async with session.post(other, json={"id": "7"}, headers=keyed) as response:
-        assert (await response.read(), response.status < 300) == (first, True)
+    bookings_url = f"{cluster.caller_url('host-1')}/services/bookings/bookings"
+    booking_headers = {**headers(), "Idempotency-Key": "round-7"}
+    async with session.post(bookings_url, json={"id": "7"}, headers=booking_headers) as response:
+        first_body = await response.read()
+        assert response.status < 300, first_body
+    other_bookings_url = f"{cluster.caller_url('host-2')}/services/bookings/bookings"
+    async with session.post(
+        other_bookings_url, json={"id": "7"}, headers=booking_headers
+    ) as response:
+        assert (await response.read(), response.status < 300) == (first_body, True)
 
 
-async def test_nothing_is_interrupted_when_a_host_stops(
+async def test_running_answers_complete_when_a_host_stops(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan())
@@ -55,7 +57,7 @@
     assert await stopping == 0
 
 
-async def test_caller_goes_on_at_another_host_when_its_host_is_killed(
+async def test_caller_resumes_at_another_host_when_its_host_is_killed(
     start_serving: StartServing, session: aiohttp.ClientSession
 ) -> None:
     cluster = await start_serving(ClusterPlan())
