--- a/testing/test_platform_restarts.py
+++ b/testing/test_platform_restarts.py
@@ -10,11 +10,11 @@
 from returns.result import Failure
 from returns.result import Success
 
+from standins.platform_engine import UpstreamBehavior
 from standins.platform_engine import UpstreamEmulator
-from standins.platform_engine import UpstreamMood
 from standins.platform_world import MODEL_SERVICE
 from standins.platform_world import PLAIN_SERVICE
-from standins.platform_world import PlatformWorld
+from standins.platform_world import PlatformCluster
 from tanagerscale.core import Clock
 from tanagerscale.platform._engines import PlatformUpstreams
 from tanagerscale.platform._registry import decode_entry
@@ -27,9 +27,9 @@
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[PlatformWorld]:
+async def world() -> AsyncIterator[PlatformCluster]:
     """Start a platform with one host, one engine and one plain upstream."""
-    made = PlatformWorld()
+    made = PlatformCluster()
     await made.start()
     await made.add_upstream("e1", MODEL_SERVICE, born=START_TIMES_MS[0])
     await made.add_upstream("p1", PLAIN_SERVICE, born=START_TIMES_MS[0])
@@ -40,13 +40,13 @@
     await made.stop()
 
 
-def _entry_of(world: PlatformWorld, name: str) -> UpstreamEntry:
+def _entry_of(world: PlatformCluster, name: str) -> UpstreamEntry:
     value = world.store.value(f"servers/{name}")
     assert value is not None
     return decode_entry(f"servers/{name}", value).unwrap()
 
 
-async def _restart(world: PlatformWorld, name: str, service: str, born: int) -> UpstreamEmulator:
+async def _restart(world: PlatformCluster, name: str, service: str, born: int) -> UpstreamEmulator:
     started = await world.restart_upstream(name, service, born=born)
     host = world.hosts["h1"]
     upstream = _entry_of(world, name).upstream
@@ -57,7 +57,7 @@
 
 @pytest.mark.asyncio
 async def test_call_runs_on_the_new_incarnation_when_the_old_one_was_leaving(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     world.register(world.upstreams["p1"], PLAIN_SERVICE, state="draining")
     await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 0)
@@ -68,7 +68,7 @@
 
 @pytest.mark.asyncio
 async def test_late_entry_of_the_old_incarnation_does_not_close_the_new_one(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     previous = world.upstreams["p1"]
     await _restart(world, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
@@ -81,25 +81,25 @@
 
 @pytest.mark.asyncio
 async def test_request_that_crashes_each_incarnation_of_an_engine_is_finally_refused(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     engine = world.upstreams["e1"]
     for born in START_TIMES_MS[1 : MAX_CRASHES + 1]:
-        engine.mood = UpstreamMood.HANGS
+        engine.behavior = UpstreamBehavior.HANGS
         call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
         await world.wait_until(lambda engine=engine: len(engine.running) == 1)
         engine = await _restart(world, "e1", MODEL_SERVICE, born)
         assert (await call).status != 200
     await world.call("h1", "/draft/x", tokens=TOKENS)
-    arrivals = [arrival for arrival in world.ledger.arrivals if arrival.ran]
+    arrivals = [arrival for arrival in world.ledger.received_requests if arrival.executed]
     assert len(arrivals) == MAX_CRASHES
 
 
 @pytest.mark.asyncio
-async def test_no_runs_are_counted_for_an_ended_incarnation(world: PlatformWorld) -> None:
+async def test_no_runs_are_counted_for_an_ended_incarnation(world: PlatformCluster) -> None:
     await _restart(world, "e1", MODEL_SERVICE, START_TIMES_MS[1])
     answer = await world.call("h1", "/draft/x", tokens=TOKENS)
-    assert (answer.status, answer.whole) == (200, True)
+    assert (answer.status, answer.is_complete) == (200, True)
     assert world.hosts["h1"].known_runs == 0
 
 
@@ -114,7 +114,7 @@
     ],
 )
 async def test_invalid_entry_is_ignored_and_other_upstreams_serve(
-    world: PlatformWorld, value: object
+    world: PlatformCluster, value: object
 ) -> None:
     world.put_entry("made-up", value)
     await world.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
@@ -125,7 +125,7 @@
 
 @pytest.mark.asyncio
 async def test_report_of_another_incarnation_is_refused(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=1000)
     client = PlatformUpstreams(pool=pool)
@@ -139,7 +139,7 @@
 
 @pytest.mark.asyncio
 async def test_idle_connections_to_an_ended_incarnation_are_not_reused(
-    world: PlatformWorld,
+    world: PlatformCluster,
 ) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=60_000)
     client = PlatformUpstreams(pool=pool)
