--- a/testing/_booking_hosts.py
+++ b/testing/_booking_hosts.py
@@ -1,4 +1,4 @@
-"""Simulated hosts that claim and send bookings as dispatch does, and can crash or be suspended."""
+"""Simulated hosts that claim and send bookings as dispatch does, and can crash or be frozen."""
 
 from __future__ import annotations
 
--- a/testing/_crashing_engines.py
+++ b/testing/_crashing_engines.py
@@ -39,9 +39,9 @@
 
 @final
 class CrashingEngine:
-    """Engine that crashes, with all its runs, when a poison request has run long enough."""
+    """Engine that crashes, with all its runs, when a crashing request has run long enough."""
 
-    def __init__(self, *, name: str, cluster: Cluster) -> None:
+    def __init__(self, *, name: str, cluster: QuarantineCluster) -> None:
         self.name = UpstreamId(name)
         self.up = True
         self.runs: dict[asyncio.Future[RunOutcome], tuple[Fingerprint, str]] = {}
@@ -52,10 +52,10 @@
         loop = asyncio.get_running_loop()
         end: asyncio.Future[RunOutcome] = loop.create_future()
         self.runs[end] = (fingerprint, host)
-        is_poison = fingerprint in self._cluster.poison_requests
+        crashes_engine = fingerprint in self._cluster.crashing_requests
         timer = loop.call_later(
-            self._cluster.poison_duration_s if is_poison else duration_s,
-            lambda: self._crash(fingerprint) if is_poison else end.set_result(RunOutcome.DONE),
+            self._cluster.crash_delay_s if crashes_engine else duration_s,
+            lambda: self._crash(fingerprint) if crashes_engine else end.set_result(RunOutcome.DONE),
         )
         try:
             return await end
@@ -85,7 +85,7 @@
 class RequestingHost:
     """Host that sends requests in the same way as dispatch."""
 
-    def __init__(self, *, name: str, cluster: Cluster, wall_offset_ms: int) -> None:
+    def __init__(self, *, name: str, cluster: QuarantineCluster, wall_offset_ms: int) -> None:
         self.name = HostId(name)
         self.store = FakeStore(backend=cluster.backend)
         self.clock = Clock(wall_offset_ms=wall_offset_ms, virtual_epoch_ms=EPOCH_MS)
@@ -110,7 +110,7 @@
         """Run a request, with retries, and return ``None`` when it completes, or a problem.
 
         :param name: Fingerprint of the request.
-        :param duration_s: Duration of a run that is not poison, in seconds.
+        :param duration_s: Duration of a run that does not crash the engine, in seconds.
         :param preferred_engine: Engine for the first attempt, if it is available.
         """
         fingerprint = Fingerprint(name)
@@ -184,7 +184,7 @@
 
 
 @final
-class Cluster:
+class QuarantineCluster:
     """Hosts, engines and the set of requests that crash engines.
 
     :param hosts: Number of hosts.
@@ -195,8 +195,8 @@
     def __init__(self, *, hosts: int, engines: int, seed: int = 1) -> None:
         self.rng = random.Random(seed)
         self.backend = FakeBackend()
-        self.poison_requests: set[Fingerprint] = set()
-        self.poison_duration_s = 0.3
+        self.crashing_requests: set[Fingerprint] = set()
+        self.crash_delay_s = 0.3
         self.max_detection_delay_s = 0.005
         self.lost_engines: Counter[Fingerprint] = Counter()
         names = [UpstreamId(f"e{number}") for number in range(engines)]
--- a/testing/_fake_engine.py
+++ b/testing/_fake_engine.py
@@ -36,10 +36,10 @@
 from tanagerscale.upstreams import UpstreamErrorKind
 
 STEP_MS = 10
-SILENCE_MS = 3000
+RESPONSE_TIMEOUT_MS = 3000
 
 
-def tokens_of(request: EngineRequest, *, salt: int = 0) -> list[str]:
+def answer_tokens(request: EngineRequest, *, salt: int = 0) -> list[str]:
     """Return the answer to a request; it depends only on the prompt, the seed and the salt."""
     rng = random.Random(f"{request.prompt} {request.seed} {salt}")
     return [f"w{rng.randrange(1000)} " for _ in range(request.max_tokens)]
@@ -59,10 +59,10 @@
 class Faults:
     """Faults of an engine; each ``..._at`` fault occurs once, at that token offset.
 
-    :param dead: Whether the engine is unreachable.
+    :param unreachable: Whether the engine is unreachable.
     :param frozen: Whether the engine stops replying.
     :param cut_at: Offset at which the connection breaks.
-    :param die_at: Offset at which the engine crashes.
+    :param crash_at: Offset at which the engine crashes.
     :param error_at: Offset at which the engine ends the attempt with an error.
     :param cross_at: Offset at which a token of another attempt is sent.
     :param skip_at: Offset of a token that is not sent.
@@ -72,10 +72,10 @@
     :param salt: Changes the generated answer.
     """
 
-    dead: bool = False
+    unreachable: bool = False
     frozen: bool = False
     cut_at: int | None = None
-    die_at: int | None = None
+    crash_at: int | None = None
     error_at: int | None = None
     cross_at: int | None = None
     skip_at: int | None = None
@@ -104,18 +104,18 @@
 
     async def generate(self, *, request: EngineRequest) -> TokenBatches:
         """Start an attempt."""
-        if self.faults.dead:
+        if self.faults.unreachable:
             yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if self.faults.refuse is not None:
             yield _refusal(self.faults.refuse)
             return
         if self.faults.frozen:
-            await self.clock.sleep(SILENCE_MS)
+            await self.clock.sleep(RESPONSE_TIMEOUT_MS)
             yield _failure(UpstreamErrorKind.UNRESPONSIVE)
             return
         assert request.attempt_id not in self.runs, "An attempt was sent twice."
-        tokens = tokens_of(request, salt=self.faults.salt)
+        tokens = answer_tokens(request, salt=self.faults.salt)
         self.runs[request.attempt_id] = Run(
             request=request, tokens=tokens, started=self.clock.now()
         )
@@ -125,11 +125,11 @@
 
     async def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
         """Follow an attempt."""
-        if self.faults.dead:
+        if self.faults.unreachable:
             yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if self.faults.frozen:
-            await self.clock.sleep(SILENCE_MS)
+            await self.clock.sleep(RESPONSE_TIMEOUT_MS)
             yield _failure(UpstreamErrorKind.UNRESPONSIVE)
             return
         if attempt not in self.runs:
@@ -144,16 +144,16 @@
         yield Success(())
         while offset < len(run.tokens):
             await self.clock.sleep(run.started + (offset + 1) * self.step_ms - self.clock.now())
-            if faults.die_at == offset:
-                faults.dead = True
-                faults.die_at = None
+            if faults.crash_at == offset:
+                faults.unreachable = True
+                faults.crash_at = None
                 self.runs.clear()
-            if faults.dead or faults.cut_at == offset:
+            if faults.unreachable or faults.cut_at == offset:
                 faults.cut_at = None
                 yield _failure(UpstreamErrorKind.BROKEN)
                 return
             if faults.frozen:
-                await self.clock.sleep(SILENCE_MS)
+                await self.clock.sleep(RESPONSE_TIMEOUT_MS)
                 yield _failure(UpstreamErrorKind.STALLED)
                 return
             if faults.error_at == offset:
@@ -178,7 +178,7 @@
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
         """Stop an attempt."""
-        if self.faults.dead:
+        if self.faults.unreachable:
             return _failure(UpstreamErrorKind.NOT_SENT)
         if self.faults.frozen:
             return _failure(UpstreamErrorKind.UNRESPONSIVE)
--- a/testing/_faulty_store.py
+++ b/testing/_faulty_store.py
@@ -1,4 +1,4 @@
-"""Store client that can be suspended, crash, or apply a write after its caller got an error."""
+"""Store client that can be frozen, crash, or apply a write after its caller got an error."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @final
 class FaultyStore:
-    """Wrapper of a ``FakeStore`` for a host that can be suspended.
+    """Wrapper of a ``FakeStore`` for a host that can be frozen.
 
-    A suspended host neither sends nor receives anything.
+    A frozen host neither sends nor receives anything.
 
     :param backend: Store contents, shared with other hosts.
     """
@@ -44,15 +44,15 @@
         self._running.set()
 
     def freeze(self) -> None:
-        """Suspend the host; without a later ``thaw`` this is a crash."""
+        """Freeze the host; without a later ``resume`` this is a crash."""
         self._running.clear()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the host."""
         self._running.set()
 
     async def wait_until_running(self) -> None:
-        """Wait while the host is suspended."""
+        """Wait while the host is frozen."""
         await self._running.wait()
 
     async def get(
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -211,12 +211,12 @@
             await asyncio.sleep(self.next_at - loop.time())
             self.next_at = None
         if self.closed:
-            raise ExchangeError(ExchangeFailure.LOST, "closed here")
+            raise ExchangeError(ExchangeFailure.LOST, "closed locally")
         if not self.chunks:
             return b""
         chunk = self.chunks.pop(0)
         if chunk is None:
-            raise ExchangeError(ExchangeFailure.LOST, "broke off")
+            raise ExchangeError(ExchangeFailure.LOST, "connection lost")
         return chunk
 
     async def read_all(self) -> bytes:
@@ -240,7 +240,7 @@
 
     reactions: dict[str, deque[Reaction]] = field(default_factory=dict)
     requests: list[UpstreamRequest] = field(default_factory=list)
-    hang: set[str] = field(default_factory=set)
+    hanging: set[str] = field(default_factory=set)
 
     def set(self, upstream: str, *reactions: Reaction) -> None:
         """Replace an upstream's reactions."""
@@ -250,7 +250,7 @@
         """React to a request."""
         self.requests.append(upstream_request)
         name = upstream_request.upstream.upstream
-        if name in self.hang:
+        if name in self.hanging:
             await asyncio.Event().wait()
         waiting = self.reactions.get(name)
         reaction = FakeResponse() if not waiting else waiting.popleft()
@@ -273,7 +273,7 @@
     """Runs for which every copy fails."""
     copies: list[tuple[str, str, str, bool]] = field(default_factory=list)
     dropped: list[tuple[str, str]] = field(default_factory=list)
-    takes_ms: int = 10
+    copy_duration_ms: int = 10
     on_stop: Callable[[str], None] | None = None
     leaves_in_ms: int | None = None
     staying: set[str] = field(default_factory=set)
@@ -285,7 +285,7 @@
     ) -> Result[RunCopy, CopyError]:
         """Copy a run."""
         self.copies.append((request, source.upstream, target.upstream, stop))
-        await asyncio.sleep(self.takes_ms / 1000)
+        await asyncio.sleep(self.copy_duration_ms / 1000)
         if request in self.refused:
             return Failure(copy_failure(CopyFailure.NO_ROOM))
         if self.failures:
@@ -448,7 +448,7 @@
 
     slack: float
     requests: int = 0
-    taken: int = 0
+    granted: int = 0
 
     def count_request(self, *, service: ServiceId) -> None:
         """Count a request."""
@@ -456,9 +456,9 @@
 
     async def may_repeat(self, *, service: ServiceId) -> bool:
         """Use a retry if one is left."""
-        if self.taken + 1 > self.slack + 0.2 * self.requests:
+        if self.granted + 1 > self.slack + 0.2 * self.requests:
             return False
-        self.taken += 1
+        self.granted += 1
         return True
 
 
@@ -485,31 +485,31 @@
 
 
 @dataclass(slots=True)
-class Bench:
+class GatewayFakes:
     """All fakes, and the components built on them."""
 
-    caller: FakeUpstreamClient
+    upstream_client: FakeUpstreamClient
     engines: FakeEngines
     upstreams: FakeUpstreams
     tables: FakeTables
     work: LocalWorkload
     parts: ForwardingParts
     permits: FakeWarmupPermits
-    alone: SingleHost
+    single_host: SingleHost
 
     def totals(self) -> dict[UpstreamId, EngineTotal]:
         """Return the load of the engines as it is counted for decisions."""
-        return self.alone.coordinator.ledger.totals()
+        return self.single_host.coordinator.ledger.totals()
 
 
-def make_bench(*entries: UpstreamEntry, slack: float = 100.0) -> Bench:
+def make_gateway_fakes(*entries: UpstreamEntry, slack: float = 100.0) -> GatewayFakes:
     """Return components built on fakes.
 
     :param entries: The upstreams.
     :param slack: Number of retries that are allowed regardless of the number of requests.
     """
     clock = Clock()
-    caller, engines = FakeUpstreamClient(), FakeEngines()
+    upstream_client, engines = FakeUpstreamClient(), FakeEngines()
     upstreams, tables = FakeUpstreams(entries=list(entries)), FakeTables()
     work = LocalWorkload(clock=clock)
     health = UpstreamHealth(service_of=lambda _: SERVICE, clock=clock)
@@ -523,7 +523,7 @@
         gate=upstreams,
         suspects=SuspectTracker(clock=clock),
         health=health,
-        upstream_client=caller,
+        upstream_client=upstream_client,
         engines=engines,
         work=work,
         retry_budget=FakeRetryBudget(slack=slack),
@@ -543,31 +543,31 @@
         clock=clock,
         rng=parts.rng,
     )
-    alone = make_single_host(context=decisions, engines=engines, work=work)
-    upstreams.on_leaving = alone.on_leaving
-    return Bench(
-        caller=caller,
+    single_host = make_single_host(context=decisions, engines=engines, work=work)
+    upstreams.on_leaving = single_host.on_leaving
+    return GatewayFakes(
+        upstream_client=upstream_client,
         engines=engines,
         upstreams=upstreams,
         tables=tables,
         work=work,
         parts=parts,
         permits=permits,
-        alone=alone,
+        single_host=single_host,
     )
 
 
-def make_stream_mover(bench: Bench) -> StreamMover:
+def make_stream_mover(fakes: GatewayFakes) -> StreamMover:
     """Return the mover of a host's streams, with that host as its own decider."""
     movers = StreamMover(
-        parts=bench.parts,
-        check_decider=bench.alone.client.check_decider,
-        ask_engine=bench.alone.coordinator.query_engine,
+        parts=fakes.parts,
+        check_decider=fakes.single_host.client.check_decider,
+        ask_engine=fakes.single_host.coordinator.query_engine,
     )
-    bench.alone.movers = movers
+    fakes.single_host.movers = movers
     return movers
 
 
 def copy_failure(failure: CopyFailure, *, retained_copy: str | None = None) -> CopyError:
     """Return a failed copy."""
-    return CopyError(failure=failure, detail="as told", retained_copy=retained_copy)
+    return CopyError(failure=failure, detail="Configured by the test.", retained_copy=retained_copy)
--- a/testing/_listed_upstreams.py
+++ b/testing/_listed_upstreams.py
@@ -33,7 +33,7 @@
 def decode_store_entry(key: str, value: bytes) -> Result[UpstreamEntry, str]:
     """Decode a store entry; the value ``bad`` is unreadable."""
     if value == b"bad":
-        return Failure("It can't be read; it is left out.")
+        return Failure("The entry is unreadable.")
     status, _, cold_ms = value.decode().partition(" ")
     state, _, started = status.partition("@")
     return Success(
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -233,7 +233,7 @@
     clock = Clock(virtual_epoch_ms=1_000_000, wall_offset_ms=wall_offset_ms)
     store = FakeStore(backend=backend)
     work = LocalWorkload(clock=clock)
-    made: list[Host] = []
+    created: list[Host] = []
     platform = Platform(
         store=store,
         upstreams=FakeUpstreamEdge(),  # type: ignore[arg-type]
@@ -265,14 +265,14 @@
         settings=settings,
         platform=platform,
         work=work,
-        execute_order=lambda order: made[0].carry_out(order),
-        is_leaving=lambda: made[0].is_leaving,
+        execute_order=lambda order: created[0].carry_out(order),
+        is_leaving=lambda: created[0].is_leaving,
         clock=clock,
         rng=Random(name),
         transport=MemoryTransport(network=network, address=name),
     )
     host = Host(name=name, network=network, store=store, work=work, control=control, clock=clock)
-    made.append(host)
+    created.append(host)
     control.mesh.messages.subscribe(host.count)
     return host
 
--- a/testing/_memory_links.py
+++ b/testing/_memory_links.py
@@ -30,7 +30,7 @@
         self._closed: CloseReason | None = None
 
     async def send(self, frame: bytes) -> None:
-        """Deliver a frame after the latency of the link; a frozen link holds it until the thaw."""
+        """Deliver a frame after the latency of the link; a frozen link holds it back."""
         if self._closed is not None:
             raise LinkClosedError(self._closed)
         self._deliver_later(frame)
@@ -46,7 +46,7 @@
         return item
 
     async def close(self, *, reason: CloseReason) -> None:
-        """Close the link; the other end of a frozen link is notified after the thaw."""
+        """Close the link; the other end of a frozen link is notified when it resumes."""
         if self._closed is None:
             self._closed = reason
             self._deliver_later(reason)
@@ -80,7 +80,7 @@
         """Return whether frames between two addresses are held back."""
         return frozenset((one, other)) in self.frozen
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Deliver all held frames at once and end the freeze."""
         self.frozen.clear()
         held, self.held = self.held, []
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -15,9 +15,9 @@
 from tanagerscale.forwarding._snapshots import Snapshot
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import UpstreamEntry
-from testing._gateway_fakes import Bench
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_stream_mover
@@ -41,13 +41,13 @@
     snapshot: Snapshot | None = None
     copy_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     resume_targets: list[ResumeTarget | None] = field(default_factory=list)
-    began: asyncio.Event = field(default_factory=asyncio.Event)
+    begun_event: asyncio.Event = field(default_factory=asyncio.Event)
     on_move: Callable[[FakeRun], None] | None = None
 
     async def wait_begun(self) -> None:
         """Wait for the first event."""
         if not self.begun:
-            await self.began.wait()
+            await self.begun_event.wait()
 
     def begin_stop(self) -> None:
         """Do nothing."""
@@ -66,16 +66,16 @@
     """Engines, the streams on them and their mover."""
 
     def __init__(self, *names: str) -> None:
-        self.bench: Bench = make_bench(*(make_entry(name) for name in names))
-        self.alone = self.bench.alone
-        self.coordinator = self.alone.coordinator
+        self.fakes: GatewayFakes = make_gateway_fakes(*(make_entry(name) for name in names))
+        self.single_host = self.fakes.single_host
+        self.coordinator = self.single_host.coordinator
         self.departures = self.coordinator.departures
-        self.movers = make_stream_mover(self.bench)
+        self.movers = make_stream_mover(self.fakes)
         self.runs = self.movers.runs
 
     def entry(self, name: str) -> UpstreamEntry:
         """Return an engine."""
-        entry = self.bench.upstreams.get(UpstreamId(name))
+        entry = self.fakes.upstreams.get(UpstreamId(name))
         assert entry is not None
         return entry
 
@@ -93,14 +93,14 @@
             made=made,
             begun=begun,
         )
-        run.on_move = self._count
-        self._count(run)
+        run.on_move = self._add_to_workload
+        self._add_to_workload(run)
         self.runs.add(run)  # type: ignore[arg-type]
         return run
 
-    def _count(self, run: FakeRun) -> None:
+    def _add_to_workload(self, run: FakeRun) -> None:
         assert run.entry is not None
-        work = self.bench.work
+        work = self.fakes.work
         work.begin(
             request=run.request,
             upstream=run.entry.upstream,
@@ -115,17 +115,17 @@
     def begin(self, run: FakeRun) -> None:
         """Record the first event of a stream."""
         run.begun = True
-        run.began.set()
-        self.bench.work.progress(request=run.request, tokens=run.tokens, made=run.made)
+        run.begun_event.set()
+        self.fakes.work.progress(request=run.request, tokens=run.tokens, made=run.made)
 
     def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
         run.snapshot = Snapshot(entry=self.entry(at), copy="c", taken=taken)
-        self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
+        self.fakes.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
 
     def fill(self, name: str, *, tokens: int) -> None:
         """Use memory of an engine for a generation that needs no copies."""
-        self.bench.work.begin(
+        self.fakes.work.begin(
             request=RequestId(f"filler of {name}"),
             upstream=UpstreamId(name),
             prompt_tokens=0,
@@ -135,10 +135,10 @@
 
     def disconnect_store(self) -> None:
         """Simulate an unavailable store, which reports no more leaving engines."""
-        self.bench.upstreams.is_current = False
+        self.fakes.upstreams.is_current = False
         self.coordinator.on_store_currency(False)
 
     def leave(self, name: str) -> None:
         """Mark an engine as leaving."""
-        self.bench.upstreams.leaving.add(name)
-        self.alone.on_leaving(UpstreamId(name))
+        self.fakes.upstreams.leaving.add(name)
+        self.single_host.on_leaving(UpstreamId(name))
--- a/testing/_ordered_engines.py
+++ b/testing/_ordered_engines.py
@@ -1,4 +1,4 @@
-"""Simulated engines, and controllers that can be suspended between any two steps."""
+"""Simulated engines, and controllers that can be frozen between any two steps."""
 
 from __future__ import annotations
 
@@ -111,9 +111,9 @@
 
 @final
 class OrderingHost:
-    """Host that runs a controller and sends nothing while it is suspended."""
+    """Host that runs a controller and sends nothing while it is frozen."""
 
-    def __init__(self, *, name: str, fleet: Fleet) -> None:
+    def __init__(self, *, name: str, fleet: EngineFleet) -> None:
         self.name = name
         self.store = FaultyStore(backend=fleet.backend)
         self.controller = FleetController(
@@ -133,9 +133,9 @@
 
 @final
 class HostEngineClient:
-    """Engine client of a host, which neither sends nor receives while the host is suspended."""
+    """Engine client of a host, which neither sends nor receives while the host is frozen."""
 
-    def __init__(self, *, host: OrderingHost, fleet: Fleet, name: str) -> None:
+    def __init__(self, *, host: OrderingHost, fleet: EngineFleet, name: str) -> None:
         self._host = host
         self._fleet = fleet
         self._engine = fleet.engines[name]
@@ -177,7 +177,7 @@
         return Success(engine.state())
 
     async def _wait_until_running_uncancelled(self) -> None:
-        """Wait while the host is suspended, even if cancelled: its timers would not run either."""
+        """Wait while the host is frozen, even if cancelled: its timers would not run either."""
         try:
             await self._host.store.wait_until_running()
         except asyncio.CancelledError:
@@ -205,7 +205,7 @@
 
 
 @final
-class Fleet:
+class EngineFleet:
     """Engines, their declarations and the shared store.
 
     :param fencing: Fencing mode of each engine, by its name.
--- a/testing/_routing_fakes.py
+++ b/testing/_routing_fakes.py
@@ -240,7 +240,7 @@
             loop.call_later(delay / 1000, self._deliver, source, target, message)
         return True
 
-    def thaw(self, host: str) -> None:
+    def resume(self, host: str) -> None:
         """Resume a frozen host and deliver all delayed messages at once."""
         self.frozen.discard(HostId(host))
         waiting, self.delayed = self.delayed, []
--- a/testing/_simulation.py
+++ b/testing/_simulation.py
@@ -78,9 +78,9 @@
 MAX_ANSWER_TOKENS = 40
 MEMORY_TOKENS = 60_000
 ACCOUNT = ClientAccountId("crew")
-POISON_PREFIX = "poison"
+CRASHING_PREFIX = "poison"
 """Prefix of prompts that crash the engine that runs them."""
-CRASH_AT = 10
+CRASH_AFTER_TOKENS = 10
 """Number of generated tokens after which such a prompt crashes its engine."""
 
 
@@ -112,13 +112,13 @@
         self.max_batch = max_batch
         self._slots = asyncio.Semaphore(max_batch)
         self._runs: dict[str, _Run] = {}
-        self.dead = False
+        self.crashed = False
         self.starts: Counter[str] = Counter()
         """Number of times that each prompt was started."""
 
     def crash(self) -> None:
         """Crash and lose all attempts."""
-        self.dead = True
+        self.crashed = True
         for run in self._runs.values():
             run.lost = True
             assert run.task is not None
@@ -129,11 +129,11 @@
 
     def restart(self) -> None:
         """Restart without any attempt."""
-        self.dead = False
+        self.crashed = False
 
     async def generate(self, *, request: EngineRequest) -> TokenBatches:
         """Start an attempt."""
-        if self.dead:
+        if self.crashed:
             yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         length = random.Random(request.prompt).randint(MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
@@ -146,7 +146,7 @@
 
     async def resume(self, *, attempt: AttemptId, offset: int) -> TokenBatches:
         """Follow an attempt."""
-        if self.dead:
+        if self.crashed:
             yield _failure(UpstreamErrorKind.NOT_SENT)
             return
         if attempt not in self._runs:
@@ -164,7 +164,9 @@
                 await self._clock.sleep(step * STEP_MS)
                 run.generated += step
                 run.notify()
-                if run.generated >= CRASH_AT and run.request.prompt.startswith(POISON_PREFIX):
+                if run.generated >= CRASH_AFTER_TOKENS and run.request.prompt.startswith(
+                    CRASHING_PREFIX
+                ):
                     asyncio.get_running_loop().call_soon(self.crash)
                     return
 
@@ -193,7 +195,7 @@
 
     async def cancel(self, *, attempt: AttemptId) -> Result[None, UpstreamError]:
         """Stop an attempt."""
-        if self.dead:
+        if self.crashed:
             return _failure(UpstreamErrorKind.NOT_SENT)
         run = self._runs.pop(attempt, None)
         if run is not None and run.task is not None:
@@ -202,7 +204,7 @@
 
     async def load(self) -> Result[LoadReport, UpstreamError]:
         """Return the load, or a failure if the engine has crashed."""
-        if self.dead:
+        if self.crashed:
             return _failure(UpstreamErrorKind.NOT_SENT)
         runs = len(self._runs)
         return Success(
--- a/testing/_single_host.py
+++ b/testing/_single_host.py
@@ -75,10 +75,10 @@
     :param engines: Source of engine status reports.
     :param work: Runs of the host.
     """
-    made: list[SingleHost] = []
+    created: list[SingleHost] = []
 
     def deliver(host: HostId, message: Message) -> bool:
-        return made[0].deliver(host, message)
+        return created[0].deliver(host, message)
 
     repeats = SharedRetryBudgets(
         ratio=0.2,
@@ -104,6 +104,6 @@
         incarnation=1,
         clock=context.clock,
     )
-    made.append(SingleHost(work=work, coordinator=coordinator, client=client))
+    created.append(SingleHost(work=work, coordinator=coordinator, client=client))
     work.changes.subscribe(lambda _: client.schedule_report())
-    return made[0]
+    return created[0]
--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -23,7 +23,7 @@
 Client = TestClient[web.Request, web.Application]
 ClientOf = Callable[[web.Application], Awaitable[Client]]
 StartCluster = Callable[[ClusterPlan], Awaitable[Cluster]]
-StartServing = Callable[[ClusterPlan], Awaitable[Cluster]]
+StartReadyCluster = Callable[[ClusterPlan], Awaitable[Cluster]]
 
 READY_POLL_INTERVAL_S = 0.05
 
@@ -77,9 +77,9 @@
 
 
 @pytest_asyncio.fixture
-async def start_serving(
+async def start_ready_cluster(
     start_cluster: StartCluster, session: aiohttp.ClientSession
-) -> StartServing:
+) -> StartReadyCluster:
     """Starts clusters, applies their declarations and waits until all hosts are ready."""
 
     async def start(plan: ClusterPlan) -> Cluster:
--- a/testing/test_accounts.py
+++ b/testing/test_accounts.py
@@ -17,7 +17,7 @@
 CREWS = ClientAccountId("crews")
 
 
-def _checker(*accounts: tuple[str, str]) -> KeyChecker:
+def _make_checker(*accounts: tuple[str, str]) -> KeyChecker:
     checker = KeyChecker()
     checker.set_accounts(
         accounts={
@@ -43,7 +43,7 @@
 
 async def test_key_authenticates_only_its_own_account() -> None:
     crews, chiefs = generate_key(account="crews"), generate_key(account="chiefs.east")
-    checker = _checker(("crews", crews.key_hash), ("chiefs.east", chiefs.key_hash))
+    checker = _make_checker(("crews", crews.key_hash), ("chiefs.east", chiefs.key_hash))
     assert await checker.check(bearer=crews.key) == "crews"
     assert await checker.check(bearer=chiefs.key) == "chiefs.east"
     stolen = "crews." + chiefs.key.rpartition(".")[2]
@@ -52,18 +52,18 @@
 
 
 async def test_hash_is_computed_once_when_a_key_is_reused(hashed_keys: list[str]) -> None:
-    made = generate_key(account="crews")
-    checker = _checker(("crews", made.key_hash))
-    results = await asyncio.gather(*(checker.check(bearer=made.key) for _ in range(5)))
+    generated = generate_key(account="crews")
+    checker = _make_checker(("crews", generated.key_hash))
+    results = await asyncio.gather(*(checker.check(bearer=generated.key) for _ in range(5)))
     wrong = [await checker.check(bearer="crews.wrong") for _ in range(3)]
     assert results == ["crews"] * 5
     assert wrong == [None] * 3
-    assert hashed_keys == [made.key, "crews.wrong"]
+    assert hashed_keys == [generated.key, "crews.wrong"]
 
 
 async def test_old_key_is_refused_immediately_after_its_hash_is_replaced() -> None:
     old, new = generate_key(account="crews"), generate_key(account="crews")
-    checker = _checker(("crews", old.key_hash))
+    checker = _make_checker(("crews", old.key_hash))
     assert await checker.check(bearer=old.key) == CREWS
     assert await checker.check(bearer=new.key) is None
     checker.set_accounts(accounts={CREWS: ClientAccount(name="crews", key_hash=new.key_hash)})
@@ -78,7 +78,7 @@
 ) -> None:
     monkeypatch.setattr(checker_module, "MAX_CACHED_REJECTIONS", 3)
     monkeypatch.setattr(checker_module, "verify_key", lambda *, key, key_hash: False)
-    checker = _checker(("crews", "any"))
+    checker = _make_checker(("crews", "any"))
     for number in range(10):
         await checker.check(bearer=f"crews.{number}")
     assert len(checker._rejected) == 3
@@ -86,7 +86,7 @@
 
 
 def test_hash_is_refused_when_it_is_a_key_or_too_costly() -> None:
-    made = generate_key(account="crews")
-    assert check_hash(key_hash=made.key_hash) == ""
-    assert check_hash(key_hash=made.key)
-    assert check_hash(key_hash=made.key_hash.replace("m=8192", "m=9999999"))
+    generated = generate_key(account="crews")
+    assert check_hash(key_hash=generated.key_hash) == ""
+    assert check_hash(key_hash=generated.key)
+    assert check_hash(key_hash=generated.key_hash.replace("m=8192", "m=9999999"))
--- a/testing/test_cancel.py
+++ b/testing/test_cancel.py
@@ -19,7 +19,7 @@
 
 
 def _is_cancelled_after(steps: Callable[[Canceller], Awaitable[None]]) -> bool:
-    async def run() -> bool:
+    async def scenario() -> bool:
         clock = Clock()
         engine = FakeEngine(clock=clock)
         request = EngineRequest(attempt_id=ATTEMPT, model="m", prompt="p", max_tokens=5)
@@ -30,17 +30,17 @@
         await clock.sleep(4 * RECONNECT_MS)
         return engine.runs[ATTEMPT].cancelled
 
-    return run_virtually(run())
+    return run_virtually(scenario())
 
 
-def test_attempt_is_cancelled_when_its_caller_does_not_return() -> None:
+def test_attempt_is_cancelled_when_its_caller_does_not_reconnect() -> None:
     async def steps(canceller: Canceller) -> None:
         canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
 
     assert _is_cancelled_after(steps)
 
 
-def test_attempt_continues_when_its_caller_returns_in_time() -> None:
+def test_attempt_continues_when_its_caller_reconnects_in_time() -> None:
     async def steps(canceller: Canceller) -> None:
         canceller.cancel(attempt=ATTEMPT, engine=ENGINE, after_ms=RECONNECT_MS)
         canceller.on_caller_returned(attempt=ATTEMPT)
@@ -56,7 +56,7 @@
     assert not _is_cancelled_after(steps)
 
 
-def test_attempt_is_cancelled_when_its_caller_returned_and_left_again() -> None:
+def test_attempt_is_cancelled_when_its_caller_reconnected_and_disconnected_again() -> None:
     async def steps(canceller: Canceller) -> None:
         canceller.on_caller_moved(attempt=ATTEMPT)
         canceller.on_caller_returned(attempt=ATTEMPT)
--- a/testing/test_claims.py
+++ b/testing/test_claims.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("point", list(CrashPoint))
-async def test_outcome_is_unknown_and_nothing_runs_again_when_the_claiming_host_died(
+async def test_outcome_is_unknown_and_nothing_runs_again_when_the_claiming_host_crashed(
     cluster: BookingCluster, point: CrashPoint
 ) -> None:
     first, second = cluster.start("a"), cluster.start("b")
@@ -192,23 +192,23 @@
     assert cluster.service.executions[BOOKING] == 1
 
 
-@pytest.mark.parametrize("suspended_while", ["claiming", "claimed"])
+@pytest.mark.parametrize("frozen_while", ["claiming", "claimed"])
 async def test_expired_claim_is_not_dispatched_when_its_host_resumes_after_every_timeout(
-    cluster: BookingCluster, suspended_while: str
+    cluster: BookingCluster, frozen_while: str
 ) -> None:
     first, second = cluster.start("a"), cluster.start("b")
     await first.book("warm-up")
     abandoned = asyncio.create_task(first.book(BOOKING))
-    # The commit takes 2 ms, so a wait of 1 ms suspends the host during it. Nothing is awaited
-    # between the grant and the crash point, so the crash point suspends the host after the grant.
-    await asyncio.sleep(0.001 if suspended_while == "claiming" else 0)
-    if suspended_while == "claimed":
+    # The commit takes 2 ms, so a wait of 1 ms freezes the host during it. Nothing is awaited
+    # between the grant and the crash point, so the crash point freezes the host after the grant.
+    await asyncio.sleep(0.001 if frozen_while == "claiming" else 0)
+    if frozen_while == "claimed":
         first.crash_point = CrashPoint.CLAIMED
         await asyncio.sleep(1)
     first.store.freeze()
     await asyncio.sleep(LONGER_THAN_ANY_LEASE_S)
     assert await second.book(BOOKING) is CallResult.ANSWER
-    first.store.thaw()
+    first.store.resume()
     assert await abandoned is CallResult.NOT_EXECUTED
     assert cluster.service.executions[BOOKING] == 1
 
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("disconnects_after_s", [0, 0.001, 0.01])
-async def test_repeat_runs_when_the_caller_left_during_its_claim(
+async def test_repeat_runs_when_the_caller_disconnected_during_its_claim(
     cluster: BookingCluster, disconnects_after_s: float
 ) -> None:
     first, second = cluster.start("a"), cluster.start("b")
--- a/testing/test_claims_machine.py
+++ b/testing/test_claims_machine.py
@@ -85,14 +85,14 @@
 
     @rule(host=hosts)
     def freeze(self, host: str) -> None:
-        """Suspend a host."""
+        """Freeze a host."""
         self.hosts_by_name[host].store.freeze()
 
     @rule(host=hosts)
-    def thaw(self, host: str) -> None:
-        """Resume a suspended host, unless it has crashed."""
+    def resume(self, host: str) -> None:
+        """Resume a frozen host, unless it has crashed."""
         if not self.hosts_by_name[host].crashed:
-            self.hosts_by_name[host].store.thaw()
+            self.hosts_by_name[host].store.resume()
 
     @rule(host=hosts, down=st.booleans())
     def set_store_down(self, host: str, down: bool) -> None:
@@ -144,7 +144,7 @@
             host.store.fake.down = False
             host.store.fake.lose_replies = 0
             if not host.crashed:
-                host.store.thaw()
+                host.store.resume()
         self.cluster.service.refuses_calls = False
         self.cluster.service.delay_ms = 0
         self._run(RECOVERY_S * 1000)
--- a/testing/test_cli.py
+++ b/testing/test_cli.py
@@ -197,7 +197,7 @@
 HEAD = Head(revision=2, digest="d", chunks=["c"], author="a", apply_id="i", applied_wall_ms=0)
 
 
-async def _wait(*servers: TestServer, timeout_ms: int) -> list[str]:
+async def _wait_until_in_force(*servers: TestServer, timeout_ms: int) -> list[str]:
     return await wait_until_in_force(
         head=HEAD,
         hosts=tuple(_address_of(server) for server in servers),
@@ -214,7 +214,7 @@
     second = await _start_server(
         status=_make_status_handler(host="h2", revisions=[1, 1, 2], live_hosts=["h2"])
     )
-    assert await _wait(first, second, timeout_ms=60_000) == ["h1", "h2"]
+    assert await _wait_until_in_force(first, second, timeout_ms=60_000) == ["h1", "h2"]
     await first.close()
     await second.close()
 
@@ -224,17 +224,17 @@
         status=_make_status_handler(host="h1", revisions=[1], live_hosts=["h1"])
     )
     with pytest.raises(CommandError) as timed_out:
-        await _wait(behind, timeout_ms=0)
+        await _wait_until_in_force(behind, timeout_ms=0)
     assert timed_out.value.code is ExitCode.NOT_IN_FORCE
     assert "host h1 has revision 1" in timed_out.value.details[0]
-    alone = await _start_server(
+    single = await _start_server(
         status=_make_status_handler(host="h1", revisions=[2], live_hosts=["h1", "h2"])
     )
     with pytest.raises(CommandError) as incomplete:
-        await _wait(alone, timeout_ms=0)
+        await _wait_until_in_force(single, timeout_ms=0)
     assert incomplete.value.details == ("host h2 was not asked",)
     await behind.close()
-    await alone.close()
+    await single.close()
 
 
 def _encode_events(*parts: tuple[str, str], end: bool) -> bytes:
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -28,13 +28,15 @@
 """Bound on the round trip of an ask and its answer, including concurrent store calls."""
 
 
-def _run(scenario: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = HOSTS) -> Any:
-    async def main() -> Any:
+def _run_with_fleet(
+    scenario: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = HOSTS
+) -> Any:
+    async def run() -> Any:
         fleet = Fleet()
         await fleet.start(count=hosts, domains=DOMAINS)
         return await scenario(fleet)
 
-    return run_virtually(main())
+    return run_virtually(run())
 
 
 async def _ask_timed(
@@ -52,7 +54,7 @@
         assert answer.kind is PlaceKind.SEND
         assert took_ms <= ROUND_TRIP_MS
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 @pytest.mark.parametrize("frozen", [1, 2, 3])
@@ -67,7 +69,7 @@
         _, took_ms = await _ask_timed(fleet.members[0], "s")
         assert took_ms <= ROUND_TRIP_MS
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_host_decides_for_itself_when_it_is_isolated() -> None:
@@ -79,7 +81,7 @@
         assert took_ms <= 4 * DECIDER_TIMEOUT_MS + ROUND_TRIP_MS
         assert host.decider == host.name
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_queued_generation_moves_to_the_next_decider_when_the_first_fails() -> None:
@@ -98,7 +100,7 @@
         fleet.set_engine("e2")
         assert (await waiting).upstream == "e2"
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_cancelled_generation_is_removed_from_all_queues() -> None:
@@ -113,43 +115,43 @@
         assert [host.control.coordinator.queue.waiting for host in fleet.hosts] == [0] * HOSTS
         assert fleet.members[0].control.client.pending_placements == 0
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
-def test_late_answer_of_a_thawed_decider_reserves_no_memory() -> None:
+def test_late_answer_of_a_resumed_decider_reserves_no_memory() -> None:
     async def scenario(fleet: Fleet) -> None:
         first = fleet.coordinators[0]
         fleet.freeze(first)
         host = fleet.members[0]
         await host.ask("r")
         await asyncio.sleep(0.3)
-        fleet.network.thaw()
+        fleet.network.resume()
         first.store.set_down(False)
         await asyncio.sleep(2)
         # The ask reached the first decider late, and was withdrawn.
-        for one in fleet.coordinators:
-            assert sum(one.total(engine).waiting for engine in ("e0", "e1")) == 1
+        for coordinator in fleet.coordinators:
+            assert sum(coordinator.total(engine).waiting for engine in ("e0", "e1")) == 1
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_two_concurrent_deciders_count_the_placements_of_each_other() -> None:
     async def scenario(fleet: Fleet) -> None:
         first, second = fleet.coordinators[:2]
-        one, other = fleet.members[:2]
+        cut_off, connected = fleet.members[:2]
         # Only one of the two hosts can't reach the first decider.
-        fleet.network.frozen.add(frozenset((one.name, first.name)))
+        fleet.network.frozen.add(frozenset((cut_off.name, first.name)))
         await asyncio.sleep(3)
-        assert (one.decider, other.decider) == (second.name, first.name)
-        given = []
+        assert (cut_off.decider, connected.decider) == (second.name, first.name)
+        assigned = []
         for number in range(6):
-            host = (one, other)[number % 2]
-            given.append((await host.ask(f"r{number}", prompt=10_000, left_ms=50)).upstream)
+            host = (cut_off, connected)[number % 2]
+            assigned.append((await host.ask(f"r{number}", prompt=10_000, left_ms=50)).upstream)
             await asyncio.sleep(0.1)
         # Each of the two engines has memory for three generations of 10,000 tokens.
-        assert sorted(given) == ["e0"] * 3 + ["e1"] * 3
+        assert sorted(assigned) == ["e0"] * 3 + ["e1"] * 3
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_next_decider_moves_a_run_off_a_leaving_engine_when_the_first_is_frozen() -> None:
@@ -166,7 +168,7 @@
         await asyncio.sleep(0.5)
         assert [order.target for order in host.orders] == ["e1"]
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_host_may_retry_when_its_share_of_the_retry_budget_is_less_than_one() -> None:
@@ -178,7 +180,7 @@
         await asyncio.sleep(3)
         assert await fleet.members[0].control.client.may_repeat(service=SERVICE)
 
-    _run(scenario, hosts=48)
+    _run_with_fleet(scenario, hosts=48)
 
 
 def test_coordinators_are_replaced_when_all_are_killed_together() -> None:
@@ -194,7 +196,7 @@
         await asyncio.sleep(0.2)
         assert {host.control.roster.known_count for host in fleet.hosts} == {3}
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_leaving_upstream_is_detected_while_all_coordinators_are_unreachable() -> None:
@@ -208,7 +210,7 @@
         remaining = [host for host in fleet.hosts if host not in unreachable]
         assert all(host.control.gate.is_leaving(UpstreamId("e0")) for host in remaining)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_leaving_upstream_is_detected_when_the_feed_source_is_frozen() -> None:
@@ -222,22 +224,22 @@
         assert member.control.gate.is_leaving(UpstreamId("e0"))
         assert member.control.roster.known_count == 3
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_coordinator_without_the_store_follows_another_coordinator() -> None:
     async def scenario(fleet: Fleet) -> None:
-        cut = fleet.coordinators[1]
-        cut.store.set_down(True)
+        disconnected = fleet.coordinators[1]
+        disconnected.store.set_down(True)
         await asyncio.sleep(2)
         fleet.set_engine("new")
         fleet.write("op/config", "5")
         await asyncio.sleep(1)
-        assert cut.control.roster.known_count == 3
-        assert cut.control.roster.is_current
+        assert disconnected.control.roster.known_count == 3
+        assert disconnected.control.roster.is_current
         assert {host.control.configuration.head_revision for host in fleet.hosts} == {5}
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_members_follow_the_store_when_it_rejects_all_coordinators() -> None:
@@ -250,7 +252,7 @@
         assert all(host.control.roster.known_count == 3 for host in fleet.members)
         assert all(host.control.roster.is_current for host in fleet.members)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_members_make_few_store_calls_while_the_store_is_down_for_all() -> None:
@@ -266,7 +268,7 @@
         asked = sum(calls.stale_reads for calls in members) - asked_before
         assert asked <= 10 * len(members) * MS_PER_SECOND / PROBE_INTERVAL_MS * 1.5
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_isolated_host_follows_the_store() -> None:
@@ -279,7 +281,7 @@
         await asyncio.sleep(0.2)
         assert host.control.roster.known_count == 3
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_no_host_considers_the_store_current_when_it_is_down_for_all() -> None:
@@ -293,7 +295,7 @@
         await asyncio.sleep(5)
         assert all(host.control.roster.is_current for host in fleet.hosts)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_host_started_while_the_store_is_down_gets_its_state_from_seeds() -> None:
@@ -308,4 +310,4 @@
         assert host.control.roster.known_count == 2
         assert host.decider == fleet.coordinators[0].name
 
-    _run(scenario)
+    _run_with_fleet(scenario)
--- a/testing/test_declarations_follow.py
+++ b/testing/test_declarations_follow.py
@@ -108,16 +108,18 @@
 
 async def test_peers_forward_a_revision_when_the_store_fails_after_the_apply() -> None:
     store = FakeStore()
-    reached = FakeStore(backend=store.backend)
-    cut_off = FakeStore(backend=store.backend)
-    connected, disconnected = make_follower(store=reached), make_follower(store=cut_off)
+    connected_store = FakeStore(backend=store.backend)
+    disconnected_store = FakeStore(backend=store.backend)
+    connected, disconnected = make_follower(store=connected_store), make_follower(
+        store=disconnected_store
+    )
     async with _running(connected, disconnected):
         await apply(store=store, declarations=make_declarations())
         await asyncio.sleep(0.1)
-        cut_off.set_down(True)
+        disconnected_store.set_down(True)
         await apply(store=store, declarations=make_declarations(engines=2), expected_revision=1)
         await asyncio.sleep(0.1)
-        reached.set_down(True)
+        connected_store.set_down(True)
         assert (connected.head_revision, disconnected.head_revision) == (2, 1)
         await _send_content(source=connected, target=disconnected)
         assert disconnected.head_revision == 2
@@ -156,7 +158,7 @@
         await apply(store=store, declarations=make_declarations(engines=2), expected_revision=1)
         await apply(store=store, declarations=make_declarations(engines=3), expected_revision=2)
         [chunk] = [key for key in store.backend.entries if "/chunks/" in key]
-        sound = store.backend.entries[chunk]
+        intact = store.backend.entries[chunk]
         _damage(store=store, key=chunk, damage=damage)
         host.set_down(False)
         await asyncio.sleep(POLL_WAIT_S)
@@ -166,7 +168,7 @@
             FollowErrorKind.CHUNK_MISSING if damage == "missing" else FollowErrorKind.CHUNK_CORRUPT
         )
         assert follower.last_error.kind is expected
-        store.backend.entries[chunk] = sound
+        store.backend.entries[chunk] = intact
         await asyncio.sleep(POLL_WAIT_S)
         assert follower.head_revision == 3
         assert follower.last_error is None
@@ -325,11 +327,11 @@
         store = FakeStore()
         follower = make_follower(store=store)
         await apply(store=store, declarations=make_declarations())
-        good = store.backend.entries[HEAD].value
+        valid_head = store.backend.entries[HEAD].value
         chunk = next(key for key in store.backend.entries if "/chunks/" in key)
         digest = chunk.rpartition("/")[2]
-        sound = {digest: store.backend.entries[chunk].value.decode()}
-        assert (await follower.offer_from_peer(head=good, chunks=sound)).unwrap() == 1
+        intact = {digest: store.backend.entries[chunk].value.decode()}
+        assert (await follower.offer_from_peer(head=valid_head, chunks=intact)).unwrap() == 1
         await follower.offer_from_peer(head=head, chunks=chunks)
         assert follower.head_revision == 1
         assert follower.declarations.chunked.sections() == encode_sections(
--- a/testing/test_declarations_publish.py
+++ b/testing/test_declarations_publish.py
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("call", range(1, 3))
 async def test_set_is_accepted_once_when_a_message_is_lost(lost: str, call: int) -> None:
     store = FakeStore()
-    faulty = _LoseNth(store=store, call=call, lost=lost)
+    faulty = _NthWriteFault(store=store, call=call, lost=lost)
     head = (await apply(store=faulty.store, declarations=make_declarations())).unwrap()
     assert head.revision == 1
     assert (await _accepted_set(store))[0] == 1
@@ -99,7 +99,7 @@
     assert [record.apply_id for record in audit.unwrap()] == [head.apply_id]
 
 
-class _LoseNth:
+class _NthWriteFault:
     """Wraps a store and loses the request or reply of its nth write, counted from 1."""
 
     def __init__(self, *, store: FakeStore, call: int, lost: str) -> None:
--- a/testing/test_delivery_processes.py
+++ b/testing/test_delivery_processes.py
@@ -17,7 +17,7 @@
 from testing._callers import expected_text
 from testing._callers import resume
 from testing._callers import wait_until
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
 CALLERS_PER_HOST = 3
 
@@ -60,9 +60,9 @@
 
 
 async def test_responses_are_complete_when_a_frozen_link_delivers_old_tokens_late(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=1, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=1, services=0))
     async with TcpRelay(target=cluster.engines["engine-1"].address) as relay:
         engines = [
             (
@@ -81,7 +81,7 @@
         lost_runs = len(cluster.executions(["engine-1"]))
         assert lost_runs
         before = len(cluster.executions(["engine-2"]))
-        # The link thaws once the other engine has started to generate the lost responses again.
+        # The link resumes once the other engine has started to generate the lost responses again.
         await wait_until(
             lambda: len(cluster.executions(["engine-2"])) >= before + lost_runs
             or any(answer.error for answer in group.answers)
@@ -92,9 +92,9 @@
 
 
 async def test_responses_are_complete_when_an_engine_freezes_while_the_store_is_down(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=2, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=2, services=0))
     groups = [
         CallerGroup(cluster=cluster, session=session, host=host, tokens=150)
         for host in cluster.hosts
@@ -110,9 +110,9 @@
 
 
 async def test_responses_are_complete_when_a_host_crashes_during_the_shutdown_of_another(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, services=0))
     stopping = CallerGroup(cluster=cluster, session=session, host="host-1", tokens=150)
     crashing = CallerGroup(cluster=cluster, session=session, host="host-2", tokens=150)
     await stopping.wait_for_first_tokens()
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -77,7 +77,7 @@
     canceller: Canceller
 
 
-def _declarations() -> Declarations:
+def _make_declarations() -> Declarations:
     declared = DeclarationSet(
         objective=Objective(),
         models=[
@@ -105,7 +105,7 @@
     """Run the real entry, dispatch and delivery with a fake engine."""
     clock = Clock()
     rng = random.Random(1)
-    declarations = _declarations()
+    declarations = _make_declarations()
     engine = FakeEngine(clock=clock)
     canceller = Canceller(client_of=lambda _engine: engine, clock=clock)
     gate = UpstreamGate(clock=clock, rng=rng, broadcast=lambda _message: None)
@@ -141,7 +141,7 @@
                     notify_attached=lambda _host, _attempt: None,
                 )
             ),
-            services=_services(clock, rng, gate, session),
+            services=_make_services(clock, rng, gate, session),
             declarations=lambda: declarations,
             status=lambda: status,
             usage=lambda: b"{}",
@@ -154,7 +154,7 @@
         yield Host(client=client, engine=engine, canceller=canceller)
 
 
-def _services(
+def _make_services(
     clock: Clock, rng: random.Random, gate: UpstreamGate, session: aiohttp.ClientSession
 ) -> ServiceDispatch:
     claims = Claims(
@@ -214,9 +214,9 @@
     body = {**BODY, "model": "whole-planner"}
     async with host.client.post("/v1/completions", json=body, headers=KEYS["north"]) as response:
         text = (await response.read()).decode()
-    datas = [line for line in text.split("\n") if line.startswith("data: ")]
-    assert len(datas) == 3
-    assert datas[-1] == "data: [DONE]"
+    data_lines = [line for line in text.split("\n") if line.startswith("data: ")]
+    assert len(data_lines) == 3
+    assert data_lines[-1] == "data: [DONE]"
 
 
 async def test_chat_request_gets_a_chat_completion(host: Host) -> None:
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -32,8 +32,8 @@
 from tanagerscale.store import WatchBatch
 from testing._gateway_fakes import SERVICE
 from testing._gateway_fakes import FakeResponder
-from testing._gateway_fakes import make_bench
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import route_request
@@ -163,25 +163,27 @@
     return run_virtually(run())
 
 
-def _open_engines(host: Host) -> set[str]:
+def _get_open_engines(host: Host) -> set[str]:
     """Return the engines that a host considers open."""
     return {entry.upstream for entry in host.control.roster.open_for(SERVICE)}
 
 
-def _all_open(fleet: Fleet) -> set[str]:
-    return set().union(*(_open_engines(host) for host in fleet.hosts))
+def _get_all_open_engines(fleet: Fleet) -> set[str]:
+    return set().union(*(_get_open_engines(host) for host in fleet.hosts))
 
 
 def test_all_hosts_apply_an_evacuation_at_once() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(fleet.hosts)
+        assert [_get_open_engines(host) for host in fleet.hosts] == [{"e0", "e2"}] * len(
+            fleet.hosts
+        )
         answers = [await host.ask(f"r{number}") for number, host in enumerate(fleet.hosts)]
         assert {answer.upstream for answer in answers} == {"e0", "e2"}
         fleet.end_evacuation("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(
+        assert [_get_open_engines(host) for host in fleet.hosts] == [{"e0", "e1", "e2"}] * len(
             fleet.hosts
         )
 
@@ -195,7 +197,7 @@
             await asyncio.sleep(0.01)
             fleet.end_evacuation("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        assert _all_open(fleet) == {"e0", "e1", "e2"}
+        assert _get_all_open_engines(fleet) == {"e0", "e1", "e2"}
         for _ in range(20):
             (
                 fleet.end_evacuation("domain-1")
@@ -204,7 +206,7 @@
             )
             fleet.evacuate("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        assert _all_open(fleet) == {"e0", "e2"}
+        assert _get_all_open_engines(fleet) == {"e0", "e2"}
 
     _run_with_fleet(scenario)
 
@@ -214,7 +216,7 @@
         fleet.evacuate("domain-0")
         fleet.evacuate("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        assert _all_open(fleet) == {"e2"}
+        assert _get_all_open_engines(fleet) == {"e2"}
 
     _run_with_fleet(scenario)
 
@@ -240,11 +242,11 @@
         for host in fleet.hosts:
             host.store.set_down(True)
         await asyncio.sleep(10)
-        assert _all_open(fleet) == {"e0", "e2"}
+        assert _get_all_open_engines(fleet) == {"e0", "e2"}
         for host in fleet.coordinators:
             await fleet.kill(host)
         await asyncio.sleep(MAX_PROPAGATION_S)
-        assert _all_open(fleet) == {"e0", "e2"}
+        assert _get_all_open_engines(fleet) == {"e0", "e2"}
 
     _run_with_fleet(scenario)
 
@@ -253,16 +255,19 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.evacuate("domain-1")
         await asyncio.sleep(PROPAGATION_S)
-        for is_away in (False, True):
+        for is_store_down in (False, True):
             host = make_host(
-                fleet.network, fleet.backend, f"late-{is_away}", seeds=(fleet.members[0].name,)
+                fleet.network,
+                fleet.backend,
+                f"late-{is_store_down}",
+                seeds=(fleet.members[0].name,),
             )
-            host.store.set_down(is_away)
+            host.store.set_down(is_store_down)
             await host.control.start()
             for _ in range(400):
                 await asyncio.sleep(0.01)
-                assert "e1" not in _open_engines(host)
-            assert _open_engines(host) == {"e0", "e2"}
+                assert "e1" not in _get_open_engines(host)
+            assert _get_open_engines(host) == {"e0", "e2"}
             assert host.control.evacuations.has_read
 
     _run_with_fleet(scenario)
@@ -275,7 +280,7 @@
             fleet.set_engine(f"e{domain}", domain=f"domain-{domain}")
         fleet.evacuate("domain-2")
         await fleet.start(count=9, domains=3, engines=0)
-        assert [_open_engines(host) for host in fleet.hosts] == [{"e0", "e1"}] * 9
+        assert [_get_open_engines(host) for host in fleet.hosts] == [{"e0", "e1"}] * 9
 
     run_virtually(scenario())
 
@@ -289,7 +294,7 @@
         fleet.evacuate("domain-1")
         await asyncio.sleep(MAX_PROPAGATION_S)
         remaining = [host for host in fleet.hosts if host not in frozen_hosts]
-        assert [_open_engines(host) for host in remaining] == [{"e0", "e2"}] * len(remaining)
+        assert [_get_open_engines(host) for host in remaining] == [{"e0", "e2"}] * len(remaining)
 
     _run_with_fleet(scenario)
 
@@ -301,7 +306,7 @@
         fleet.freeze(next(host for host in fleet.hosts if host.name == source))
         fleet.evacuate("domain-1")
         await asyncio.sleep(MAX_PROPAGATION_S / 2)
-        assert _open_engines(member) == {"e0", "e2"}
+        assert _get_open_engines(member) == {"e0", "e2"}
 
     _run_with_fleet(scenario)
 
@@ -315,11 +320,11 @@
         fleet.end_evacuation("domain-1")
         fleet.evacuate("domain-0")
         await asyncio.sleep(3)
-        assert _open_engines(isolated) == {"e0", "e2"}
-        fleet.network.thaw()
+        assert _get_open_engines(isolated) == {"e0", "e2"}
+        fleet.network.resume()
         isolated.store.set_down(False)
         await asyncio.sleep(MAX_PROPAGATION_S)
-        assert _open_engines(isolated) == {"e1", "e2"}
+        assert _get_open_engines(isolated) == {"e1", "e2"}
 
     _run_with_fleet(scenario)
 
@@ -343,7 +348,7 @@
 
 
 class _OutdatedPlacer:
-    """Places generations like a decider that does not know of an evacuation."""
+    """Places generations like a decider that has not received an evacuation."""
 
     def __init__(self, *engines: str) -> None:
         self._engines = list(engines)
@@ -358,15 +363,15 @@
 
 def test_host_skips_an_evacuated_engine_when_an_outdated_decider_chooses_it() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x", domain="a"), make_entry("y", domain="b"))
-        bench.upstreams.evacuated.add("a")
-        admission = Admission(parts=bench.parts, placer=_OutdatedPlacer("x", "y"))
+        fakes = make_gateway_fakes(make_entry("x", domain="a"), make_entry("y", domain="b"))
+        fakes.upstreams.evacuated.add("a")
+        admission = Admission(parts=fakes.parts, placer=_OutdatedPlacer("x", "y"))
         routed = route_request(
             make_request(prompt=1000), make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
         )
         found = await admission.find_engine(routed=routed, excluded=frozenset())
         assert found.unwrap().upstream == "y"
-        bench.upstreams.evacuated.add("b")
+        fakes.upstreams.evacuated.add("b")
         found = await admission.find_engine(routed=routed, excluded=frozenset())
         assert isinstance(found, Failure)
 
@@ -375,22 +380,22 @@
 
 def test_plain_request_avoids_evacuated_upstreams_and_is_refused_when_none_is_left() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x", domain="a"), make_entry("y", domain="b"))
-        bench.upstreams.evacuated.add("a")
-        bench.caller.hang.add("y")
+        fakes = make_gateway_fakes(make_entry("x", domain="a"), make_entry("y", domain="b"))
+        fakes.upstreams.evacuated.add("a")
+        fakes.upstream_client.hanging.add("y")
         request = route_request(make_request(), make_route())
         task = asyncio.create_task(
-            PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
+            PlainForwarder(routed=request, parts=fakes.parts).serve(_make_responder())
         )
         await asyncio.sleep(1.9)
-        assert bench.caller.asked == ["y"]
+        assert fakes.upstream_client.asked == ["y"]
         task.cancel()
-        bench.upstreams.evacuated.add("b")
-        refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
+        fakes.upstreams.evacuated.add("b")
+        refusal = await PlainForwarder(routed=request, parts=fakes.parts).serve(_make_responder())
         assert refusal is not None
         assert refusal.kind is RefusalKind.OVERLOADED
         assert refusal.retry_after_ms is not None
-        assert bench.caller.asked == ["y"]
+        assert fakes.upstream_client.asked == ["y"]
 
     run_virtually(scenario())
 
@@ -402,23 +407,23 @@
 def test_run_resumes_only_on_engines_that_are_not_evacuated() -> None:
     async def scenario() -> None:
         x, y = make_entry("x", domain="a"), make_entry("y", domain="b")
-        bench = make_bench(x, y)
+        fakes = make_gateway_fakes(x, y)
         routed = route_request(make_request(prompt=1000), make_route(kind=RouteKind.STREAMING))
-        sender = SegmentSender(routed=routed, parts=bench.parts)
+        sender = SegmentSender(routed=routed, parts=fakes.parts)
         progress = RunProgress(tokens=1000, made=100, event=25)
-        bench.upstreams.evacuated.add("b")
+        fakes.upstreams.evacuated.add("b")
         await sender.resume(
             resume_target=ResumeTarget(entry=y, holder=x, copy="1"), progress=progress
         )
-        assert bench.caller.asked == ["x"]
-        bench.upstreams.evacuated.add("a")
+        assert fakes.upstream_client.asked == ["x"]
+        fakes.upstreams.evacuated.add("a")
         assert (
             await sender.resume(
                 resume_target=ResumeTarget(entry=y, holder=x, copy="1"), progress=progress
             )
             is None
         )
-        assert bench.caller.asked == ["x"]
+        assert fakes.upstream_client.asked == ["x"]
 
     run_virtually(scenario())
 
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -54,7 +54,7 @@
 
 
 class _Host:
-    """A host's feed and the evacuations it knows."""
+    """A host's feed and the evacuations it has received."""
 
     def __init__(self, name: str, machine: EvacuationMachine) -> None:
         self.name = HostId(name)
@@ -76,8 +76,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.time = _ManualClock()
-        self.clock = cast(Clock, self.time)
+        self.manual_clock = _ManualClock()
+        self.clock = cast(Clock, self.manual_clock)
         self.domains_at: dict[int, frozenset[str]] = {1: frozenset()}
         self.revision = 1
         self.in_flight: list[tuple[HostId, HostId, Message]] = []
@@ -135,7 +135,7 @@
     @rule(name=st.sampled_from(HOSTS))
     def restart(self, name: str) -> None:
         """Restart a host; messages in flight from or to it are lost."""
-        self.in_flight = [one for one in self.in_flight if name not in one[:2]]
+        self.in_flight = [message for message in self.in_flight if name not in message[:2]]
         self.hosts[name] = _Host(name, self)
         for other in self.hosts.values():
             other.feed.on_gone(HostId(name))
@@ -145,14 +145,14 @@
 
     @rule()
     def settle(self) -> None:
-        """Deliver all messages and heartbeats; all hosts must then know the newest state."""
+        """Deliver all messages and heartbeats; all hosts must then have the newest state."""
         for name in READERS:
             self.read_all(name)
         for _ in range(4):
             self._deliver_all()
             for sender, receiver in self._pairs():
                 self._receive(sender, receiver, self.hosts[sender].heartbeat())
-            self.time.at += MAX_LAG_MS
+            self.manual_clock.at += MAX_LAG_MS
         self._deliver_all()
         newest = self.domains_at[self.revision]
         for host in self.hosts.values():
@@ -187,8 +187,8 @@
 
     def _changes_after(self, revision: int) -> WatchBatch:
         touched: set[str] = set()
-        for made in range(revision + 1, self.revision + 1):
-            touched |= self.domains_at[made] ^ self.domains_at[made - 1]
+        for number in range(revision + 1, self.revision + 1):
+            touched |= self.domains_at[number] ^ self.domains_at[number - 1]
         now = self.domains_at[self.revision]
         reached = StoreRevision(self.revision)
         return WatchBatch(
@@ -206,5 +206,5 @@
         )
 
 
-TestEvacuations = EvacuationMachine.TestCase
-TestEvacuations.settings = random_case_settings(examples=150, steps=40)
+TestEvacuationMachine = EvacuationMachine.TestCase
+TestEvacuationMachine.settings = random_case_settings(examples=150, steps=40)
--- a/testing/test_fleet.py
+++ b/testing/test_fleet.py
@@ -9,7 +9,7 @@
 from tanagerscale.generated.declarations import Fencing
 from tanagerscale.generated.upstream import OrderKind
 from testing._ordered_engines import MAX_LOADS
-from testing._ordered_engines import Fleet
+from testing._ordered_engines import EngineFleet
 from testing._ordered_engines import OrderingHost
 
 pytestmark = pytest.mark.looptime
@@ -19,11 +19,11 @@
 PLAN_VERSIONS = {"plan": "1"}
 
 
-def make_fleet(fencing: Fencing = Fencing.CHECKED, *, engines: int = 3) -> Fleet:
-    return Fleet(fencing={f"e{number}": fencing for number in range(engines)})
+def make_fleet(fencing: Fencing = Fencing.CHECKED, *, engines: int = 3) -> EngineFleet:
+    return EngineFleet(fencing={f"e{number}": fencing for number in range(engines)})
 
 
-async def observe(fleet: Fleet, *, seconds: float) -> tuple[int, int]:
+async def observe(fleet: EngineFleet, *, seconds: float) -> tuple[int, int]:
     """Advance the virtual time and observe the loads of the fleet.
 
     :returns: The maximum number of concurrent loads, and the minimum number of engines that have
@@ -70,7 +70,7 @@
     assert fleet.has_converged()
     orders_of_second = len(fleet.sent_orders)
     fleet.declare({"e0": ["plan"], "e1": ["plan"], "e2": []}, versions=PLAN_VERSIONS)
-    first.store.thaw()
+    first.store.resume()
     await asyncio.sleep(CONVERGENCE_S)
     fences = [sent.order.fence for sent in fleet.sent_orders]
     assert orders_of_second == 3
--- a/testing/test_fleet_machine.py
+++ b/testing/test_fleet_machine.py
@@ -12,7 +12,7 @@
 from tanagerscale.generated.declarations import Fencing
 from tanagerscale.generated.upstream import OrderKind
 from testing._ordered_engines import MAX_LOADS
-from testing._ordered_engines import Fleet
+from testing._ordered_engines import EngineFleet
 from testing._ordered_engines import OrderingHost
 from testing._random_cases import random_case_settings
 from testing._virtual_time import close_loop
@@ -53,13 +53,13 @@
 
     @rule(host=hosts)
     def freeze(self, host: str) -> None:
-        """Suspend a host."""
+        """Freeze a host."""
         self.hosts[host].store.freeze()
 
     @rule(host=hosts)
-    def thaw(self, host: str) -> None:
-        """Resume a host."""
-        self.hosts[host].store.thaw()
+    def resume(self, host: str) -> None:
+        """Resume a frozen host."""
+        self.hosts[host].store.resume()
 
     @rule(host=hosts, down=st.booleans())
     def set_store_down(self, host: str, down: bool) -> None:
@@ -102,7 +102,7 @@
         for host in self.hosts.values():
             host.store.fake.down = False
             host.store.fake.lose_replies = 0
-            host.store.thaw()
+            host.store.resume()
         for engine in self.fleet.engines.values():
             engine.is_unreachable = False
             engine.orders_to_lose = engine.orders_to_duplicate = engine.orders_to_delay = 0
@@ -114,7 +114,7 @@
         close_loop(self.loop)
 
     async def _start(self) -> None:
-        self.fleet = Fleet(fencing=FENCING)
+        self.fleet = EngineFleet(fencing=FENCING)
         self.fleet.declare(
             {name: ["plan"] for name in FENCING}, versions=dict.fromkeys(MODELS, "1")
         )
--- a/testing/test_forwarding_admission.py
+++ b/testing/test_forwarding_admission.py
@@ -17,9 +17,9 @@
 from tanagerscale.forwarding._demand import RESPONSE_RESERVE_MS
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import UpstreamEntry
-from testing._gateway_fakes import Bench
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import route_request
@@ -30,18 +30,18 @@
 Found = Result[UpstreamEntry, Refusal]
 
 
-def _fill(bench: Bench, name: str = "filler", tokens: int = FULL_TOKENS) -> RequestId:
+def _fill(fakes: GatewayFakes, name: str = "filler", tokens: int = FULL_TOKENS) -> RequestId:
     """Use most of an engine's memory."""
     request = RequestId(name)
-    upstream = bench.upstreams.entries[0].upstream
-    bench.work.begin(
+    upstream = fakes.upstreams.entries[0].upstream
+    fakes.work.begin(
         request=request, upstream=upstream, prompt_tokens=0, tokens=tokens, is_long=True
     )
     return request
 
 
 def _find_engine(
-    bench: Bench,
+    fakes: GatewayFakes,
     admission: Admission,
     name: str,
     *,
@@ -64,38 +64,38 @@
     return asyncio.create_task(admission.find_engine(routed=routed, excluded=frozenset()))
 
 
-def _make_admission() -> tuple[Bench, Admission]:
-    bench = make_bench(make_entry("x"))
-    return bench, Admission(parts=bench.parts, placer=bench.alone.client)
+def _make_admission() -> tuple[GatewayFakes, Admission]:
+    fakes = make_gateway_fakes(make_entry("x"))
+    return fakes, Admission(parts=fakes.parts, placer=fakes.single_host.client)
 
 
 def test_generation_gets_an_engine_at_once_when_there_is_capacity() -> None:
     async def scenario() -> bool:
-        bench, admission = _make_admission()
-        return isinstance(await _find_engine(bench, admission, "1"), Success)
+        fakes, admission = _make_admission()
+        return isinstance(await _find_engine(fakes, admission, "1"), Success)
 
     assert run_virtually(scenario())
 
 
 def test_generation_gets_an_engine_when_another_generation_ends() -> None:
     async def scenario() -> tuple[bool, bool]:
-        bench, admission = _make_admission()
-        filler = _fill(bench)
-        waiting = _find_engine(bench, admission, "1")
+        fakes, admission = _make_admission()
+        filler = _fill(fakes)
+        waiting = _find_engine(fakes, admission, "1")
         await asyncio.sleep(0.5)
         before = waiting.done()
-        bench.work.end(request=filler)
+        fakes.work.end(request=filler)
         return before, isinstance(await waiting, Success)
 
     assert run_virtually(scenario()) == (False, True)
 
 
-def test_generation_is_refused_as_not_run_when_capacity_stays_exhausted() -> None:
+def test_generation_is_refused_as_not_executed_when_capacity_stays_exhausted() -> None:
     async def scenario() -> tuple[int, Found]:
-        bench, admission = _make_admission()
-        _fill(bench)
-        found = await _find_engine(bench, admission, "1")
-        return bench.parts.clock.now(), found
+        fakes, admission = _make_admission()
+        _fill(fakes)
+        found = await _find_engine(fakes, admission, "1")
+        return fakes.parts.clock.now(), found
 
     waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
@@ -107,10 +107,10 @@
 
 def test_late_retry_is_refused_at_once_when_there_is_no_capacity() -> None:
     async def scenario() -> tuple[int, Found]:
-        bench, admission = _make_admission()
-        _fill(bench)
-        found = await _find_engine(bench, admission, "1", left_of_ms=30_000)
-        return bench.parts.clock.now(), found
+        fakes, admission = _make_admission()
+        _fill(fakes)
+        found = await _find_engine(fakes, admission, "1", left_of_ms=30_000)
+        return fakes.parts.clock.now(), found
 
     waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
@@ -119,21 +119,21 @@
 
 def test_late_retry_is_served_when_there_is_capacity() -> None:
     async def scenario() -> bool:
-        bench, admission = _make_admission()
-        return isinstance(await _find_engine(bench, admission, "1", left_of_ms=30_000), Success)
+        fakes, admission = _make_admission()
+        return isinstance(await _find_engine(fakes, admission, "1", left_of_ms=30_000), Success)
 
     assert run_virtually(scenario())
 
 
 def test_late_retry_gets_an_engine_when_capacity_is_freed_within_its_wait() -> None:
     async def scenario() -> tuple[bool, bool]:
-        bench, admission = _make_admission()
-        filler = _fill(bench)
+        fakes, admission = _make_admission()
+        filler = _fill(fakes)
         # The caller was refused once, and its first event is a second late.
-        retry = _find_engine(bench, admission, "1", left_of_ms=39_000 - TARGET_MS - 1000)
+        retry = _find_engine(fakes, admission, "1", left_of_ms=39_000 - TARGET_MS - 1000)
         await asyncio.sleep(1)
         before = retry.done()
-        bench.work.end(request=filler)
+        fakes.work.end(request=filler)
         return before, isinstance(await retry, Success)
 
     assert run_virtually(scenario()) == (False, True)
@@ -141,15 +141,15 @@
 
 def test_generation_on_time_is_placed_before_a_late_one() -> None:
     async def scenario() -> list[str]:
-        bench, admission = _make_admission()
-        filler = _fill(bench)
+        fakes, admission = _make_admission()
+        filler = _fill(fakes)
         late = _find_engine(
-            bench, admission, "late", prompt=15_000, left_of_ms=39_000 - TARGET_MS - 1000
+            fakes, admission, "late", prompt=15_000, left_of_ms=39_000 - TARGET_MS - 1000
         )
         await asyncio.sleep(0.1)
-        fresh = _find_engine(bench, admission, "fresh", prompt=15_000)
+        fresh = _find_engine(fakes, admission, "fresh", prompt=15_000)
         await asyncio.sleep(0.1)
-        bench.work.end(request=filler)
+        fakes.work.end(request=filler)
         await fresh
         order = ["fresh", *(["late"] if late.done() else [])]
         late.cancel()
@@ -161,32 +161,32 @@
 @pytest.mark.parametrize(("max_tokens", "left_ms"), [(2000, 30_000), (2000, 3000), (100, 6000)])
 def test_wait_leaves_time_for_the_answer_before_the_deadline(max_tokens: int, left_ms: int) -> None:
     async def scenario() -> int:
-        bench, admission = _make_admission()
-        _fill(bench)
-        await _find_engine(bench, admission, "1", max_tokens=max_tokens, left_of_ms=left_ms)
-        return bench.parts.clock.now()
+        fakes, admission = _make_admission()
+        _fill(fakes)
+        await _find_engine(fakes, admission, "1", max_tokens=max_tokens, left_of_ms=left_ms)
+        return fakes.parts.clock.now()
 
     assert run_virtually(scenario()) <= max(left_ms - RESPONSE_RESERVE_MS, 0) + 100
 
 
 def test_short_generations_are_placed_first_then_in_arrival_order() -> None:
     async def scenario() -> list[str]:
-        bench, admission = _make_admission()
-        filler = _fill(bench)
+        fakes, admission = _make_admission()
+        filler = _fill(fakes)
         order: list[str] = []
 
         async def keep(name: str, max_tokens: int) -> None:
             await _find_engine(
-                bench, admission, name, prompt=20_000, max_tokens=max_tokens, target_ms=4000
+                fakes, admission, name, prompt=20_000, max_tokens=max_tokens, target_ms=4000
             )
             order.append(name)
-            bench.work.end(request=RequestId(name))
+            fakes.work.end(request=RequestId(name))
 
         tasks = []
         for name, max_tokens in (("long-1", 2000), ("long-2", 2000), ("short", 40)):
             tasks.append(asyncio.create_task(keep(name, max_tokens)))
             await asyncio.sleep(0.05)
-        bench.work.end(request=filler)
+        fakes.work.end(request=filler)
         await asyncio.gather(*tasks)
         return order
 
@@ -195,14 +195,14 @@
 
 def test_memory_is_reserved_only_once_when_several_generations_wait() -> None:
     async def scenario() -> int:
-        bench, admission = _make_admission()
-        filler = _fill(bench)
+        fakes, admission = _make_admission()
+        filler = _fill(fakes)
         tasks = [
-            _find_engine(bench, admission, str(number), prompt=14_000, target_ms=30_000)
+            _find_engine(fakes, admission, str(number), prompt=14_000, target_ms=30_000)
             for number in range(4)
         ]
         await asyncio.sleep(0.1)
-        bench.work.end(request=filler)
+        fakes.work.end(request=filler)
         await asyncio.sleep(0.1)
         return sum(task.done() for task in tasks)
 
@@ -211,13 +211,13 @@
 
 def test_generation_leaves_the_queue_when_it_is_cancelled() -> None:
     async def scenario() -> int:
-        bench, admission = _make_admission()
-        _fill(bench)
-        waiting = _find_engine(bench, admission, "1")
+        fakes, admission = _make_admission()
+        _fill(fakes)
+        waiting = _find_engine(fakes, admission, "1")
         await asyncio.sleep(0.1)
         waiting.cancel()
         await asyncio.sleep(0.1)
-        return bench.alone.coordinator.queue.waiting
+        return fakes.single_host.coordinator.queue.waiting
 
     assert run_virtually(scenario()) == 0
 
@@ -225,12 +225,12 @@
 @pytest.mark.parametrize("excluded", [True, False])
 def test_engine_is_not_chosen_when_it_is_excluded(excluded: bool) -> None:
     async def scenario() -> str:
-        bench = make_bench(make_entry("x"), make_entry("y"))
-        admission = Admission(parts=bench.parts, placer=bench.alone.client)
-        _fill(bench, tokens=10_000)
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+        admission = Admission(parts=fakes.parts, placer=fakes.single_host.client)
+        _fill(fakes, tokens=10_000)
         route = make_route(kind=RouteKind.STREAMING)
         routed = route_request(make_request(prompt=100), route)
-        without = frozenset({bench.upstreams.entries[1].upstream}) if excluded else frozenset()
+        without = frozenset({fakes.upstreams.entries[1].upstream}) if excluded else frozenset()
         found = await admission.find_engine(routed=routed, excluded=without)
         entry: UpstreamEntry = found.unwrap()
         return entry.upstream
--- a/testing/test_forwarding_dispatcher.py
+++ b/testing/test_forwarding_dispatcher.py
@@ -17,11 +17,11 @@
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
-from testing._gateway_fakes import Bench
 from testing._gateway_fakes import FakeResponder
 from testing._gateway_fakes import FakeResponse
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_stream_mover
@@ -37,19 +37,19 @@
     """A dispatcher built on fakes."""
 
     def __init__(self) -> None:
-        self.bench: Bench = make_bench(make_entry("x"))
-        self.bench.tables.table = make_table(PLAIN, STREAM)
+        self.fakes: GatewayFakes = make_gateway_fakes(make_entry("x"))
+        self.fakes.tables.table = make_table(PLAIN, STREAM)
         self.is_stopping = False
-        parts = self.bench.parts
+        parts = self.fakes.parts
         self.dispatcher = Dispatcher(
             parts=parts,
-            admission=Admission(parts=parts, placer=self.bench.alone.client),
-            stream_mover=make_stream_mover(self.bench),
+            admission=Admission(parts=parts, placer=self.fakes.single_host.client),
+            stream_mover=make_stream_mover(self.fakes),
             homes=AllowedRegions(regions={}),
             is_stopping=lambda: self.is_stopping,
         )
 
-    async def ask(self, request: CallerRequest) -> FakeResponder:
+    async def serve(self, request: CallerRequest) -> FakeResponder:
         """Return what the caller receives."""
         responder = FakeResponder()
         await self.dispatcher.serve(request, responder)
@@ -66,7 +66,7 @@
 
 def test_request_is_answered_when_its_route_matches() -> None:
     async def scenario() -> None:
-        responder = await DispatcherHarness().ask(make_request())
+        responder = await DispatcherHarness().serve(make_request())
         assert (responder.status, responder.body) == (200, b"answer")
 
     run_virtually(scenario())
@@ -75,8 +75,8 @@
 def test_host_refuses_with_a_retry_delay_when_it_has_no_declarations() -> None:
     async def scenario() -> None:
         harness = DispatcherHarness()
-        harness.bench.tables.table = None
-        responder = await harness.ask(make_request())
+        harness.fakes.tables.table = None
+        responder = await harness.serve(make_request())
         assert responder.refusal is not None
         assert responder.refusal.kind is RefusalKind.NOT_READY
         assert responder.refusal.retry_after_ms is not None
@@ -88,9 +88,9 @@
 def test_request_is_refused_as_unknown_route_when_no_route_matches(path: str) -> None:
     async def scenario() -> None:
         harness = DispatcherHarness()
-        responder = await harness.ask(make_request(path=path))
+        responder = await harness.serve(make_request(path=path))
         assert _kind(responder) is RefusalKind.UNKNOWN_ROUTE
-        assert harness.bench.caller.requests == []
+        assert harness.fakes.upstream_client.requests == []
 
     run_virtually(scenario())
 
@@ -98,9 +98,9 @@
 def test_request_times_out_at_the_timeout_of_its_route() -> None:
     async def scenario() -> tuple[RefusalKind | None, int]:
         harness = DispatcherHarness()
-        harness.bench.caller.hang = {"x"}
-        responder = await harness.ask(make_request())
-        return _kind(responder), harness.bench.parts.clock.now()
+        harness.fakes.upstream_client.hanging = {"x"}
+        responder = await harness.serve(make_request())
+        return _kind(responder), harness.fakes.parts.clock.now()
 
     assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, PLAIN.timeout_ms)
 
@@ -108,9 +108,9 @@
 def test_request_times_out_earlier_when_the_caller_sets_a_shorter_deadline() -> None:
     async def scenario() -> tuple[RefusalKind | None, int]:
         harness = DispatcherHarness()
-        harness.bench.caller.hang = {"x"}
-        responder = await harness.ask(replace(make_request(), time_left_ms=700))
-        return _kind(responder), harness.bench.parts.clock.now()
+        harness.fakes.upstream_client.hanging = {"x"}
+        responder = await harness.serve(replace(make_request(), time_left_ms=700))
+        return _kind(responder), harness.fakes.parts.clock.now()
 
     assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, 700)
 
@@ -118,10 +118,10 @@
 def test_request_times_out_at_once_when_its_deadline_has_passed_on_arrival() -> None:
     async def scenario() -> int:
         harness = DispatcherHarness()
-        harness.bench.caller.hang = {"x"}
+        harness.fakes.upstream_client.hanging = {"x"}
         request = replace(make_request(), arrived=Millis(0), time_left_ms=0)
-        assert _kind(await harness.ask(request)) is RefusalKind.TIMED_OUT
-        return harness.bench.parts.clock.now()
+        assert _kind(await harness.serve(request)) is RefusalKind.TIMED_OUT
+        return harness.fakes.parts.clock.now()
 
     assert run_virtually(scenario()) <= 1
 
@@ -129,8 +129,8 @@
 def test_started_stream_is_aborted_without_a_second_response_when_it_fails() -> None:
     async def scenario() -> None:
         harness = DispatcherHarness()
-        harness.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n", None]))
-        responder = await harness.ask(_generation())
+        harness.fakes.upstream_client.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n", None]))
+        responder = await harness.serve(_generation())
         assert (responder.status, responder.refusal) == (200, None)
         assert responder.aborted
         assert not responder.ended
@@ -142,15 +142,15 @@
     async def scenario() -> None:
         harness = DispatcherHarness()
         harness.is_stopping = True
-        harness.bench.caller.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n"]))
-        refused = await harness.ask(_generation())
+        harness.fakes.upstream_client.set("x", FakeResponse(chunks=[b"id: 1\ndata: 1\n\n"]))
+        refused = await harness.serve(_generation())
         assert refused.refusal is not None
         assert refused.refusal.kind is RefusalKind.OVERLOADED
         assert refused.refusal.retry_after_ms is not None
         assert refused.refusal.retry_after_ms < 100
-        assert harness.bench.caller.requests == []
-        assert (await harness.ask(_generation(max_tokens=40))).ended
-        assert (await harness.ask(make_request())).ended
+        assert harness.fakes.upstream_client.requests == []
+        assert (await harness.serve(_generation(max_tokens=40))).ended
+        assert (await harness.serve(make_request())).ended
 
     run_virtually(scenario())
 
@@ -158,8 +158,8 @@
 def test_host_counts_requests_in_progress() -> None:
     async def scenario() -> None:
         harness = DispatcherHarness()
-        harness.bench.caller.hang = {"x"}
-        serving = asyncio.create_task(harness.ask(make_request()))
+        harness.fakes.upstream_client.hanging = {"x"}
+        serving = asyncio.create_task(harness.serve(make_request()))
         await asyncio.sleep(0.1)
         assert harness.dispatcher.running == 1
         await serving
@@ -172,13 +172,13 @@
     async def scenario() -> tuple[int, RefusalKind | None]:
         harness = DispatcherHarness()
         names = [f"e{number}" for number in range(12)]
-        harness.bench.upstreams.entries = [make_entry(name) for name in names]
+        harness.fakes.upstreams.entries = [make_entry(name) for name in names]
         lost = ExchangeError(ExchangeFailure.LOST, "crashed")
         for name in names:
-            harness.bench.caller.set(name, lost)
+            harness.fakes.upstream_client.set(name, lost)
         for _ in range(10):
-            responder = await harness.ask(_generation())
-        return len(harness.bench.caller.requests), _kind(responder)
+            responder = await harness.serve(_generation())
+        return len(harness.fakes.upstream_client.requests), _kind(responder)
 
     assert run_virtually(scenario()) == (3, RefusalKind.QUARANTINED)
 
@@ -189,9 +189,9 @@
         for name in ("a", "b", "c"):
             other = make_request(name="other", path="/s/other", prompt=100)
             fingerprint = route_request(other, STREAM).fingerprint
-            harness.bench.parts.suspects.note_broken(
+            harness.fakes.parts.suspects.note_broken(
                 fingerprint=fingerprint, upstream=UpstreamId(name)
             )
-        return await harness.ask(make_request())
+        return await harness.serve(make_request())
 
     assert run_virtually(scenario()).ended
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -1,4 +1,4 @@
-"""Streams move off leaving engines; runs are copied in advance if a notice would be too short."""
+"""Streams move off leaving engines; runs are copied ahead if a notice would be too short."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         run = harness.add("1", at="x")
         harness.leave("x")
         await asyncio.sleep(1.0)
-        assert harness.bench.engines.copies == [("1", "x", "y", False), ("1", "x", "y", True)]
+        assert harness.fakes.engines.copies == [("1", "x", "y", False), ("1", "x", "y", True)]
         (resume_target,) = run.resume_targets
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.holder.upstream) == ("y", "x")
@@ -40,7 +40,7 @@
         harness.add_copy(run, at="z")
         harness.leave("x")
         await asyncio.sleep(1.0)
-        assert harness.bench.engines.copies == [("1", "x", "z", True)]
+        assert harness.fakes.engines.copies == [("1", "x", "z", True)]
 
     run_virtually(scenario())
 
@@ -52,7 +52,7 @@
             harness.add(name, at="x", made=made)
         harness.leave("x")
         await asyncio.sleep(1.4)
-        copied = [(request, stop) for request, _, _, stop in harness.bench.engines.copies]
+        copied = [(request, stop) for request, _, _, stop in harness.fakes.engines.copies]
         assert copied == [
             ("old", False),
             ("old", True),
@@ -71,7 +71,7 @@
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
-        assert harness.bench.engines.copies == [("1", "x", "y", True)]
+        assert harness.fakes.engines.copies == [("1", "x", "y", True)]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.holder.upstream) == ("y", "x")
         assert resume_target.copy != "c"
@@ -80,12 +80,12 @@
 
 
 @pytest.mark.parametrize("failure", [CopyFailure.UNKNOWN_RUN, CopyFailure.LOST])
-def test_run_resumes_from_its_copy_when_its_engine_can_not_stop_it(failure: CopyFailure) -> None:
+def test_run_resumes_from_its_copy_when_its_engine_cannot_stop_it(failure: CopyFailure) -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.engines.failures.append(copy_failure(failure))
+        harness.fakes.engines.failures.append(copy_failure(failure))
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
         assert (resume_target.entry.upstream, resume_target.copy) == ("y", "c")
@@ -98,10 +98,10 @@
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.engines.takes_ms = 60_000
+        harness.fakes.engines.copy_duration_ms = 60_000
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
-        return harness.bench.parts.clock.now()
+        return harness.fakes.parts.clock.now()
 
     assert run_virtually(scenario()) == RECOVERY_STOP_TIMEOUT_MS
 
@@ -112,10 +112,10 @@
         run = harness.add("1", at="x", begun=False)
         harness.leave("x")
         await asyncio.sleep(0.5)
-        assert harness.bench.engines.copies == []
+        assert harness.fakes.engines.copies == []
         harness.begin(run)
         await asyncio.sleep(0.5)
-        assert len(harness.bench.engines.copies) == 2
+        assert len(harness.fakes.engines.copies) == 2
 
     run_virtually(scenario())
 
@@ -135,10 +135,10 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.fakes.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
         harness.leave("x")
         await asyncio.sleep(1.0)
-        targets = [target for _, _, target, _ in harness.bench.engines.copies]
+        targets = [target for _, _, target, _ in harness.fakes.engines.copies]
         assert len(set(targets)) == 2
         assert targets[1] == targets[2]
         assert len(run.resume_targets) == 1
@@ -151,7 +151,7 @@
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, retained_copy="k"))
+        harness.fakes.engines.failures.append(copy_failure(CopyFailure.NO_ROOM, retained_copy="k"))
         harness.leave("x")
         await asyncio.sleep(0.3)
         resume_target = run.resume_targets[0]
@@ -169,23 +169,23 @@
         await asyncio.sleep(1.45)
         harness.begin(run)
         await asyncio.sleep(1.0)
-        assert harness.bench.engines.copies == []
+        assert harness.fakes.engines.copies == []
         assert run.resume_targets == []
 
     run_virtually(scenario())
 
 
-def test_runs_are_copied_in_advance_when_too_many_are_on_one_engine() -> None:
+def test_runs_are_copied_ahead_when_too_many_are_on_one_engine() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         for number in range(5):
             harness.add(str(number), at="x")
         harness.fill("y", tokens=18_000)
         await asyncio.sleep(SETTLE_S)
-        copied = {request for request, *_ in harness.bench.engines.copies}
+        copied = {request for request, *_ in harness.fakes.engines.copies}
         # The notice suffices for 10,000 tokens, so three of five runs with 4,000 each need a copy.
         assert len(copied) == 3
-        assert all(not stop for *_, stop in harness.bench.engines.copies)
+        assert all(not stop for *_, stop in harness.fakes.engines.copies)
 
     run_virtually(scenario())
 
@@ -197,24 +197,24 @@
             harness.add(str(number), at="x")
         harness.fill("y", tokens=16_000)
         await asyncio.sleep(SETTLE_S)
-        copied = {request for request, *_ in harness.bench.engines.copies}
+        copied = {request for request, *_ in harness.fakes.engines.copies}
         # Six tenths of 34,000 tokens are 20,400, so one of two runs with 4,000 each fits.
         assert len(copied) == 1
 
     run_virtually(scenario())
 
 
-def test_advance_copies_are_postponed_while_an_engine_leaves() -> None:
+def test_copies_ahead_are_postponed_while_an_engine_leaves() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
         for number in range(5):
             harness.add(str(number), at="x")
         harness.leave("z")
         await asyncio.sleep(1.5)
-        before = list(harness.bench.engines.copies)
+        before = list(harness.fakes.engines.copies)
         await asyncio.sleep(SETTLE_S)
         assert before == []
-        assert harness.bench.engines.copies != []
+        assert harness.fakes.engines.copies != []
 
     run_virtually(scenario())
 
@@ -224,25 +224,25 @@
         harness = MoveHarness("x", "y")
         harness.add("1", at="x")
         await asyncio.sleep(3 * SETTLE_S)
-        copied = [request for request, *_ in harness.bench.engines.copies]
+        copied = [request for request, *_ in harness.fakes.engines.copies]
         assert len(set(copied)) == 1
         assert 4 <= len(copied) <= 7
 
     run_virtually(scenario())
 
 
-def test_advance_copies_are_evicted_when_their_engine_needs_the_memory() -> None:
+def test_copies_ahead_are_evicted_when_their_engine_needs_the_memory() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         await asyncio.sleep(1.0)
         # A continuing run produces a token every 9 ms.
-        assert 4000 <= harness.bench.totals()[UpstreamId("y")].yielding_tokens <= 4150
+        assert 4000 <= harness.fakes.totals()[UpstreamId("y")].yielding_tokens <= 4150
         harness.fill("y", tokens=31_000)
         await asyncio.sleep(1.0)
         assert run.snapshot is None
-        assert len(harness.bench.engines.dropped) == 1
-        assert harness.bench.totals()[UpstreamId("y")].yielding_tokens == 0
+        assert len(harness.fakes.engines.dropped) == 1
+        assert harness.fakes.totals()[UpstreamId("y")].yielding_tokens == 0
 
     run_virtually(scenario())
 
@@ -252,13 +252,13 @@
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+        harness.fakes.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
         harness.fill("y", tokens=31_000)
-        harness.bench.engines.takes_ms = 1000
+        harness.fakes.engines.copy_duration_ms = 1000
         harness.leave("x")
         await asyncio.sleep(0.5)
-        assert harness.bench.engines.dropped == []
-        total = harness.bench.totals()[UpstreamId("y")]
+        assert harness.fakes.engines.dropped == []
+        total = harness.fakes.totals()[UpstreamId("y")]
         assert total.yielding_tokens == 0
         assert 4000 <= total.copy_tokens <= 4150
 
@@ -272,8 +272,8 @@
         harness.fill("y", tokens=31_000)
         harness.leave("x")
         await asyncio.sleep(0.5)
-        assert harness.bench.engines.copies == []
-        harness.bench.work.end(request=RequestId("filler of y"))
+        assert harness.fakes.engines.copies == []
+        harness.fakes.work.end(request=RequestId("filler of y"))
         await asyncio.sleep(0.5)
         assert len(run.resume_targets) == 1
 
@@ -291,9 +291,9 @@
         # Five to none, then four to one; from three to two, a move would only swap the two engines.
         assert len(moved) == 2
         # Only the rest of each moved run was copied; the copies of other runs are renewed too.
-        first = {request: stop for request, *_, stop in reversed(harness.bench.engines.copies)}
+        first = {request: stop for request, *_, stop in reversed(harness.fakes.engines.copies)}
         assert all(first[run.request] for run in moved)
-        assert sum(stop for *_, stop in harness.bench.engines.copies) == 2
+        assert sum(stop for *_, stop in harness.fakes.engines.copies) == 2
 
     run_virtually(scenario())
 
@@ -306,7 +306,7 @@
             harness.add_copy(run, at="y")
         harness.leave("z")
         await asyncio.sleep(1.4)
-        assert harness.bench.engines.copies == []
+        assert harness.fakes.engines.copies == []
 
     run_virtually(scenario())
 
@@ -314,7 +314,7 @@
 def test_departure_time_is_queried_when_a_run_starts_on_a_leaving_engine() -> None:
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.leaves_in_ms = 2000
+        harness.fakes.engines.leaves_in_ms = 2000
         harness.leave("x")
         await asyncio.sleep(0.3)
         harness.add("1", at="x")
@@ -325,17 +325,17 @@
     assert run_virtually(scenario()) == REPORT_DELAY_MS + 2000 - REPORT_LAG_MS
 
 
-def test_advance_copy_in_progress_is_used_when_the_notice_arrives() -> None:
+def test_copy_ahead_in_progress_is_used_when_the_notice_arrives() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y", "z")
-        harness.bench.engines.takes_ms = 300
+        harness.fakes.engines.copy_duration_ms = 300
         run = harness.add("1", at="x")
-        while not harness.bench.engines.copies:
+        while not harness.fakes.engines.copies:
             await asyncio.sleep(0.01)
         harness.leave("x")
         await asyncio.sleep(1.4)
-        assert [stop for *_, stop in harness.bench.engines.copies] == [False, True]
-        assert len({target for _, _, target, _ in harness.bench.engines.copies}) == 1
+        assert [stop for *_, stop in harness.fakes.engines.copies] == [False, True]
+        assert len({target for _, _, target, _ in harness.fakes.engines.copies}) == 1
         assert len(run.resume_targets) == 1
 
     run_virtually(scenario())
@@ -346,11 +346,11 @@
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.upstreams.leaving.add("y")
+        harness.fakes.upstreams.leaving.add("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
         assert run.snapshot.entry.upstream == "z"
-        assert harness.bench.engines.dropped == [("y", "c")]
+        assert harness.fakes.engines.dropped == [("y", "c")]
 
     run_virtually(scenario())
 
@@ -361,7 +361,7 @@
         harness.fill("z", tokens=20_000)
         ahead = [harness.add(f"ahead {number}", at="w") for number in range(8)]
         for run in ahead:
-            harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+            harness.fakes.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
         leaving = harness.add("1", at="x")
         harness.leave("x")
         await asyncio.sleep(1.0)
--- a/testing/test_forwarding_health.py
+++ b/testing/test_forwarding_health.py
@@ -20,7 +20,7 @@
 ENTRIES = [make_entry(name) for name in ("x", "y", "z")]
 
 
-def _health() -> UpstreamHealth:
+def _make_health() -> UpstreamHealth:
     return UpstreamHealth(service_of=lambda _: ServiceId("service"), clock=Clock())
 
 
@@ -30,7 +30,7 @@
 
 def test_upstream_is_ejected_after_failures_and_readmitted_later() -> None:
     async def scenario() -> None:
-        health = _health()
+        health = _make_health()
         for _ in range(3):
             health.note_bad(upstream=X)
         assert _usable(health) == ["y", "z"]
@@ -42,7 +42,7 @@
 
 def test_upstream_is_ejected_for_longer_when_it_fails_again() -> None:
     async def scenario() -> None:
-        health = _health()
+        health = _make_health()
         for _ in range(2):
             for _ in range(3):
                 health.note_bad(upstream=X)
@@ -54,7 +54,7 @@
 
 def test_failures_are_ignored_when_they_are_older_than_the_window() -> None:
     async def scenario() -> None:
-        health = _health()
+        health = _make_health()
         health.note_bad(upstream=X)
         health.note_bad(upstream=X)
         await asyncio.sleep((WINDOW_MS + 10) / 1000)
@@ -66,7 +66,7 @@
 
 def test_upstream_is_ejected_when_all_hosts_together_saw_enough_failures() -> None:
     async def scenario() -> None:
-        health = _health()
+        health = _make_health()
         health.note_bad(upstream=X)
         for host in ("a", "b"):
             tallies = AnswerTallies(upstreams={"x": [1, 1]})
@@ -78,7 +78,7 @@
 
 def test_failures_seen_by_a_host_are_dropped_when_the_host_is_gone() -> None:
     async def scenario() -> None:
-        health = _health()
+        health = _make_health()
         health.note_bad(upstream=X)
         health.on_peer(host=HostId("a"), tallies=AnswerTallies(upstreams={"x": [0, 1]}))
         health.forget_peer(host=HostId("a"))
@@ -90,7 +90,7 @@
 
 def test_failures_are_published_until_there_are_none() -> None:
     async def scenario() -> list[AnswerTallies]:
-        health = _health()
+        health = _make_health()
         published: list[AnswerTallies] = []
         health.news.subscribe(published.append)
         health.note_good(upstream=Y)
--- a/testing/test_forwarding_plain.py
+++ b/testing/test_forwarding_plain.py
@@ -16,11 +16,11 @@
 from tanagerscale.routes import RouteKind
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
-from testing._gateway_fakes import Bench
 from testing._gateway_fakes import FakeResponder
 from testing._gateway_fakes import FakeResponse
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import route_request
@@ -32,143 +32,143 @@
 IDEMPOTENT = RouteKind.IDEMPOTENT
 
 
-def _set_all(bench: Bench, *reactions: FakeResponse | ExchangeError) -> None:
-    for entry in bench.upstreams.entries:
-        own = (one if isinstance(one, ExchangeError) else deepcopy(one) for one in reactions)
-        bench.caller.set(entry.upstream, *own)
+def _set_all(fakes: GatewayFakes, *reactions: FakeResponse | ExchangeError) -> None:
+    for entry in fakes.upstreams.entries:
+        copies = (each if isinstance(each, ExchangeError) else deepcopy(each) for each in reactions)
+        fakes.upstream_client.set(entry.upstream, *copies)
 
 
 async def _serve(
-    bench: Bench, *, kind: RouteKind, attempts: int = 1
+    fakes: GatewayFakes, *, kind: RouteKind, attempts: int = 1
 ) -> tuple[FakeResponder, RefusalKind | None]:
     route = make_route(kind=kind, attempts=attempts)
     routed = route_request(make_request(), route)
     responder = FakeResponder()
-    refusal = await PlainForwarder(routed=routed, parts=bench.parts).serve(responder)
+    refusal = await PlainForwarder(routed=routed, parts=fakes.parts).serve(responder)
     return responder, None if refusal is None else refusal.kind
 
 
-def _make_bench_with_three() -> Bench:
-    return make_bench(make_entry("x"), make_entry("y"), make_entry("z"))
+def _make_fakes_with_three() -> GatewayFakes:
+    return make_gateway_fakes(make_entry("x"), make_entry("y"), make_entry("z"))
 
 
 @pytest.mark.asyncio
 async def test_response_is_forwarded_when_an_upstream_responds() -> None:
-    responder, refusal = await _serve(_make_bench_with_three(), kind=NON_IDEMPOTENT)
+    responder, refusal = await _serve(_make_fakes_with_three(), kind=NON_IDEMPOTENT)
     assert (responder.status, responder.body, responder.ended) == (200, b"answer", True)
     assert refusal is None
 
 
 @pytest.mark.asyncio
 async def test_request_is_sent_to_another_upstream_when_it_was_not_sent() -> None:
-    bench = _make_bench_with_three()
-    bench.caller.set("x", NOT_SENT)
-    bench.caller.set("y", NOT_SENT)
-    responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
+    fakes = _make_fakes_with_three()
+    fakes.upstream_client.set("x", NOT_SENT)
+    fakes.upstream_client.set("y", NOT_SENT)
+    responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
 
 
 @pytest.mark.asyncio
 async def test_request_is_sent_to_another_upstream_when_it_was_refused_before_execution() -> None:
-    bench = _make_bench_with_three()
+    fakes = _make_fakes_with_three()
     for name in ("x", "y"):
-        bench.caller.set(name, FakeResponse(status=503, not_executed=True))
-    responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
+        fakes.upstream_client.set(name, FakeResponse(status=503, not_executed=True))
+    responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
 
 
 @pytest.mark.asyncio
 async def test_non_idempotent_request_is_not_retried_when_its_response_is_lost() -> None:
-    bench = _make_bench_with_three()
-    _set_all(bench, LOST)
-    responder, refusal = await _serve(bench, kind=NON_IDEMPOTENT)
-    assert len(bench.caller.requests) == 1
+    fakes = _make_fakes_with_three()
+    _set_all(fakes, LOST)
+    responder, refusal = await _serve(fakes, kind=NON_IDEMPOTENT)
+    assert len(fakes.upstream_client.requests) == 1
     assert refusal is RefusalKind.UPSTREAM_FAILED
     assert responder.status is None
 
 
 @pytest.mark.asyncio
 async def test_non_idempotent_request_is_not_retried_when_its_response_is_truncated() -> None:
-    bench = _make_bench_with_three()
-    _set_all(bench, FakeResponse(chunks=[b"ans", None]))
-    responder, refusal = await _serve(bench, kind=NON_IDEMPOTENT)
-    assert len(bench.caller.requests) == 1
+    fakes = _make_fakes_with_three()
+    _set_all(fakes, FakeResponse(chunks=[b"ans", None]))
+    responder, refusal = await _serve(fakes, kind=NON_IDEMPOTENT)
+    assert len(fakes.upstream_client.requests) == 1
     assert refusal is RefusalKind.UPSTREAM_FAILED
     assert responder.status is None
 
 
 @pytest.mark.asyncio
 async def test_non_idempotent_request_is_not_retried_when_the_upstream_fails() -> None:
-    bench = _make_bench_with_three()
-    _set_all(bench, FakeResponse(status=500, chunks=[b"failed"]))
-    responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
-    assert len(bench.caller.requests) == 1
+    fakes = _make_fakes_with_three()
+    _set_all(fakes, FakeResponse(status=500, chunks=[b"failed"]))
+    responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
+    assert len(fakes.upstream_client.requests) == 1
     assert (responder.status, responder.body) == (500, b"failed")
 
 
 @pytest.mark.asyncio
-async def test_refusal_says_not_run_only_when_no_upstream_may_have_run_it() -> None:
-    bench = _make_bench_with_three()
-    _set_all(bench, FakeResponse(status=503, not_executed=True))
-    _, refusal = await _serve(bench, kind=NON_IDEMPOTENT)
+async def test_refusal_says_not_executed_only_when_no_upstream_may_have_run_it() -> None:
+    fakes = _make_fakes_with_three()
+    _set_all(fakes, FakeResponse(status=503, not_executed=True))
+    _, refusal = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert refusal is RefusalKind.OVERLOADED
-    assert len(bench.caller.requests) == 3
+    assert len(fakes.upstream_client.requests) == 3
 
 
 @pytest.mark.asyncio
-async def test_refusal_says_not_run_when_there_is_no_upstream() -> None:
-    _, refusal = await _serve(make_bench(), kind=NON_IDEMPOTENT)
+async def test_refusal_says_not_executed_when_there_is_no_upstream() -> None:
+    _, refusal = await _serve(make_gateway_fakes(), kind=NON_IDEMPOTENT)
     assert refusal is RefusalKind.OVERLOADED
 
 
 @pytest.mark.asyncio
 async def test_idempotent_request_is_retried_when_its_response_is_lost() -> None:
-    bench = make_bench(make_entry("x"), make_entry("y"))
-    bench.caller.set("x", LOST)
-    bench.caller.set("y", FakeResponse(chunks=[b"late"]))
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
-    responder, _ = await _serve(bench, kind=IDEMPOTENT, attempts=2)
-    assert bench.caller.asked == ["x", "y"]
+    fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+    fakes.upstream_client.set("x", LOST)
+    fakes.upstream_client.set("y", FakeResponse(chunks=[b"late"]))
+    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    responder, _ = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
+    assert fakes.upstream_client.asked == ["x", "y"]
     assert responder.body == b"late"
 
 
 @pytest.mark.asyncio
 async def test_idempotent_request_runs_on_no_more_upstreams_than_its_route_allows() -> None:
-    bench = make_bench(*(make_entry(name) for name in "vwxyz"))
-    _set_all(bench, LOST)
-    _, refusal = await _serve(bench, kind=IDEMPOTENT, attempts=2)
-    assert len(bench.caller.requests) == 2
+    fakes = make_gateway_fakes(*(make_entry(name) for name in "vwxyz"))
+    _set_all(fakes, LOST)
+    _, refusal = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
+    assert len(fakes.upstream_client.requests) == 2
     assert refusal is RefusalKind.UPSTREAM_FAILED
 
 
 @pytest.mark.asyncio
 async def test_upstream_error_is_forwarded_when_no_retry_succeeds() -> None:
-    bench = make_bench(make_entry("x"), make_entry("y"))
-    bench.caller.set("x", FakeResponse(status=500, chunks=[b"mine"]))
-    bench.caller.set("y", LOST)
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
-    responder, refusal = await _serve(bench, kind=IDEMPOTENT, attempts=2)
+    fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+    fakes.upstream_client.set("x", FakeResponse(status=500, chunks=[b"mine"]))
+    fakes.upstream_client.set("y", LOST)
+    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    responder, refusal = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
     assert (responder.status, responder.body) == (500, b"mine")
     assert refusal is None
 
 
 @pytest.mark.asyncio
 async def test_request_is_not_retried_when_the_retry_budget_is_exhausted() -> None:
-    bench = make_bench(make_entry("x"), make_entry("y"), slack=0.0)
-    _set_all(bench, LOST)
-    await _serve(bench, kind=IDEMPOTENT, attempts=2)
-    assert len(bench.caller.requests) == 1
+    fakes = make_gateway_fakes(make_entry("x"), make_entry("y"), slack=0.0)
+    _set_all(fakes, LOST)
+    await _serve(fakes, kind=IDEMPOTENT, attempts=2)
+    assert len(fakes.upstream_client.requests) == 1
 
 
 @pytest.mark.asyncio
 async def test_unsent_attempts_do_not_use_the_retry_budget() -> None:
     names = ("a", "b", "c", "d", "e", "f")
-    bench = make_bench(*(make_entry(name) for name in names), slack=0.0)
+    fakes = make_gateway_fakes(*(make_entry(name) for name in names), slack=0.0)
     for name in names[:-1]:
-        bench.caller.set(name, NOT_SENT)
-        bench.parts.work.plain_counts[UpstreamId(name)] = 0
-    bench.parts.work.plain_counts[UpstreamId("f")] = 1
-    responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
+        fakes.upstream_client.set(name, NOT_SENT)
+        fakes.parts.work.plain_counts[UpstreamId(name)] = 0
+    fakes.parts.work.plain_counts[UpstreamId("f")] = 1
+    responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
 
 
@@ -177,54 +177,56 @@
 async def test_refusing_upstream_counts_as_alive_unless_its_address_is_reassigned(
     is_address_reassigned: bool,
 ) -> None:
-    bench = make_bench(make_entry("x"))
-    suspects = bench.parts.suspects
+    fakes = make_gateway_fakes(make_entry("x"))
+    suspects = fakes.parts.suspects
     suspects.note_broken(fingerprint=Fingerprint("r"), upstream=UpstreamId("x"))
     refusal = FakeResponse(
         status=503, not_executed=True, is_address_reassigned=is_address_reassigned
     )
-    bench.caller.set("x", refusal)
-    await _serve(bench, kind=NON_IDEMPOTENT)
+    fakes.upstream_client.set("x", refusal)
+    await _serve(fakes, kind=NON_IDEMPOTENT)
     assert suspects.suspect_count == (1 if is_address_reassigned else 0)
 
 
 @pytest.mark.asyncio
 async def test_upstream_is_marked_gone_when_its_address_is_reassigned() -> None:
-    bench = make_bench(make_entry("x"), make_entry("y"))
-    bench.caller.set("x", FakeResponse(status=421, not_executed=True, is_address_reassigned=True))
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
-    responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
+    fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+    fakes.upstream_client.set(
+        "x", FakeResponse(status=421, not_executed=True, is_address_reassigned=True)
+    )
+    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
-    assert bench.upstreams.gone == ["x"]
+    assert fakes.upstreams.gone == ["x"]
 
 
 @pytest.mark.asyncio
 async def test_upstream_with_the_fewest_requests_in_progress_is_chosen() -> None:
-    bench = make_bench(make_entry("x"), make_entry("y"))
-    bench.parts.work.plain_counts["x"] = 2  # type: ignore[index]
-    await _serve(bench, kind=NON_IDEMPOTENT)
-    assert bench.caller.asked == ["y"]
+    fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+    fakes.parts.work.plain_counts["x"] = 2  # type: ignore[index]
+    await _serve(fakes, kind=NON_IDEMPOTENT)
+    assert fakes.upstream_client.asked == ["y"]
 
 
 @pytest.mark.asyncio
 async def test_time_left_shrinks_with_each_attempt() -> None:
-    bench = make_bench(make_entry("x"))
-    await _serve(bench, kind=NON_IDEMPOTENT)
-    (request,) = bench.caller.requests
+    fakes = make_gateway_fakes(make_entry("x"))
+    await _serve(fakes, kind=NON_IDEMPOTENT)
+    (request,) = fakes.upstream_client.requests
     assert request.time_left_ms is not None
     assert 0 < request.time_left_ms <= 2000
 
 
-def test_idempotent_request_is_hedged_when_the_first_upstream_is_silent() -> None:
+def test_idempotent_request_is_hedged_when_the_first_upstream_does_not_respond() -> None:
     async def scenario() -> tuple[list[str], int | None, int]:
-        bench = _make_bench_with_three()
-        bench.caller.hang = {"x", "y"}
+        fakes = _make_fakes_with_three()
+        fakes.upstream_client.hanging = {"x", "y"}
         for name in ("x", "y"):
-            bench.caller.set(name, FakeResponse(chunks=[b"never"]))
+            fakes.upstream_client.set(name, FakeResponse(chunks=[b"never"]))
         # Two of three hang; the third gets the request at the first or second attempt.
-        bench.upstreams.entries = [make_entry("x"), make_entry("z")]
-        responder, _ = await _serve(bench, kind=IDEMPOTENT, attempts=2)
-        return bench.caller.asked, responder.status, bench.parts.clock.now()
+        fakes.upstreams.entries = [make_entry("x"), make_entry("z")]
+        responder, _ = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
+        return fakes.upstream_client.asked, responder.status, fakes.parts.clock.now()
 
     asked, status, took_ms = run_virtually(scenario())
     assert status == 200
@@ -234,36 +236,36 @@
 
 def test_non_idempotent_request_is_never_hedged() -> None:
     async def scenario() -> list[str]:
-        bench = _make_bench_with_three()
-        bench.caller.hang = {"x", "y", "z"}
+        fakes = _make_fakes_with_three()
+        fakes.upstream_client.hanging = {"x", "y", "z"}
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(10):
-                await _serve(bench, kind=NON_IDEMPOTENT, attempts=3)
-        return bench.caller.asked
+                await _serve(fakes, kind=NON_IDEMPOTENT, attempts=3)
+        return fakes.upstream_client.asked
 
     assert len(run_virtually(scenario())) == 1
 
 
 def test_request_is_not_hedged_when_the_retry_budget_is_exhausted() -> None:
     async def scenario() -> list[str]:
-        bench = make_bench(make_entry("x"), make_entry("y"), slack=0.0)
-        bench.caller.hang = {"x", "y"}
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"), slack=0.0)
+        fakes.upstream_client.hanging = {"x", "y"}
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(10):
-                await _serve(bench, kind=IDEMPOTENT, attempts=3)
-        return bench.caller.asked
+                await _serve(fakes, kind=IDEMPOTENT, attempts=3)
+        return fakes.upstream_client.asked
 
     assert len(run_virtually(scenario())) == 1
 
 
 def test_upstream_is_ejected_when_it_never_responds_in_time() -> None:
     async def scenario() -> list[str]:
-        bench = _make_bench_with_three()
-        bench.caller.hang = {"x"}
+        fakes = _make_fakes_with_three()
+        fakes.upstream_client.hanging = {"x"}
         for _ in range(30):
             with suppress(TimeoutError):
                 async with asyncio.timeout(1.6):
-                    await _serve(bench, kind=NON_IDEMPOTENT)
-        return bench.caller.asked
+                    await _serve(fakes, kind=NON_IDEMPOTENT)
+        return fakes.upstream_client.asked
 
     assert 3 <= run_virtually(scenario()).count("x") <= 6
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -36,7 +36,7 @@
 
 
 def _copied(harness: MoveHarness) -> set[str]:
-    return {request for request, *_ in harness.bench.engines.copies}
+    return {request for request, *_ in harness.fakes.engines.copies}
 
 
 def _fill_for_spare_copies(harness: MoveHarness) -> None:
@@ -74,7 +74,7 @@
         harness = MoveHarness("x", "y", "z")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.upstreams.down.append("y")
+        harness.fakes.upstreams.down.append("y")
         await asyncio.sleep(1.0)
         assert run.snapshot is not None
         assert run.snapshot.entry.upstream == "z"
@@ -85,10 +85,10 @@
 def test_engine_is_marked_down_when_it_refuses_a_copy_and_does_not_respond() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.fakes.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
         harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert harness.bench.upstreams.down == ["y"]
+        assert harness.fakes.upstreams.down == ["y"]
 
     run_virtually(scenario())
 
@@ -96,11 +96,11 @@
 def test_engine_is_not_marked_down_when_it_refuses_a_copy_and_responds() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("y")
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.fakes.engines.staying.add("y")
+        harness.fakes.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
         harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert harness.bench.upstreams.down == []
+        assert harness.fakes.upstreams.down == []
 
     run_virtually(scenario())
 
@@ -108,16 +108,16 @@
 def test_other_runs_are_copied_when_copies_of_one_run_fail() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("y")
+        harness.fakes.engines.staying.add("y")
         stuck = harness.add("stuck", at="x", made=3000)
         harness.add_copy(stuck, at="y")
-        harness.bench.engines.refused.add("stuck")
+        harness.fakes.engines.refused.add("stuck")
         await asyncio.sleep(MAX_COPY_AGE_MS / 1000)
         for name in ("b", "c"):
             harness.add(name, at="x")
         await asyncio.sleep(SETTLE_S)
         assert _copied(harness) == {"stuck", "b", "c"}
-        assert harness.bench.upstreams.get(UpstreamId("y")) is not None
+        assert harness.fakes.upstreams.get(UpstreamId("y")) is not None
 
     run_virtually(scenario())
 
@@ -125,11 +125,11 @@
 def test_engine_is_marked_leaving_when_it_refuses_a_copy_and_reports_leaving() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.leaves_in_ms = 1800
-        harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
+        harness.fakes.engines.leaves_in_ms = 1800
+        harness.fakes.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
         harness.add("1", at="x")
         await asyncio.sleep(0.5)
-        assert harness.bench.upstreams.leaving == {"y"}
+        assert harness.fakes.upstreams.leaving == {"y"}
 
     run_virtually(scenario())
 
@@ -147,12 +147,12 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         harness.disconnect_store()
-        harness.bench.engines.leaves_in_ms = 1800
-        harness.bench.engines.staying.add("y")
+        harness.fakes.engines.leaves_in_ms = 1800
+        harness.fakes.engines.staying.add("y")
         run = harness.add("1", at="x")
         async with _run_departure_watch(harness):
             await asyncio.sleep(1.5)
-        assert harness.bench.upstreams.leaving == {"x"}
+        assert harness.fakes.upstreams.leaving == {"x"}
         assert [
             resume_target is not None and resume_target.entry.upstream
             for resume_target in run.resume_targets
@@ -165,13 +165,13 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         harness.disconnect_store()
-        harness.bench.engines.leaves_in_ms = REPORT_LAG_MS + 400
+        harness.fakes.engines.leaves_in_ms = REPORT_LAG_MS + 400
         harness.add("1", at="x")
         async with _run_departure_watch(harness):
-            while not harness.bench.upstreams.leaving:
+            while not harness.fakes.upstreams.leaving:
                 await asyncio.sleep(0.01)
             left_ms = (
-                harness.departures.departure_time(UpstreamId("x")) - harness.bench.parts.clock.now()
+                harness.departures.departure_time(UpstreamId("x")) - harness.fakes.parts.clock.now()
             )
         assert 380 <= left_ms <= 400
 
@@ -184,7 +184,7 @@
         harness.add("1", at="x")
         async with _run_departure_watch(harness):
             await asyncio.sleep(SETTLE_S)
-        assert harness.bench.engines.reports == 0
+        assert harness.fakes.engines.reports == 0
 
     run_virtually(scenario())
 
@@ -194,7 +194,7 @@
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
         harness.disconnect_store()
-        harness.bench.engines.staying.add("x")
+        harness.fakes.engines.staying.add("x")
         harness.add("1", at="x")
         for number in range(others):
             use = RunUse(request=f"r{number}", upstream="x", tokens=100, begun_ms=0)
@@ -202,7 +202,7 @@
             harness.coordinator.on_message(HostId(f"peer-{number}"), runs)
         async with _run_departure_watch(harness):
             await asyncio.sleep(60)
-        return harness.bench.engines.reports
+        return harness.fakes.engines.reports
 
     # One query every 300 ms makes 200 in a minute.
     assert 140 <= run_virtually(scenario()) <= 260
@@ -217,7 +217,7 @@
         harness.coordinator.on_message(HostId("peer"), runs)
         async with _run_departure_watch(harness):
             await asyncio.sleep(10)
-        return harness.bench.engines.reports
+        return harness.fakes.engines.reports
 
     assert run_virtually(scenario()) == 0
 
@@ -225,17 +225,17 @@
 def test_engine_is_queried_once_a_second_when_its_responses_close_connections() -> None:
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("x")
+        harness.fakes.engines.staying.add("x")
         harness.add("1", at="x")
         for _ in range(5):
             harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(MIN_LEAVING_QUERY_INTERVAL_MS / 1000)
-        harness.bench.engines.staying.clear()
-        harness.bench.engines.leaves_in_ms = 1800
+        harness.fakes.engines.staying.clear()
+        harness.fakes.engines.leaves_in_ms = 1800
         harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(0.1)
-        assert harness.bench.upstreams.leaving == {"x"}
-        return harness.bench.engines.reports
+        assert harness.fakes.upstreams.leaving == {"x"}
+        return harness.fakes.engines.reports
 
     # The second query finds that the engine is leaving; the evacuation does not query it again.
     assert run_virtually(scenario()) == 2
@@ -245,13 +245,13 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        copier = Copier(parts=harness.bench.parts)
+        copier = Copier(parts=harness.fakes.parts)
         stream = cast(StreamRun, run)
         snapshot = await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
         assert snapshot is not None
-        harness.bench.upstreams.entries[1] = replace(harness.entry("y"), cold_ms=1)
+        harness.fakes.upstreams.entries[1] = replace(harness.entry("y"), cold_ms=1)
         await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
         await asyncio.sleep(0.1)
-        assert harness.bench.engines.dropped == []
+        assert harness.fakes.engines.dropped == []
 
     run_virtually(scenario())
--- a/testing/test_forwarding_stream.py
+++ b/testing/test_forwarding_stream.py
@@ -20,11 +20,11 @@
 from tanagerscale.upstreams import ExchangeError
 from tanagerscale.upstreams import ExchangeFailure
 from tanagerscale.upstreams import UpstreamEntry
-from testing._gateway_fakes import Bench
 from testing._gateway_fakes import FakeResponder
 from testing._gateway_fakes import FakeResponse
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import route_request
@@ -71,15 +71,15 @@
 
 
 def _make_run(
-    bench: Bench, *, hooks: RecordingHooks | None = None
+    fakes: GatewayFakes, *, hooks: RecordingHooks | None = None
 ) -> tuple[StreamRun, FakeResponder]:
     route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000, attempts=1)
     responder = FakeResponder()
     run = StreamRun(
         routed=route_request(make_request(prompt=100), route),
         responder=responder,
-        parts=bench.parts,
-        admission=Admission(parts=bench.parts, placer=bench.alone.client),
+        parts=fakes.parts,
+        admission=Admission(parts=fakes.parts, placer=fakes.single_host.client),
         hooks=hooks or RecordingHooks(),
     )
     return run, responder
@@ -92,9 +92,9 @@
 
 def test_stream_is_complete_when_its_engine_ends_it() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=_events(1, 2, 3)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=_events(1, 2, 3)))
+        run, responder = _make_run(fakes)
         assert await run.serve() is None
         assert _event_numbers(responder) == [1, 2, 3]
         assert responder.ended
@@ -115,26 +115,26 @@
     chunks: list[bytes | None],
 ) -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"), make_entry("y"))
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
         for name in "xy":
-            bench.caller.set(name, FakeResponse(chunks=list(chunks)))
-        run, responder = _make_run(bench)
+            fakes.upstream_client.set(name, FakeResponse(chunks=list(chunks)))
+        run, responder = _make_run(fakes)
         refusal = await run.serve()
         assert refusal is not None
         assert refusal.kind is RefusalKind.UPSTREAM_FAILED
         assert not responder.ended
-        assert len(bench.caller.requests) == 1
+        assert len(fakes.upstream_client.requests) == 1
 
     run_virtually(scenario())
 
 
 def test_stream_is_started_on_another_engine_when_it_has_not_run() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"), make_entry("y"), make_entry("z"))
-        bench.caller.set("x", NOT_SENT)
-        bench.caller.set("y", FakeResponse(status=503, not_executed=True))
-        bench.caller.set("z", FakeResponse(chunks=_events(1)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"), make_entry("z"))
+        fakes.upstream_client.set("x", NOT_SENT)
+        fakes.upstream_client.set("y", FakeResponse(status=503, not_executed=True))
+        fakes.upstream_client.set("z", FakeResponse(chunks=_events(1)))
+        run, responder = _make_run(fakes)
         assert await run.serve() is None
         assert _event_numbers(responder) == [1]
 
@@ -144,54 +144,56 @@
 def test_stream_is_started_on_a_live_engine_when_most_have_crashed() -> None:
     async def scenario() -> list[int]:
         names = ("a", "b", "c", "d", "e", "f")
-        bench = make_bench(*(make_entry(name) for name in names), slack=0.0)
+        fakes = make_gateway_fakes(*(make_entry(name) for name in names), slack=0.0)
         for name in names[:-1]:
-            bench.caller.set(name, NOT_SENT)
-        bench.caller.set("f", FakeResponse(chunks=_events(1)))
-        run, responder = _make_run(bench)
+            fakes.upstream_client.set(name, NOT_SENT)
+        fakes.upstream_client.set("f", FakeResponse(chunks=_events(1)))
+        run, responder = _make_run(fakes)
         assert await run.serve() is None
         return _event_numbers(responder)
 
     assert run_virtually(scenario()) == [1]
 
 
-def test_waiting_stream_is_refused_as_not_run_when_identical_requests_crash_upstreams() -> None:
+def test_waiting_stream_is_refused_as_not_executed_when_identical_requests_crash_upstreams() -> (
+    None
+):
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
+        fakes = make_gateway_fakes(make_entry("x"))
         filler = RequestId("filler")
-        bench.work.begin(
+        fakes.work.begin(
             request=filler,
             upstream=UpstreamId("x"),
             prompt_tokens=0,
             tokens=FILLER_TOKENS,
             is_long=True,
         )
-        run, _ = _make_run(bench)
+        run, _ = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         await asyncio.sleep(0.5)
         fingerprint = route_request(make_request(prompt=100), make_route()).fingerprint
         for upstream in ("a", "b", "c"):
-            bench.parts.suspects.note_broken(fingerprint=fingerprint, upstream=UpstreamId(upstream))
-        bench.work.end(request=filler)
+            fakes.parts.suspects.note_broken(fingerprint=fingerprint, upstream=UpstreamId(upstream))
+        fakes.work.end(request=filler)
         refusal = await serving
         assert refusal is not None
         assert refusal.kind is RefusalKind.QUARANTINED
-        assert not bench.caller.requests
-        assert bench.work.uses() == []
+        assert not fakes.upstream_client.requests
+        assert fakes.work.uses() == []
 
     run_virtually(scenario())
 
 
 def test_stream_is_not_restarted_when_its_first_response_is_lost() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"), make_entry("y"))
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
         for name in "xy":
-            bench.caller.set(name, LOST)
-        run, _ = _make_run(bench)
+            fakes.upstream_client.set(name, LOST)
+        run, _ = _make_run(fakes)
         refusal = await run.serve()
         assert refusal is not None
         assert refusal.kind is RefusalKind.UPSTREAM_FAILED
-        assert len(bench.caller.requests) == 1
+        assert len(fakes.upstream_client.requests) == 1
 
     run_virtually(scenario())
 
@@ -199,13 +201,13 @@
 def test_stream_resumes_after_the_last_event_when_its_run_is_moved() -> None:
     async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
-        bench = make_bench(x, y)
-        bench.upstreams.leaving.add("y")
+        fakes = make_gateway_fakes(x, y)
+        fakes.upstreams.leaving.add("y")
         slow = FakeResponse(chunks=_events(*range(1, 100)), pause_ms=10)
-        bench.caller.set("x", slow)
-        bench.caller.set("y", FakeResponse(chunks=_events(4, 5)))
+        fakes.upstream_client.set("x", slow)
+        fakes.upstream_client.set("y", FakeResponse(chunks=_events(4, 5)))
         hooks = RecordingHooks()
-        run, responder = _make_run(bench, hooks=hooks)
+        run, responder = _make_run(fakes, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while len(_event_numbers(responder)) < 3:
             await asyncio.sleep(0.001)
@@ -215,7 +217,7 @@
         assert await serving is None
         assert _event_numbers(responder) == [1, 2, 3, 4, 5]
         assert responder.ended
-        request = bench.caller.requests[-1]
+        request = fakes.upstream_client.requests[-1]
         assert request.continuation is not None
         assert (request.continuation.copy, request.continuation.after_event) == ("c", 3)
         assert request.continuation.holder == x.address
@@ -227,10 +229,10 @@
 def test_duplicate_events_after_a_move_are_relayed_once() -> None:
     async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
-        bench = make_bench(x)
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2, 3), None]))
-        bench.caller.set("y", FakeResponse(chunks=_events(2, 3, 4)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(x)
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2, 3), None]))
+        fakes.upstream_client.set("y", FakeResponse(chunks=_events(2, 3, 4)))
+        run, responder = _make_run(fakes)
         run._resume_targets.append(ResumeTarget(entry=y, holder=x, copy="c"))
         assert await run.serve() is None
         assert _event_numbers(responder) == [1, 2, 3, 4]
@@ -241,10 +243,10 @@
 def test_stream_waits_for_its_copy_when_its_engine_has_stopped_the_run() -> None:
     async def scenario() -> None:
         x, y = make_entry("x"), make_entry("y")
-        bench = make_bench(x)
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        bench.caller.set("y", FakeResponse(chunks=_events(3)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(x)
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        fakes.upstream_client.set("y", FakeResponse(chunks=_events(3)))
+        run, responder = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -260,9 +262,9 @@
 
 def test_stream_fails_when_its_stopped_run_has_no_copy() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        run, responder = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
@@ -278,11 +280,11 @@
 def test_next_copy_is_tried_when_an_engine_refuses_to_resume() -> None:
     async def scenario() -> None:
         x, y, z = make_entry("x"), make_entry("y"), make_entry("z")
-        bench = make_bench(x)
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1), None]))
-        bench.caller.set("y", FakeResponse(status=503, not_executed=True))
-        bench.caller.set("z", FakeResponse(chunks=_events(2)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(x)
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1), None]))
+        fakes.upstream_client.set("y", FakeResponse(status=503, not_executed=True))
+        fakes.upstream_client.set("z", FakeResponse(chunks=_events(2)))
+        run, responder = _make_run(fakes)
         run._resume_targets += [
             ResumeTarget(entry=y, holder=x, copy="1"),
             ResumeTarget(entry=z, holder=x, copy="2"),
@@ -293,48 +295,48 @@
     run_virtually(scenario())
 
 
-def _snapshot(bench: Bench, name: str) -> Snapshot:
-    return Snapshot(entry=make_entry(name), copy="c", taken=bench.parts.clock.now())
+def _snapshot(fakes: GatewayFakes, name: str) -> Snapshot:
+    return Snapshot(entry=make_entry(name), copy="c", taken=fakes.parts.clock.now())
 
 
 def test_stream_resumes_from_its_copy_when_its_engine_crashes() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        bench.caller.set("y", FakeResponse(chunks=_events(3)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        fakes.upstream_client.set("y", FakeResponse(chunks=_events(3)))
+        run, responder = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        run.snapshot = _snapshot(bench, "y")
+        run.snapshot = _snapshot(fakes, "y")
         assert await serving is None
         assert _event_numbers(responder) == [1, 2, 3]
 
     run_virtually(scenario())
 
 
-def test_stream_resumes_from_its_copy_when_its_engine_goes_silent() -> None:
+def test_stream_resumes_from_its_copy_when_its_engine_stops_responding() -> None:
     async def scenario() -> int:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=_events(*range(1, 9)), pause_ms=3000))
-        bench.caller.set("y", FakeResponse(chunks=_events(2)))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=_events(*range(1, 9)), pause_ms=3000))
+        fakes.upstream_client.set("y", FakeResponse(chunks=_events(2)))
+        run, responder = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        run.snapshot = _snapshot(bench, "y")
+        run.snapshot = _snapshot(fakes, "y")
         assert await serving is None
         assert _event_numbers(responder) == [1, 2]
-        return bench.parts.clock.now()
+        return fakes.parts.clock.now()
 
     assert run_virtually(scenario()) == 3000 + IDLE_TIMEOUT_MS
 
 
-def test_stream_waits_for_a_silent_engine_when_there_is_no_copy() -> None:
+def test_stream_waits_for_an_unresponsive_engine_when_there_is_no_copy() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=6000))
-        run, responder = _make_run(bench)
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=6000))
+        run, responder = _make_run(fakes)
         assert await run.serve() is None
         assert _event_numbers(responder) == [1, 2]
 
@@ -343,87 +345,89 @@
 
 def test_recoveries_of_a_stream_are_limited_when_it_breaks_off_repeatedly() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
+        fakes = make_gateway_fakes(make_entry("x"))
         hooks = RecordingHooks()
-        run, _ = _make_run(bench, hooks=hooks)
+        run, _ = _make_run(fakes, hooks=hooks)
         for number in range(1, 20):
-            bench.caller.reactions.setdefault("x", deque()).append(
+            fakes.upstream_client.reactions.setdefault("x", deque()).append(
                 FakeResponse(chunks=[*_events(number), None], pause_ms=10)
             )
         serving = asyncio.create_task(run.serve())
         while not serving.done():
-            run.snapshot = run.snapshot or _snapshot(bench, "x")
+            run.snapshot = run.snapshot or _snapshot(fakes, "x")
             await asyncio.sleep(0.001)
         assert await serving is not None
-        assert len(bench.caller.requests) == 1 + MAX_RECOVERIES
+        assert len(fakes.upstream_client.requests) == 1 + MAX_RECOVERIES
 
     run_virtually(scenario())
 
 
 def test_copy_is_freed_when_the_stream_ends_without_using_it() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.caller.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=10))
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=_events(1, 2), pause_ms=10))
         hooks = RecordingHooks()
-        run, _ = _make_run(bench, hooks=hooks)
+        run, _ = _make_run(fakes, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=bench.parts.clock.now())
+        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=fakes.parts.clock.now())
         run.snapshot = snapshot
         await serving
         assert hooks.unused == [snapshot]
-        assert bench.totals() == {}
+        assert fakes.totals() == {}
 
     run_virtually(scenario())
 
 
 def test_engine_connection_is_closed_when_the_caller_disconnects() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
+        fakes = make_gateway_fakes(make_entry("x"))
         answer = FakeResponse(chunks=_events(*range(1, 100)), pause_ms=10)
-        bench.caller.set("x", answer)
-        run, _ = _make_run(bench)
+        fakes.upstream_client.set("x", answer)
+        run, _ = _make_run(fakes)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
         serving.cancel()
         await asyncio.wait({serving})
         assert answer.closed
-        assert UpstreamId("x") not in bench.totals()
+        assert UpstreamId("x") not in fakes.totals()
 
     run_virtually(scenario())
 
 
 def test_engine_error_is_forwarded_unchanged() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"), make_entry("y"))
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
         for name in "xy":
-            bench.caller.set(name, FakeResponse(status=500, chunks=[b"failed"]))
-        run, responder = _make_run(bench)
+            fakes.upstream_client.set(name, FakeResponse(status=500, chunks=[b"failed"]))
+        run, responder = _make_run(fakes)
         assert await run.serve() is None
         assert (responder.status, responder.body) == (500, b"failed")
-        assert len(bench.caller.requests) == 1
+        assert len(fakes.upstream_client.requests) == 1
 
     run_virtually(scenario())
 
 
 def test_stream_resumes_each_time_when_its_engines_leave() -> None:
     async def scenario() -> None:
-        bench = make_bench(make_entry("x"))
+        fakes = make_gateway_fakes(make_entry("x"))
         hooks = RecordingHooks()
-        run, responder = _make_run(bench, hooks=hooks)
-        bench.upstreams.leaving.add("y")
-        legs = 2 * MAX_RECOVERIES + 1
-        answers = [FakeResponse(chunks=[*_events(n), None], pause_ms=10) for n in range(1, legs)]
-        bench.caller.set("x", answers[0])
-        bench.caller.set("y", *answers[1:], FakeResponse(chunks=_events(legs)))
+        run, responder = _make_run(fakes, hooks=hooks)
+        fakes.upstreams.leaving.add("y")
+        segments = 2 * MAX_RECOVERIES + 1
+        answers = [
+            FakeResponse(chunks=[*_events(n), None], pause_ms=10) for n in range(1, segments)
+        ]
+        fakes.upstream_client.set("x", answers[0])
+        fakes.upstream_client.set("y", *answers[1:], FakeResponse(chunks=_events(segments)))
         serving = asyncio.create_task(run.serve())
         while not serving.done():
-            run.snapshot = run.snapshot or _snapshot(bench, "y")
+            run.snapshot = run.snapshot or _snapshot(fakes, "y")
             await asyncio.sleep(0.001)
         assert await serving is None
-        assert _event_numbers(responder) == list(range(1, legs + 1))
+        assert _event_numbers(responder) == list(range(1, segments + 1))
 
     run_virtually(scenario())
 
@@ -433,22 +437,22 @@
     is_source_gone: bool,
 ) -> None:
     async def scenario() -> list[str]:
-        bench = make_bench(make_entry("x"), make_entry("y"))
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
         refusal = FakeResponse(status=503, not_executed=True, chunks=[])
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        bench.caller.set("y", refusal, FakeResponse(chunks=_events(3)))
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        fakes.upstream_client.set("y", refusal, FakeResponse(chunks=_events(3)))
         hooks = RecordingHooks()
-        run, responder = _make_run(bench, hooks=hooks)
+        run, responder = _make_run(fakes, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        bench.upstreams.leaving.update({"x"} if is_source_gone else set())
-        run.snapshot = _snapshot(bench, "y")
+        fakes.upstreams.leaving.update({"x"} if is_source_gone else set())
+        run.snapshot = _snapshot(fakes, "y")
         if not is_source_gone:
-            bench.caller.reactions["x"].append(FakeResponse(chunks=_events(3)))
+            fakes.upstream_client.reactions["x"].append(FakeResponse(chunks=_events(3)))
         assert await serving is None
         assert _event_numbers(responder) == [1, 2, 3]
-        return bench.caller.asked
+        return fakes.upstream_client.asked
 
     asked = run_virtually(scenario())
     assert asked[-2:] == (["y", "y"] if is_source_gone else ["y", "x"])
@@ -456,35 +460,35 @@
 
 def test_stream_is_not_resumed_twice_when_a_resumed_run_may_be_active() -> None:
     async def scenario() -> list[str]:
-        bench = make_bench(make_entry("x"), make_entry("y"))
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        bench.caller.set("y", LOST)
-        run, _ = _make_run(bench, hooks=RecordingHooks())
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        fakes.upstream_client.set("y", LOST)
+        run, _ = _make_run(fakes, hooks=RecordingHooks())
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        run.snapshot = _snapshot(bench, "y")
-        bench.upstreams.leaving.add("x")
+        run.snapshot = _snapshot(fakes, "y")
+        fakes.upstreams.leaving.add("x")
         assert await serving is not None
-        return bench.caller.asked
+        return fakes.upstream_client.asked
 
     assert run_virtually(scenario()) == ["x", "y"]
 
 
 def test_engine_that_may_run_a_stream_is_stopped_before_the_other_copy_holder_resumes_it() -> None:
     async def scenario() -> tuple[list[str], list[str]]:
-        bench = make_bench(make_entry("x"), make_entry("y"))
-        bench.caller.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
-        bench.caller.hang = {"y"}
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+        fakes.upstream_client.set("x", FakeResponse(chunks=[*_events(1, 2), None], pause_ms=10))
+        fakes.upstream_client.hanging = {"y"}
         hooks = RecordingHooks()
-        run, responder = _make_run(bench, hooks=hooks)
+        run, responder = _make_run(fakes, hooks=hooks)
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        bench.caller.reactions["x"].append(FakeResponse(chunks=_events(3)))
-        run.snapshot = _snapshot(bench, "y")
+        fakes.upstream_client.reactions["x"].append(FakeResponse(chunks=_events(3)))
+        run.snapshot = _snapshot(fakes, "y")
         assert await serving is None
         assert _event_numbers(responder) == [1, 2, 3]
-        return bench.caller.asked, hooks.stopped
+        return fakes.upstream_client.asked, hooks.stopped
 
     assert run_virtually(scenario()) == (["x", "y", "x"], ["x", "y"])
--- a/testing/test_gateway_configuration.py
+++ b/testing/test_gateway_configuration.py
@@ -22,7 +22,7 @@
 
 def _decode(value: bytes) -> Result[Configuration, str]:
     if not value.isdigit():
-        return Failure("It can't be read; the older one stays in force.")
+        return Failure("The value is unreadable.")
     return Success(
         Configuration(
             version=Revision(int(value)), routes=(), services=(), accounts=(), limits=LIMITS
--- a/testing/test_gateway_http.py
+++ b/testing/test_gateway_http.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Served:
+class ServerHarness:
     """A running server whose handler and idle timeout a test may change."""
 
     server: CallerServer
@@ -80,9 +80,9 @@
 
 
 @pytest_asyncio.fixture
-async def served() -> AsyncIterator[Served]:
+async def harness() -> AsyncIterator[ServerHarness]:
     """Run a server on a free port."""
-    created: list[Served] = []
+    created: list[ServerHarness] = []
 
     async def serve(request: CallerRequest, responder: Responder) -> None:
         await created[0].serve(request, responder)
@@ -97,7 +97,7 @@
         ),
         clock=Clock(),
     )
-    created.append(Served(server=server, port=port, serve=_echo))
+    created.append(ServerHarness(server=server, port=port, serve=_echo))
     await server.start(address=f"{LOOPBACK}:{port}")
     yield created[0]
     await server.close()
@@ -114,8 +114,8 @@
 
 
 @pytest.mark.asyncio
-async def test_connection_carries_several_requests(served: Served) -> None:
-    reader, writer = await served.open()
+async def test_connection_carries_several_requests(harness: ServerHarness) -> None:
+    reader, writer = await harness.open()
     for text in (b"one", b"two"):
         writer.write(HEAD + b"Content-Length: 3\r\n\r\n" + text)
         assert await _read_response(reader) == (200, text)
@@ -123,8 +123,8 @@
 
 
 @pytest.mark.asyncio
-async def test_body_in_chunks_is_read_whole(served: Served) -> None:
-    reader, writer = await served.open()
+async def test_body_in_chunks_is_read_whole(harness: ServerHarness) -> None:
+    reader, writer = await harness.open()
     chunks = b"3\r\none\r\n4\r\n-two\r\n0\r\n\r\n"
     writer.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + chunks)
     assert await _read_response(reader) == (200, b"one-two")
@@ -141,15 +141,15 @@
         b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-async def test_ambiguous_request_is_not_served(served: Served, rest: bytes) -> None:
+async def test_ambiguous_request_is_not_served(harness: ServerHarness, rest: bytes) -> None:
     seen: list[str] = []
 
     async def record(request: CallerRequest, responder: Responder) -> None:
         seen.append(request.target)
         await _echo(request, responder)
 
-    served.serve = record
-    reader, writer = await served.open()
+    harness.serve = record
+    reader, writer = await harness.open()
     writer.write(HEAD + rest)
     writer.write_eof()
     answer = await reader.read()
@@ -159,8 +159,8 @@
 
 
 @pytest.mark.asyncio
-async def test_body_is_refused_when_it_is_too_large(served: Served) -> None:
-    reader, writer = await served.open()
+async def test_body_is_refused_when_it_is_too_large(harness: ServerHarness) -> None:
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 5000\r\n\r\n")
     status, _ = await _read_response(reader)
     assert status == 413
@@ -168,8 +168,8 @@
 
 
 @pytest.mark.asyncio
-async def test_caller_that_expects_100_continue_receives_it(served: Served) -> None:
-    reader, writer = await served.open()
+async def test_caller_that_expects_100_continue_receives_it(harness: ServerHarness) -> None:
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n")
     assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
     writer.write(b"one")
@@ -178,13 +178,13 @@
 
 
 @pytest.mark.asyncio
-async def test_refusal_has_a_retry_time_and_the_echoed_id(served: Served) -> None:
+async def test_refusal_has_a_retry_time_and_the_echoed_id(harness: ServerHarness) -> None:
     async def refuse(request: CallerRequest, responder: Responder) -> None:
         refusal = Refusal(kind=RefusalKind.OVERLOADED, detail="Come back.", retry_after_ms=1500)
         await responder.refuse(refusal=refusal)
 
-    served.serve = refuse
-    reader, writer = await served.open()
+    harness.serve = refuse
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Id: 7\r\nContent-Length: 0\r\n\r\n")
     head = await reader.readuntil(b"\r\n\r\n")
     assert b"503" in head
@@ -194,14 +194,14 @@
 
 
 @pytest.mark.asyncio
-async def test_aborted_response_does_not_look_complete(served: Served) -> None:
+async def test_aborted_response_does_not_look_complete(harness: ServerHarness) -> None:
     async def abort_early(request: CallerRequest, responder: Responder) -> None:
         await responder.begin(status=200, reason="OK", headers=[])
         await responder.write(b"half")
         responder.abort()
 
-    served.serve = abort_early
-    reader, writer = await served.open()
+    harness.serve = abort_early
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     answer = b""
     try:
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.asyncio
-async def test_handler_is_cancelled_when_its_caller_disconnects(served: Served) -> None:
+async def test_handler_is_cancelled_when_its_caller_disconnects(harness: ServerHarness) -> None:
     started, ended = asyncio.Event(), asyncio.Event()
 
     async def wait(request: CallerRequest, responder: Responder) -> None:
@@ -223,8 +223,8 @@
         finally:
             ended.set()
 
-    served.serve = wait
-    _, writer = await served.open()
+    harness.serve = wait
+    _, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     await started.wait()
     writer.transport.abort()
@@ -232,20 +232,22 @@
 
 
 @pytest.mark.asyncio
-async def test_connection_is_closed_when_it_is_idle_for_too_long(served: Served) -> None:
-    reader, writer = await served.open()
+async def test_connection_is_closed_when_it_is_idle_for_too_long(harness: ServerHarness) -> None:
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 0\r\n\r\n")
     await _read_response(reader)
-    served.server.close_idle()
+    harness.server.close_idle()
     assert not reader.at_eof()
-    served.idle_timeout_ms = -1
-    served.server.close_idle()
+    harness.idle_timeout_ms = -1
+    harness.server.close_idle()
     assert await reader.read() == b""
     writer.close()
 
 
 @pytest.mark.asyncio
-async def test_connection_with_a_running_request_is_not_closed_as_idle(served: Served) -> None:
+async def test_connection_with_a_running_request_is_not_closed_as_idle(
+    harness: ServerHarness,
+) -> None:
     started, release = asyncio.Event(), asyncio.Event()
 
     async def slow(request: CallerRequest, responder: Responder) -> None:
@@ -253,13 +255,13 @@
         await release.wait()
         await _echo(request, responder)
 
-    served.serve = slow
-    reader, writer = await served.open()
+    harness.serve = slow
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
     await started.wait()
-    served.idle_timeout_ms = -1
+    harness.idle_timeout_ms = -1
     for _ in range(5):
-        served.server.close_idle()
+        harness.server.close_idle()
         await asyncio.sleep(0.02)
     release.set()
     assert await _read_response(reader) == (200, b"one")
@@ -268,16 +270,16 @@
 
 @pytest.mark.asyncio
 async def test_request_already_read_is_answered_when_its_idle_connection_is_closed(
-    served: Served,
+    harness: ServerHarness,
 ) -> None:
     """The request is read in the same iteration of the event loop that closes the connection."""
-    reader, writer = await served.open()
+    reader, writer = await harness.open()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
     await _read_response(reader)
-    served.idle_timeout_ms = -1
-    (protocol,) = served.server._server.connections
+    harness.idle_timeout_ms = -1
+    (protocol,) = harness.server._server.connections
     protocol.data_received(HEAD + b"Content-Length: 3\r\n\r\ntwo")
-    served.server.close_idle()
+    harness.server.close_idle()
     assert await _read_response(reader) == (200, b"two")
     assert await reader.read() == b""
     writer.close()
@@ -285,10 +287,10 @@
 
 @pytest.mark.asyncio
 async def test_each_connection_is_closed_after_its_response_when_the_host_stops(
-    served: Served,
+    harness: ServerHarness,
 ) -> None:
-    reader, writer = await served.open()
-    served.server.begin_shutdown()
+    reader, writer = await harness.open()
+    harness.server.begin_shutdown()
     writer.write(HEAD + b"Content-Length: 3\r\n\r\none")
     head = await reader.readuntil(b"\r\n\r\n")
     assert b"connection: close" in head.lower()
--- a/testing/test_gateway_presence.py
+++ b/testing/test_gateway_presence.py
@@ -18,7 +18,7 @@
 from testing._fake_store import FakeStore
 from testing._virtual_time import run_virtually
 
-SETTLE_TIME_S = 3
+SETTLE_S = 3
 
 
 class PresenceHarness:
@@ -42,12 +42,12 @@
 def test_host_reports_when_its_store_calls_start_to_fail_and_succeed_again() -> None:
     async def scenario() -> list[bool]:
         harness = PresenceHarness()
-        await asyncio.sleep(SETTLE_TIME_S)
+        await asyncio.sleep(SETTLE_S)
         harness.store.down = True
         await asyncio.sleep(RENEW_INTERVAL_MS / 1000)
         seen = [harness.presence.store_lost]
         harness.store.down = False
-        await asyncio.sleep(SETTLE_TIME_S)
+        await asyncio.sleep(SETTLE_S)
         assert [*seen, harness.presence.store_lost] == [True, False]
         return harness.answers
 
@@ -57,7 +57,7 @@
 def test_host_calls_the_store_at_once_when_a_peer_reports_it_lost() -> None:
     async def scenario() -> None:
         harness = PresenceHarness()
-        await asyncio.sleep(SETTLE_TIME_S)
+        await asyncio.sleep(SETTLE_S)
         harness.store.down = True
         harness.presence.check_soon()
         await asyncio.sleep(0.1)
@@ -69,7 +69,7 @@
 def test_peer_reports_of_a_lost_store_cause_few_calls_where_it_answers() -> None:
     async def scenario() -> int:
         harness = PresenceHarness()
-        await asyncio.sleep(SETTLE_TIME_S)
+        await asyncio.sleep(SETTLE_S)
         before = harness.store.calls.leases
         for _ in range(100):
             harness.presence.check_soon()
--- a/testing/test_generation.py
+++ b/testing/test_generation.py
@@ -36,7 +36,7 @@
 from testing._fake_engine import FakeRouter
 from testing._fake_engine import Faults
 from testing._fake_engine import ListSink
-from testing._fake_engine import tokens_of
+from testing._fake_engine import answer_tokens
 from testing._random_cases import random_case_settings
 
 LENGTH = 12
@@ -170,7 +170,7 @@
     )
 
 
-EXPECTED = tokens_of(
+EXPECTED = answer_tokens(
     EngineRequest(attempt_id="", model="", prompt="plan", seed=7, max_tokens=LENGTH)
 )
 
@@ -178,14 +178,14 @@
 def _run(
     make_harness: Callable[[], Harness], sink: ListSink
 ) -> tuple[Harness, Result[Finish, Problem]]:
-    async def run() -> tuple[Harness, Result[Finish, Problem]]:
+    async def scenario() -> tuple[Harness, Result[Finish, Problem]]:
         harness = make_harness()
         result = await harness.generation(sink).run()
         await harness.canceller.drain()
         return harness, result
 
     with _virtual_runner() as runner:
-        return runner.run(run())
+        return runner.run(scenario())
 
 
 def _virtual_runner() -> asyncio.Runner:
@@ -193,9 +193,9 @@
 
 
 FAULTS = {
-    "killed_before_the_first_token": Faults(die_at=0),
-    "killed_mid_answer": Faults(die_at=5),
-    "killed_after_the_last_token": Faults(die_at=LENGTH - 1),
+    "killed_before_the_first_token": Faults(crash_at=0),
+    "killed_mid_answer": Faults(crash_at=5),
+    "killed_after_the_last_token": Faults(crash_at=LENGTH - 1),
     "out_of_memory_mid_answer": Faults(error_at=6),
     "link_cut": Faults(cut_at=4),
     "end_marker_lost": Faults(drop_end=1),
@@ -203,9 +203,9 @@
     "token_skipped": Faults(skip_at=3),
     "answers_crossed": Faults(cross_at=3),
     "resume_overlaps": Faults(cut_at=4, overlap=3),
-    "cut_then_killed": Faults(cut_at=3, die_at=6),
+    "cut_then_killed": Faults(cut_at=3, crash_at=6),
     "frozen": Faults(frozen=True),
-    "dead_at_the_start": Faults(dead=True),
+    "dead_at_the_start": Faults(unreachable=True),
     "leaving": Faults(refuse=RefusalKind.LEAVING),
     "model_not_loaded": Faults(refuse=RefusalKind.NOT_LOADED),
 }
@@ -226,11 +226,11 @@
     assert not harness.router.placed
 
 
-def test_answer_is_complete_when_its_engine_dies_and_the_others_are_briefly_full() -> None:
+def test_answer_is_complete_when_its_engine_crashes_and_the_others_are_briefly_full() -> None:
     sink = ListSink(whole=True)
 
     def make_harness() -> Harness:
-        harness = _make_harness(Faults(die_at=5))
+        harness = _make_harness(Faults(crash_at=5))
         harness.router.shed_after = 1
         return harness
 
@@ -239,10 +239,10 @@
     assert sink.pending == EXPECTED
 
 
-def test_request_is_not_sheddable_when_its_engine_has_died() -> None:
+def test_request_is_not_sheddable_when_its_engine_has_crashed() -> None:
     # Guards against a long retry delay after an engine failure while other engines are idle.
     sink = ListSink()
-    harness, result = _run(lambda: _make_harness(Faults(die_at=5)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(crash_at=5)), sink)
     assert isinstance(result, Success)
     assert [request.sheddable for request in harness.router.requests] == [True, False]
 
@@ -262,7 +262,7 @@
 
 def test_stream_ends_with_an_error_when_its_replay_differs() -> None:
     sink = ListSink()
-    harness, result = _run(lambda: _make_harness(Faults(die_at=5), Faults(salt=1)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(crash_at=5), Faults(salt=1)), sink)
     assert isinstance(result, Failure)
     assert result.failure().kind is ProblemKind.GENERATION_LOST
     assert sink.texts == EXPECTED[:5]
@@ -271,13 +271,15 @@
 
 def test_whole_answer_restarts_when_its_replay_differs() -> None:
     sink = ListSink(whole=True)
-    harness, result = _run(lambda: _make_harness(Faults(die_at=5), Faults(salt=1)), sink)
+    harness, result = _run(lambda: _make_harness(Faults(crash_at=5), Faults(salt=1)), sink)
     assert isinstance(result, Success)
     expected = next(iter(harness.engines[SECOND].runs.values())).tokens
     assert sink.pending == expected
 
 
-@pytest.mark.parametrize("faults", [Faults(dead=True), Faults(refuse=RefusalKind.OVERLOADED)])
+@pytest.mark.parametrize(
+    "faults", [Faults(unreachable=True), Faults(refuse=RefusalKind.OVERLOADED)]
+)
 def test_problem_says_not_executed_only_when_no_engine_ran_it(faults: Faults) -> None:
     harness, result = _run(lambda: _make_harness(_copy(faults), _copy(faults)), ListSink())
     assert result.failure().execution is Execution.NOT_EXECUTED
@@ -285,7 +287,9 @@
 
 
 def test_problem_says_unknown_when_an_engine_may_have_run_it() -> None:
-    harness, result = _run(lambda: _make_harness(Faults(die_at=2), Faults(dead=True)), ListSink())
+    harness, result = _run(
+        lambda: _make_harness(Faults(crash_at=2), Faults(unreachable=True)), ListSink()
+    )
     assert harness.engines[FIRST].executed
     assert result.failure().execution is Execution.UNKNOWN
     assert result.failure().retry_after_ms is not None
@@ -293,7 +297,7 @@
 
 def test_lost_attempt_is_not_retried_when_the_retry_budget_is_empty() -> None:
     def make_harness() -> Harness:
-        harness = _make_harness(Faults(die_at=2))
+        harness = _make_harness(Faults(crash_at=2))
         harness.collaborators.retries_left = 0
         return harness
 
@@ -302,8 +306,8 @@
     assert not harness.engines[SECOND].executed
 
 
-def test_usage_separates_repeated_from_useful_tokens_when_an_engine_dies() -> None:
-    harness, _ = _run(lambda: _make_harness(Faults(die_at=5)), ListSink())
+def test_usage_separates_repeated_from_useful_tokens_when_an_engine_crashes() -> None:
+    harness, _ = _run(lambda: _make_harness(Faults(crash_at=5)), ListSink())
     usage = harness.context.meter.usage().accounts["north"]
     assert (usage.answered, usage.useful_tokens, usage.repeated_tokens) == (1, LENGTH, 5)
     assert usage.wasted_tokens == 0
@@ -314,37 +318,37 @@
     assert harness.collaborators.leaving == [FIRST]
 
 
-def test_engine_crash_is_recorded_only_when_it_dies_during_an_answer() -> None:
-    harness, _ = _run(lambda: _make_harness(Faults(die_at=2)), ListSink())
+def test_engine_crash_is_recorded_only_when_it_happens_during_an_answer() -> None:
+    harness, _ = _run(lambda: _make_harness(Faults(crash_at=2)), ListSink())
     assert harness.collaborators.crashed == [FIRST]
-    harness, _ = _run(lambda: _make_harness(Faults(dead=True)), ListSink())
+    harness, _ = _run(lambda: _make_harness(Faults(unreachable=True)), ListSink())
     assert harness.collaborators.crashed == []
 
 
-def test_attempt_is_cancelled_on_its_engine_when_the_caller_leaves() -> None:
-    async def run() -> Harness:
+def test_attempt_is_cancelled_on_its_engine_when_the_caller_disconnects() -> None:
+    async def scenario() -> Harness:
         harness = _make_harness()
         sink = ListSink()
         task = asyncio.ensure_future(harness.generation(sink).run())
 
-        def leave(offset: int) -> None:
+        def disconnect(offset: int) -> None:
             if offset == 4:
                 task.cancel()
 
-        sink.on_token = leave
+        sink.on_token = disconnect
         with pytest.raises(asyncio.CancelledError):
             await task
         await harness.canceller.drain()
         return harness
 
     with _virtual_runner() as runner:
-        harness = runner.run(run())
+        harness = runner.run(scenario())
     assert [run.cancelled for run in harness.engines[FIRST].runs.values()] == [True]
     assert not harness.router.placed
 
 
 def test_whole_answer_moves_when_the_router_requests_it() -> None:
-    async def run() -> tuple[Harness, Result[Finish, Problem], ListSink]:
+    async def scenario() -> tuple[Harness, Result[Finish, Problem], ListSink]:
         harness = _make_harness()
         sink = ListSink(whole=True)
 
@@ -359,7 +363,7 @@
         return harness, result, sink
 
     with _virtual_runner() as runner:
-        harness, result, sink = runner.run(run())
+        harness, result, sink = runner.run(scenario())
     assert isinstance(result, Success)
     assert sink.pending == EXPECTED
     assert [run.cancelled for run in harness.engines[FIRST].runs.values()] == [True]
@@ -367,7 +371,7 @@
 
 
 def test_problem_says_unknown_when_a_moved_answer_cannot_be_placed() -> None:
-    async def run() -> Result[Finish, Problem]:
+    async def scenario() -> Result[Finish, Problem]:
         harness = _make_harness()
         sink = ListSink(whole=True)
 
@@ -379,12 +383,12 @@
         return await harness.generation(sink).run()
 
     with _virtual_runner() as runner:
-        result = runner.run(run())
+        result = runner.run(scenario())
     assert result.failure().execution is Execution.UNKNOWN
 
 
-def test_stale_tokens_are_dropped_when_a_frozen_engine_thaws() -> None:
-    async def run() -> tuple[Result[Finish, Problem], ListSink, Harness]:
+def test_stale_tokens_are_dropped_when_a_frozen_engine_resumes() -> None:
+    async def scenario() -> tuple[Result[Finish, Problem], ListSink, Harness]:
         harness = _make_harness()
         sink = ListSink()
         frozen = harness.engines[FIRST].faults
@@ -400,7 +404,7 @@
         return result, sink, harness
 
     with _virtual_runner() as runner:
-        result, sink, harness = runner.run(run())
+        result, sink, harness = runner.run(scenario())
     assert isinstance(result, Success)
     assert sink.texts == EXPECTED
     assert len(harness.engines[SECOND].executed) == 1
@@ -411,7 +415,7 @@
     Faults,
     frozen=st.sampled_from([False, False, False, True]),
     cut_at=OFFSETS,
-    die_at=OFFSETS,
+    crash_at=OFFSETS,
     error_at=OFFSETS,
     cross_at=OFFSETS,
     skip_at=OFFSETS,
@@ -427,7 +431,7 @@
     first: Faults, second: Faults, whole: bool
 ) -> None:
     answers = [
-        tokens_of(
+        answer_tokens(
             EngineRequest(attempt_id="", model="", prompt="plan", seed=7, max_tokens=LENGTH),
             salt=salt,
         )
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -15,7 +15,7 @@
 from testing._callers import expected_text
 from testing._callers import resume
 from testing._callers import wait_until
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
 PLAN = "plan [[tokens=700]]"
 MAX_TOKENS = 1_000
@@ -23,13 +23,13 @@
 
 
 async def test_streams_resume_at_another_host_when_a_planned_stop_exceeds_its_grace_period(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
     models = tuple(
         Model(name=name, version=VERSION, delivery=delivery, max_output_tokens=MAX_TOKENS)
         for name, delivery in MODELS.items()
     )
-    cluster = await start_serving(
+    cluster = await start_ready_cluster(
         ClusterPlan(hosts=2, services=0, stop_grace_ms=200, models=models)
     )
     url = cluster.caller_url("host-1")
--- a/testing/test_limits_processes.py
+++ b/testing/test_limits_processes.py
@@ -17,13 +17,13 @@
 from tanagerscale.policy._limits import MAX_USAGE_AGE_MS
 from testing._callers import MODEL
 from testing._callers import headers
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
 HOSTS = ("host-1", "host-2", "host-3")
 LIMIT = 6
 SHARE = LIMIT // len(HOSTS)
 ACCOUNTS = ("one-host", "spread", "cut-off")
-ENDLESS = "plan [[tokens=16000]]"
+LONG_PROMPT = "plan [[tokens=16000]]"
 ROUNDS = 3
 ROUND_PAUSE_S = 0.5
 """Time for a heartbeat, after which a host may admit more requests."""
@@ -63,7 +63,7 @@
         response = await self._stack.enter_async_context(
             self._session.post(
                 f"{self._cluster.caller_url(host)}/v1/completions",
-                json={"model": MODEL, "prompt": ENDLESS, "stream": True},
+                json={"model": MODEL, "prompt": LONG_PROMPT, "stream": True},
                 headers=headers(account=self._account),
             )
         )
@@ -73,9 +73,11 @@
 
 
 async def test_concurrent_requests_stay_within_the_limit_when_load_moves_between_hosts(
-    start_serving: StartServing,
+    start_ready_cluster: StartReadyCluster,
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=len(HOSTS), services=0, accounts=ACCOUNTS))
+    cluster = await start_ready_cluster(
+        ClusterPlan(hosts=len(HOSTS), services=0, accounts=ACCOUNTS)
+    )
     limited = [
         ClientAccount(name=name, key_hash=account_key_hash(name), concurrent_requests=LIMIT)
         for name in ACCOUNTS
@@ -95,15 +97,15 @@
         assert SHARE * len(HOSTS) == LIMIT
         assert SHARE <= spread.running <= LIMIT
 
-        one = make_callers("one-host")
-        while one.running < LIMIT:
-            await one.ask(["host-1"], each=2 * LIMIT)
+        single_host = make_callers("one-host")
+        while single_host.running < LIMIT:
+            await single_host.ask(["host-1"], each=2 * LIMIT)
             await asyncio.sleep(ROUND_PAUSE_S)
-        assert one.running == LIMIT
-        assert await one.ask(["host-1"], each=LIMIT) == 0
+        assert single_host.running == LIMIT
+        assert await single_host.ask(["host-1"], each=LIMIT) == 0
         # A previously idle host can use its equal share until it receives the usage of the others.
-        await one.ask_repeatedly(HOSTS)
-        assert one.running <= LIMIT + SHARE * (len(HOSTS) - 1)
+        await single_host.ask_repeatedly(HOSTS)
+        assert single_host.running <= LIMIT + SHARE * (len(HOSTS) - 1)
 
         await _isolate_first_host(cluster, session)
         isolated = make_callers("cut-off")
--- a/testing/test_many_hosts.py
+++ b/testing/test_many_hosts.py
@@ -19,13 +19,15 @@
 COORDINATOR_COUNT = 4
 
 
-def _run(scenario: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = HOSTS) -> Any:
-    async def main() -> Any:
+def _run_with_fleet(
+    scenario: Callable[[Fleet], Coroutine[Any, Any, Any]], *, hosts: int = HOSTS
+) -> Any:
+    async def run() -> Any:
         fleet = Fleet()
         await fleet.start(count=hosts, domains=DOMAINS)
         return await scenario(fleet)
 
-    return run_virtually(main())
+    return run_virtually(run())
 
 
 def test_all_hosts_agree_on_coordinators_when_they_start_together() -> None:
@@ -37,7 +39,7 @@
             assert host.is_coordinator == (host.name in names)
             assert host.decider == fleet.coordinators[0].name
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_coordinators_have_more_cores_and_are_in_different_failure_domains() -> None:
@@ -47,14 +49,14 @@
         assert len(set(domains[:DOMAINS])) == DOMAINS
         assert all(int(host.name[-3:]) < 6 for host in fleet.coordinators)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_members_connect_only_to_coordinators() -> None:
     async def scenario(fleet: Fleet) -> None:
         assert all(len(host.peers) <= COORDINATOR_COUNT for host in fleet.members)
 
-    _run(scenario, hosts=48)
+    _run_with_fleet(scenario, hosts=48)
 
 
 def test_only_coordinators_watch_the_store_and_all_hosts_know_the_upstreams() -> None:
@@ -66,7 +68,7 @@
         for host in fleet.hosts:
             assert host.control.duties.follows_store == host.is_coordinator
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_every_coordinator_sees_a_generation_start_within_a_quarter_of_a_second() -> None:
@@ -79,7 +81,7 @@
             total = coordinator.total("e0")
             assert (total.waiting, total.running) == (0, 1)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_concurrent_placements_do_not_share_the_same_memory() -> None:
@@ -95,7 +97,7 @@
         for task in asks:
             task.cancel()
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_queued_generation_gets_memory_freed_by_another_host() -> None:
@@ -112,7 +114,7 @@
         assert (await waiting).upstream == "e0"
         return second.clock.now() - started_at
 
-    assert _run(scenario) <= 60
+    assert _run_with_fleet(scenario) <= 60
 
 
 def test_simultaneous_changes_on_all_hosts_cost_few_messages_per_host() -> None:
@@ -128,7 +130,7 @@
         return fleet.received - before
 
     # All to all would be 24 times 23.
-    assert _run(scenario) <= COORDINATOR_COUNT * HOSTS
+    assert _run_with_fleet(scenario) <= COORDINATOR_COUNT * HOSTS
 
 
 def test_placement_costs_few_messages() -> None:
@@ -139,7 +141,7 @@
         return fleet.received - before
 
     # The ask, the answer, and one report to each coordinator.
-    assert _run(scenario) <= 2 + COORDINATOR_COUNT
+    assert _run_with_fleet(scenario) <= 2 + COORDINATOR_COUNT
 
 
 def test_run_changes_reach_new_coordinators_when_the_first_two_are_killed() -> None:
@@ -153,12 +155,12 @@
         host.work.end(request=RequestId("r"))
         host.begin("s", at="e1")
         await asyncio.sleep(0.25)
-        new_coordinators = [one for one in fleet.hosts if one.is_coordinator]
+        new_coordinators = [each for each in fleet.hosts if each.is_coordinator]
         assert len(new_coordinators) == COORDINATOR_COUNT
-        for one in new_coordinators:
-            assert (one.total("e0").waiting, one.total("e1").waiting) == (0, 1)
+        for coordinator in new_coordinators:
+            assert (coordinator.total("e0").waiting, coordinator.total("e1").waiting) == (0, 1)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_runs_of_a_killed_host_are_removed() -> None:
@@ -168,9 +170,9 @@
         await asyncio.sleep(0.05)
         await fleet.kill(host)
         await asyncio.sleep(20)
-        assert all(one.total("e0").waiting == 0 for one in fleet.hosts)
+        assert all(each.total("e0").waiting == 0 for each in fleet.hosts)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_leaving_upstream_costs_few_messages_when_all_hosts_detect_it_together() -> None:
@@ -182,7 +184,7 @@
         return fleet.received - before
 
     # From the source of the feed and from the first coordinator; all to all would be 24 times 23.
-    assert _run(scenario) <= 4 * HOSTS
+    assert _run_with_fleet(scenario) <= 4 * HOSTS
 
 
 def test_leaving_upstream_is_known_on_all_hosts_within_50_ms() -> None:
@@ -191,7 +193,7 @@
         await asyncio.sleep(0.05)
         assert all(host.control.gate.is_leaving(UpstreamId("e0")) for host in fleet.hosts)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_leaving_upstream_detected_by_one_host_reaches_all_hosts() -> None:
@@ -200,7 +202,7 @@
         await asyncio.sleep(0.25)
         assert all(host.control.gate.is_leaving(UpstreamId("e0")) for host in fleet.hosts)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_new_configuration_is_in_force_on_all_hosts_within_half_a_second() -> None:
@@ -209,7 +211,7 @@
         await asyncio.sleep(0.5)
         assert {host.control.configuration.head_revision for host in fleet.hosts} == {7}
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_idle_hosts_send_a_bounded_number_of_heartbeats() -> None:
@@ -221,10 +223,10 @@
             # One heartbeat every half second to each coordinator, sent up to a quarter early.
             assert sent / 30 <= COORDINATOR_COUNT * 2 * 1.3
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
-def test_silent_coordinator_is_skipped_after_three_heartbeat_intervals() -> None:
+def test_frozen_coordinator_is_skipped_after_three_heartbeat_intervals() -> None:
     async def scenario(fleet: Fleet) -> None:
         first, second = fleet.coordinators[:2]
         fleet.freeze(first)
@@ -233,7 +235,7 @@
         await asyncio.sleep(1.5)
         assert {host.decider for host in fleet.members} == {second.name}
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_reports_of_a_restarted_host_are_accepted_when_its_clock_was_set_back() -> None:
@@ -251,7 +253,7 @@
             known = (coordinator.total("e0").waiting, coordinator.total("e1").waiting)
             assert known == (0, 1)
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 async def _restart(fleet: Fleet, before: Host, *, wall_offset_ms: int) -> Host:
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -108,7 +108,7 @@
         advertised: str = "",
         revision: int = 0,
     ) -> MeshHost:
-        """Start a host that knows no peer address yet."""
+        """Start a host that has no peer addresses yet."""
         follower = FakeFollower(head_revision=Revision(revision))
         mesh = Mesh(
             host=HostId(name),
@@ -155,7 +155,7 @@
     return [peer.host for peer in host.mesh.live.value]
 
 
-def _build_entry(state: ListedState, *, incarnation: int = 1) -> ListedEntry:
+def _make_entry(state: ListedState, *, incarnation: int = 1) -> ListedEntry:
     return ListedEntry(
         id=ENGINE,
         kind=ListedKind.UPSTREAM,
@@ -199,12 +199,12 @@
     assert cluster.network.links <= 2
 
 
-async def test_frozen_peer_counts_as_failed_and_reconnects_after_thaw() -> None:
+async def test_frozen_peer_counts_as_failed_and_reconnects_when_it_resumes() -> None:
     cluster, a, b, c = await _start_three_hosts()
     cluster.freeze("c")
     await asyncio.sleep(4)
     assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b"], ["a"], [])
-    cluster.network.thaw()
+    cluster.network.resume()
     await asyncio.sleep(10)
     assert (_get_peers(a), _get_peers(b), _get_peers(c)) == (["b", "c"], ["a", "c"], ["a", "b"])
 
@@ -246,21 +246,21 @@
 async def test_refusal_at_one_host_closes_upstream_on_all_hosts_when_host_list_lags() -> None:
     _, a, b, c = await _start_three_hosts()
     for host in (a, b, c):
-        host.entries.on_next((_build_entry(ListedState.LIVE),))
+        host.entries.on_next((_make_entry(ListedState.LIVE),))
     a.gate.note_leaving(upstream=ENGINE)
     await asyncio.sleep(0.1)
     assert not any(host.gate.is_open(ENGINE) for host in (a, b, c))
     for host in (a, b, c):
-        host.entries.on_next((_build_entry(ListedState.LIVE),))
+        host.entries.on_next((_make_entry(ListedState.LIVE),))
     assert not any(host.gate.is_open(ENGINE) for host in (a, b, c))
-    a.entries.on_next((_build_entry(ListedState.LIVE, incarnation=2),))
+    a.entries.on_next((_make_entry(ListedState.LIVE, incarnation=2),))
     assert a.gate.is_open(ENGINE)
 
 
 async def test_upstream_without_incarnation_reopens_after_leaving_notice_expires() -> None:
     gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     live, leaving = (
-        _build_entry(state, incarnation=0) for state in (ListedState.LIVE, ListedState.LEAVING)
+        _make_entry(state, incarnation=0) for state in (ListedState.LIVE, ListedState.LEAVING)
     )
     gate.on_host_list([leaving])
     await asyncio.sleep(3600)
@@ -280,7 +280,7 @@
     await asyncio.sleep(1)
     assert not b.gate.is_open(ENGINE)
     assert c.gate.is_open(ENGINE)
-    c.entries.on_next((_build_entry(ListedState.LEAVING),))
+    c.entries.on_next((_make_entry(ListedState.LEAVING),))
     assert not c.gate.is_open(ENGINE)
 
 
@@ -369,7 +369,7 @@
 
 async def test_host_without_peers_is_not_ready() -> None:
     cluster = MemoryCluster()
-    alone = await cluster.start("a", revision=3)
-    alone.replicator.note_hosts_known()
+    host = await cluster.start("a", revision=3)
+    host.replicator.note_hosts_known()
     await asyncio.sleep(5)
-    assert not alone.follower.ready
+    assert not host.follower.ready
--- a/testing/test_mesh.py
+++ b/testing/test_mesh.py
@@ -243,7 +243,7 @@
     foreign_authority = CertificateAuthority(directory=tmp_path, name="foreign")
     a, address = await make_mesh("a", peer_ssl_contexts(tls=own_authority.issue("a")))
     b, _ = await make_mesh("b", peer_ssl_contexts(tls=own_authority.issue("b")))
-    intruder, _ = await make_mesh(
+    foreign_mesh, _ = await make_mesh(
         "mallory", peer_ssl_contexts(tls=foreign_authority.issue("mallory"))
     )
     unverified_context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -252,11 +252,11 @@
     for client in (unverified_context, None):
         with pytest.raises((WebSocketException, OSError, EOFError)):
             await _connect_and_exchange(address, client)
-    intruder.set_peers([PeerAddress(address=address)])
+    foreign_mesh.set_peers([PeerAddress(address=address)])
     b.set_peers([PeerAddress(address=address)])
-    await _wait_until(lambda: a.live.value and intruder.has_tried_all)
+    await _wait_until(lambda: a.live.value and foreign_mesh.has_tried_all)
     assert [peer.host for peer in a.live.value] == ["b"]
-    assert intruder.live.value == ()
+    assert foreign_mesh.live.value == ()
 
 
 async def _connect_and_exchange(address: str, client: ssl.SSLContext | None) -> None:
--- a/testing/test_move_planner.py
+++ b/testing/test_move_planner.py
@@ -15,9 +15,9 @@
 from tanagerscale.generated.messages import MoveOrder
 from tanagerscale.generated.messages import RunUse
 from tanagerscale.membership import Message
-from testing._gateway_fakes import Bench
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._single_host import HOST
 from testing._virtual_time import run_virtually
 
@@ -28,8 +28,8 @@
     """Hosts that use one decider, and the orders it sends."""
 
     def __init__(self, *engines: str) -> None:
-        self.bench: Bench = make_bench(*(make_entry(name) for name in engines))
-        self.coordinator = self.bench.alone.coordinator
+        self.fakes: GatewayFakes = make_gateway_fakes(*(make_entry(name) for name in engines))
+        self.coordinator = self.fakes.single_host.coordinator
         self.ordered: list[tuple[str, MoveOrder, int]] = []
         self.coordinator.planner._order = self._order
         self.gone: set[str] = set()
@@ -38,7 +38,7 @@
         assert isinstance(message, MoveOrder)
         if host in self.gone:
             return False
-        self.ordered.append((host, message, self.bench.parts.clock.now()))
+        self.ordered.append((host, message, self.fakes.parts.clock.now()))
         return True
 
     def report(self, host: str, *names: str, at: str = "x", number: int = 1) -> None:
@@ -52,7 +52,7 @@
 
     def leave(self, name: str) -> None:
         """Mark an engine as leaving."""
-        self.bench.upstreams.leaving.add(name)
+        self.fakes.upstreams.leaving.add(name)
         self.coordinator.on_upstreams(UpstreamId(name))
 
     def end(self, number: int, *, is_done: bool = True) -> None:
@@ -62,7 +62,7 @@
 
 
 def test_copies_from_one_engine_never_overlap_across_hosts() -> None:
-    async def main() -> None:
+    async def scenario() -> None:
         harness = PlannerHarness("x", "y", "z")
         for number in range(4):
             harness.report(f"host-{number}", f"r{number}")
@@ -74,15 +74,15 @@
             harness.end(number)
         assert len({order.request for _, order, _ in harness.ordered}) == 4
 
-    run_virtually(main())
+    run_virtually(scenario())
 
 
 def test_copies_that_share_no_engine_run_concurrently() -> None:
-    async def main() -> None:
+    async def scenario() -> None:
         harness = PlannerHarness("x", "y", "z", "w")
         harness.report("a", "1", at="x")
         harness.report("b", "2", at="z")
-        harness.bench.upstreams.leaving |= {"x", "z"}
+        harness.fakes.upstreams.leaving |= {"x", "z"}
         harness.leave("x")
         harness.leave("z")
         await asyncio.sleep(0.05)
@@ -90,11 +90,11 @@
         assert len(used) == 2
         assert not used[0] & used[1]
 
-    run_virtually(main())
+    run_virtually(scenario())
 
 
 def test_next_copy_starts_when_the_host_of_the_current_copy_disconnects() -> None:
-    async def main() -> list[str]:
+    async def scenario() -> list[str]:
         harness = PlannerHarness("x", "y")
         harness.report("a", "1")
         harness.report("b", "2")
@@ -105,11 +105,11 @@
         await asyncio.sleep(2 * PLANNING_DELAY_MS / 1000)
         return sorted(host for host, *_ in harness.ordered)
 
-    assert run_virtually(main()) == ["a", "b"]
+    assert run_virtually(scenario()) == ["a", "b"]
 
 
 def test_next_copy_starts_when_the_current_order_times_out() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         harness = PlannerHarness("x", "y")
         harness.report("a", "1")
         harness.report("b", "2")
@@ -117,11 +117,11 @@
         await asyncio.sleep(1.2)
         return harness.ordered[1][2]
 
-    assert ORDER_TIMEOUT_MS <= run_virtually(main()) <= ORDER_TIMEOUT_MS + 110
+    assert ORDER_TIMEOUT_MS <= run_virtually(scenario()) <= ORDER_TIMEOUT_MS + 110
 
 
 def test_unreachable_host_does_not_block_orders_for_other_hosts() -> None:
-    async def main() -> None:
+    async def scenario() -> None:
         harness = PlannerHarness("x", "y")
         harness.gone.add("a")
         harness.report("a", "1")
@@ -130,11 +130,11 @@
         await asyncio.sleep(0.05)
         assert [host for host, *_ in harness.ordered] == ["b"]
 
-    run_virtually(main())
+    run_virtually(scenario())
 
 
 def test_remaining_copies_are_not_all_ordered_at_the_end_of_a_notice() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         harness = PlannerHarness("x", "y", "z")
         for number in range(8):
             harness.report(f"host-{number}", f"r{number}")
@@ -143,14 +143,14 @@
         await asyncio.sleep(3)
         return len(harness.ordered)
 
-    assert run_virtually(main()) == 2
+    assert run_virtually(scenario()) == 2
 
 
 @pytest.mark.parametrize("failures", [1, 3])
 def test_run_is_tried_on_another_engine_after_a_failed_move(
     failures: int,
 ) -> None:
-    async def main() -> None:
+    async def scenario() -> None:
         harness = PlannerHarness("x", "y", "z", "w", "v")
         harness.report("a", "1")
         harness.leave("x")
@@ -161,11 +161,11 @@
         assert len(targets) == failures + 1
         assert len(set(targets)) == failures + 1
 
-    run_virtually(main())
+    run_virtually(scenario())
 
 
 def test_completion_of_an_order_from_another_host_is_ignored() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         harness = PlannerHarness("x", "y")
         harness.report("a", "1")
         harness.report("b", "2")
@@ -176,4 +176,4 @@
         await asyncio.sleep(0.1)
         return len(harness.ordered)
 
-    assert run_virtually(main()) == 1
+    assert run_virtually(scenario()) == 1
