--- a/testing/test_overload.py
+++ b/testing/test_overload.py
@@ -44,7 +44,7 @@
 MAX_STORE_REFUSAL_MS = 100
 HOUR_MS = 3_600_000
 CALLERS = 12
-MIN_CROWD = 12
+MIN_SIMULTANEOUS_REFUSALS = 12
 """Minimum number of simultaneous refusals whose retries must be spread."""
 
 
@@ -53,14 +53,18 @@
     retries_by_refusal: defaultdict[int, list[int]] = defaultdict(list)
     for each in refused:
         retries_by_refusal[each.refused_at].append(each.retry_at)
-    crowds = [returns for returns in retries_by_refusal.values() if len(returns) >= MIN_CROWD]
-    assert crowds, "No calls were refused at the same time, so the spread cannot be checked."
-    return all(max(Counter(crowd).values()) <= 0.75 * len(crowd) for crowd in crowds)
+    groups = [
+        retry_times
+        for retry_times in retries_by_refusal.values()
+        if len(retry_times) >= MIN_SIMULTANEOUS_REFUSALS
+    ]
+    assert groups, "No calls were refused at the same time, so the spread cannot be checked."
+    return all(max(Counter(group).values()) <= 0.75 * len(group) for group in groups)
 
 
-async def _lose_engines(simulation: Simulation, *, dead: int, load: float) -> None:
+async def _lose_engines(simulation: Simulation, *, crashed: int, load: float) -> None:
     load_task = asyncio.create_task(simulation.generate_load(END_MS, load=load))
-    failed_engines = list(simulation.engines.values())[:dead]
+    failed_engines = list(simulation.engines.values())[:crashed]
     await simulation.clock.sleep(FAILURE_MS)
     for engine in failed_engines:
         engine.crash()
@@ -71,13 +75,13 @@
     await simulation.wait_for_callers()
 
 
-def test_throughput_is_maintained_and_recovers_when_half_of_the_engines_die() -> None:
-    async def run() -> Simulation:
+def test_throughput_is_maintained_and_recovers_when_half_of_the_engines_crash() -> None:
+    async def scenario() -> Simulation:
         simulation = Simulation(hosts=2, engines=4, max_batch=6)
-        await _lose_engines(simulation, dead=2, load=0.9)
+        await _lose_engines(simulation, crashed=2, load=0.9)
         return simulation
 
-    simulation = run_virtually(run())
+    simulation = run_virtually(scenario())
     before = simulation.completed_per_s(5_000, FAILURE_MS)
     # Half of the engines have half of the total capacity.
     assert simulation.completed_per_s(FAILURE_MS + 2_000, RECOVERY_MS) >= 0.45 * simulation.capacity
@@ -93,12 +97,12 @@
 
 
 def test_retries_of_callers_are_spread_when_all_engines_were_lost() -> None:
-    async def run() -> Simulation:
+    async def scenario() -> Simulation:
         simulation = Simulation(hosts=2, engines=2, max_batch=16)
-        await _lose_engines(simulation, dead=2, load=0.9)
+        await _lose_engines(simulation, crashed=2, load=0.9)
         return simulation
 
-    simulation = run_virtually(run())
+    simulation = run_virtually(scenario())
     before = simulation.completed_per_s(5_000, FAILURE_MS)
     assert simulation.completed_per_s(RECOVERY_MS + 5_000, END_MS) >= 0.9 * before
     assert len(simulation.completed_at) == simulation.started_callers
@@ -155,7 +159,7 @@
     calls = 1_000
     reserve = 10
 
-    async def run() -> FakeService:
+    async def scenario() -> FakeService:
         service = FakeService(
             failure_points=[FailurePoint.BEFORE_EXECUTION, FailurePoint.NONE, FailurePoint.NONE]
             * calls
@@ -168,7 +172,7 @@
             )
         return service
 
-    retries = len(run_virtually(run()).sent_to) - calls
+    retries = len(run_virtually(scenario()).sent_to) - calls
     assert 0.09 * calls <= retries <= 0.1 * calls + reserve
 
 
@@ -187,7 +191,7 @@
     iterations: int,
 ) -> None:
     # asyncio.wait_for in Python 3.11 can swallow a cancellation that races with the event.
-    async def run() -> bool:
+    async def scenario() -> bool:
         simulation = Simulation(hosts=1, engines=1, max_batch=1)
         crashes = simulation.hosts[0].context.crash_watch
         waiting = asyncio.create_task(crashes.wait_change())
@@ -200,12 +204,12 @@
         await asyncio.wait({waiting})
         return waiting.cancelled() or not cancel_requested
 
-    assert run_virtually(run())
+    assert run_virtually(scenario())
 
 
 def test_runs_of_a_peer_are_removed_when_the_connection_to_it_is_renewed() -> None:
     # Guards against exclusions that persist when the announcement of a run's end is lost.
-    async def run() -> bool:
+    async def scenario() -> bool:
         simulation = Simulation(hosts=2, engines=3, max_batch=1)
         host, peer = simulation.hosts
         verdict = Verdict(
@@ -224,4 +228,4 @@
         excluded = host.context.crash_watch.excluded_engines(fingerprint="plan", model=MODEL)
         return "engine-2" in excluded
 
-    assert run_virtually(run())
+    assert run_virtually(scenario())
--- a/testing/test_platform_end_to_end.py
+++ b/testing/test_platform_end_to_end.py
@@ -24,33 +24,33 @@
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[PlatformWorld]:
+async def platform() -> AsyncIterator[PlatformWorld]:
     """Start a platform with one host, two engines and two plain upstreams."""
-    made = PlatformWorld()
-    await made.start()
+    created = PlatformWorld()
+    await created.start()
     for name in ("e1", "e2"):
-        await made.add_upstream(name, MODEL_SERVICE)
+        await created.add_upstream(name, MODEL_SERVICE)
     for name in ("p1", "p2"):
-        await made.add_upstream(name, PLAIN_SERVICE)
-    await made.add_host("h1")
-    await _wait_until_settled(made, "h1")
-    yield made
-    await made.stop()
+        await created.add_upstream(name, PLAIN_SERVICE)
+    await created.add_host("h1")
+    await _wait_until_settled(created, "h1")
+    yield created
+    await created.stop()
 
 
-async def _wait_until_settled(world: PlatformWorld, *hosts: str) -> None:
-    """Wait until hosts know the current configuration and the upstreams."""
+async def _wait_until_settled(platform: PlatformWorld, *hosts: str) -> None:
+    """Wait until hosts have the current configuration and the upstreams."""
     for host in hosts:
-        known = world.hosts[host]
-        await world.wait_until(
+        known = platform.hosts[host]
+        await platform.wait_until(
             lambda known=known: known.ready
-            and known.version == _stored_version(world)
+            and known.version == _stored_version(platform)
             and known.known_upstreams >= 4
         )
 
 
-def _stored_version(world: PlatformWorld) -> int:
-    value = world.store.value("op/config")
+def _stored_version(platform: PlatformWorld) -> int:
+    value = platform.store.value("op/config")
     assert value is not None
     version: int = msgspec.json.decode(value)["version"]
     return version
@@ -66,20 +66,22 @@
     return {line.rpartition(".")[0] for line in lines if line.startswith("data: ")}
 
 
-def _assert_no_request_ran_twice(world: PlatformWorld) -> None:
-    runs = Counter(arrival.request for arrival in world.ledger.arrivals if arrival.ran)
+def _assert_no_request_ran_twice(platform: PlatformWorld) -> None:
+    runs = Counter(arrival.request for arrival in platform.ledger.arrivals if arrival.ran)
     repeated = {request for request, times in runs.items() if times > 1}
-    moved = {arrival.request for arrival in world.ledger.arrivals if "Kv-From" in arrival.headers}
+    moved = {
+        arrival.request for arrival in platform.ledger.arrivals if "Kv-From" in arrival.headers
+    }
     assert repeated <= moved
-    assert all(times == 1 for times in world.ledger.generations.values())
+    assert all(times == 1 for times in platform.ledger.generations.values())
 
 
 @pytest.mark.asyncio
-async def test_call_is_answered_by_an_upstream_of_its_service(world: PlatformWorld) -> None:
-    answer = await world.call("h1", "/book/x?y=1")
+async def test_call_is_answered_by_an_upstream_of_its_service(platform: PlatformWorld) -> None:
+    answer = await platform.call("h1", "/book/x?y=1")
     assert answer.status == 200
     assert answer.headers["Tanagerscale-Server-Stamp"] in ("p1", "p2")
-    (arrival,) = world.ledger.arrivals
+    (arrival,) = platform.ledger.arrivals
     assert (arrival.method, arrival.target, arrival.body) == ("POST", "/book/x?y=1", b"content")
     assert arrival.headers["Tanagerscale-Tenant"] == "one"
     assert "Authorization" not in arrival.headers
@@ -87,8 +89,8 @@
 
 
 @pytest.mark.asyncio
-async def test_stream_is_forwarded_completely(world: PlatformWorld) -> None:
-    answer = await world.call("h1", "/draft/x", tokens=TOKENS)
+async def test_stream_is_forwarded_completely(platform: PlatformWorld) -> None:
+    answer = await platform.call("h1", "/draft/x", tokens=TOKENS)
     assert (answer.status, answer.whole) == (200, True)
     assert _event_numbers(answer) == list(range(1, 21))
 
@@ -99,29 +101,29 @@
     [("/book/x", None, 401), ("/book/x", "wrong", 401), ("/none/x", KEY, 404)],
 )
 async def test_call_is_refused_when_its_key_or_route_is_unknown(
-    world: PlatformWorld, path: str, key: str | None, status: int
+    platform: PlatformWorld, path: str, key: str | None, status: int
 ) -> None:
-    answer = await world.call("h1", path, key=key)
+    answer = await platform.call("h1", path, key=key)
     assert answer.status == status
     assert b"detail" in answer.body
-    assert world.ledger.arrivals == []
+    assert platform.ledger.arrivals == []
 
 
 @pytest.mark.asyncio
-async def test_call_is_refused_when_its_body_is_too_large(world: PlatformWorld) -> None:
-    answer = await world.call("h1", "/book/x", body=b"x" * 200_000)
+async def test_call_is_refused_when_its_body_is_too_large(platform: PlatformWorld) -> None:
+    answer = await platform.call("h1", "/book/x", body=b"x" * 200_000)
     assert answer.status in (0, 413)
-    assert world.ledger.arrivals == []
+    assert platform.ledger.arrivals == []
 
 
 @pytest.mark.asyncio
-async def test_caller_cannot_set_reserved_header_fields(world: PlatformWorld) -> None:
-    await world.call(
+async def test_caller_cannot_set_reserved_header_fields(platform: PlatformWorld) -> None:
+    await platform.call(
         "h1",
         "/book/x",
         headers={"Tanagerscale-Tenant": "other", "Kv-From": "x/y", "Tanagerscale-Hold": "1"},
     )
-    (arrival,) = world.ledger.arrivals
+    (arrival,) = platform.ledger.arrivals
     assert arrival.headers["Tanagerscale-Tenant"] == "one"
     assert "Kv-From" not in arrival.headers
     assert "Tanagerscale-Hold" not in arrival.headers
@@ -129,192 +131,197 @@
 
 @pytest.mark.asyncio
 async def test_non_idempotent_request_runs_once_when_its_response_is_lost(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
-    answer = await world.call("h1", "/book/x")
+        platform.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
+    answer = await platform.call("h1", "/book/x")
     assert answer.status == 502
-    assert len(world.ledger.arrivals) == 1
+    assert len(platform.ledger.arrivals) == 1
 
 
 @pytest.mark.asyncio
 async def test_idempotent_request_is_retried_elsewhere_when_its_response_is_lost(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
-    answer = await world.call("h1", "/read/x", method="GET")
+        platform.upstreams[name].mood = UpstreamMood.LOSES_ANSWERS
+    answer = await platform.call("h1", "/read/x", method="GET")
     assert answer.status == 502
     assert (
-        len({arrival.headers["Tanagerscale-Expect-Instance"] for arrival in world.ledger.arrivals})
+        len(
+            {
+                arrival.headers["Tanagerscale-Expect-Instance"]
+                for arrival in platform.ledger.arrivals
+            }
+        )
         == 2
     )
 
 
 @pytest.mark.asyncio
 async def test_refused_request_has_not_run_when_all_upstreams_are_full(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.FULL
-    answer = await world.call("h1", "/book/x")
+        platform.upstreams[name].mood = UpstreamMood.FULL
+    answer = await platform.call("h1", "/book/x")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
-    assert not any(arrival.ran for arrival in world.ledger.arrivals)
+    assert not any(arrival.ran for arrival in platform.ledger.arrivals)
 
 
 @pytest.mark.asyncio
 async def test_stream_continues_as_the_same_run_when_its_engine_leaves(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
-    await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
+    calls = [asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
+    await platform.wait_until(lambda: len(platform.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
-    leaving = world.upstreams["e1"]
+    leaving = platform.upstreams["e1"]
     leaving.leaving = True
-    world.register(leaving, MODEL_SERVICE, state="draining")
+    platform.register(leaving, MODEL_SERVICE, state="draining")
     answers = await asyncio.gather(*calls)
     for answer in answers:
         assert answer.whole
         assert _event_numbers(answer) == list(range(1, 21))
         assert len(_generation_ids(answer)) == 1
-    assert any("Kv-From" in arrival.headers for arrival in world.ledger.arrivals)
-    assert world.ledger.overlaps == []
-    _assert_no_request_ran_twice(world)
+    assert any("Kv-From" in arrival.headers for arrival in platform.ledger.arrivals)
+    assert platform.ledger.overlaps == []
+    _assert_no_request_ran_twice(platform)
 
 
 @pytest.mark.asyncio
 async def test_incomplete_stream_never_looks_complete_when_its_engine_crashes(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
-    await world.wait_until(lambda: len(world.upstreams["e1"].running) >= 2)
+    calls = [asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(4)]
+    await platform.wait_until(lambda: len(platform.upstreams["e1"].running) >= 2)
     await asyncio.sleep(0.03)
-    await world.upstreams["e1"].stop()
+    await platform.upstreams["e1"].stop()
     for answer in await asyncio.gather(*calls):
         assert answer.whole == (_event_numbers(answer) == list(range(1, 21)))
         assert _event_numbers(answer) == list(range(1, len(_event_numbers(answer)) + 1))
-    _assert_no_request_ran_twice(world)
+    _assert_no_request_ran_twice(platform)
 
 
 @pytest.mark.asyncio
-async def test_engine_stops_when_the_caller_disconnects(world: PlatformWorld) -> None:
-    call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
-    engines = [world.upstreams[name] for name in ("e1", "e2")]
-    await world.wait_until(lambda: any(engine.running for engine in engines))
+async def test_engine_stops_when_the_caller_disconnects(platform: PlatformWorld) -> None:
+    call = asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS))
+    engines = [platform.upstreams[name] for name in ("e1", "e2")]
+    await platform.wait_until(lambda: any(engine.running for engine in engines))
     call.cancel()
-    await world.wait_until(lambda: not any(engine.running for engine in engines))
+    await platform.wait_until(lambda: not any(engine.running for engine in engines))
 
 
 @pytest.mark.asyncio
-async def test_leaving_upstream_gets_no_new_requests(world: PlatformWorld) -> None:
-    leaving = world.upstreams["p1"]
-    world.register(leaving, PLAIN_SERVICE, state="draining")
-    await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 1)
+async def test_leaving_upstream_gets_no_new_requests(platform: PlatformWorld) -> None:
+    leaving = platform.upstreams["p1"]
+    platform.register(leaving, PLAIN_SERVICE, state="draining")
+    await platform.wait_until(lambda: platform.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 1)
     for _ in range(10):
-        answer = await world.call("h1", "/book/x")
+        answer = await platform.call("h1", "/book/x")
         assert answer.headers["Tanagerscale-Server-Stamp"] == "p2"
 
 
 @pytest.mark.asyncio
 async def test_request_is_retried_elsewhere_when_another_upstream_has_the_address(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    world.upstreams["p1"].upstream = "of-another-service"
+    platform.upstreams["p1"].upstream = "of-another-service"
     for _ in range(6):
-        answer = await world.call("h1", "/book/x")
+        answer = await platform.call("h1", "/book/x")
         assert answer.headers["Tanagerscale-Server-Stamp"] == "p2"
-    ran = [arrival for arrival in world.ledger.arrivals if arrival.ran]
+    ran = [arrival for arrival in platform.ledger.arrivals if arrival.ran]
     assert len(ran) == 6
 
 
 @pytest.mark.asyncio
-async def test_new_version_is_activated_as_a_whole(world: PlatformWorld) -> None:
+async def test_new_version_is_activated_as_a_whole(platform: PlatformWorld) -> None:
     value = configuration(version=5)
     value["routes"] = value["routes"][:2]
     value["tenants"] = [{"name": "two", "apiKeys": ["other-key"]}]
-    world.configure(value)
-    await _wait_until_settled(world, "h1")
-    assert (await world.call("h1", "/book/x", key="other-key")).status == 200
-    assert (await world.call("h1", "/book/x")).status == 401
-    assert (await world.call("h1", "/read/x", method="GET", key="other-key")).status == 404
+    platform.configure(value)
+    await _wait_until_settled(platform, "h1")
+    assert (await platform.call("h1", "/book/x", key="other-key")).status == 200
+    assert (await platform.call("h1", "/book/x")).status == 401
+    assert (await platform.call("h1", "/read/x", method="GET", key="other-key")).status == 404
 
 
 @pytest.mark.asyncio
-async def test_requests_are_served_while_the_store_is_down(world: PlatformWorld) -> None:
-    world.store.mood = StoreMood.SILENT
-    assert (await world.call("h1", "/book/x")).status == 200
-    assert (await world.call("h1", "/draft/x", tokens=TOKENS)).whole
+async def test_requests_are_served_while_the_store_is_down(platform: PlatformWorld) -> None:
+    platform.store.mood = StoreMood.SILENT
+    assert (await platform.call("h1", "/book/x")).status == 200
+    assert (await platform.call("h1", "/draft/x", tokens=TOKENS)).whole
 
 
 @pytest.mark.asyncio
 async def test_host_cut_from_the_store_gets_a_new_version_from_its_peers(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    await world.add_host("h2", seeds=(world.peers_address("h1"),))
-    await _wait_until_settled(world, "h1", "h2")
-    await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
-    world.cut_from_store("h2")
-    world.configure(configuration(version=9))
-    await _wait_until_settled(world, "h1", "h2")
+    await platform.add_host("h2", seeds=(platform.peers_address("h1"),))
+    await _wait_until_settled(platform, "h1", "h2")
+    await platform.wait_until(lambda: platform.hosts["h2"].peers == ["h1"])
+    platform.cut_from_store("h2")
+    platform.configure(configuration(version=9))
+    await _wait_until_settled(platform, "h1", "h2")
 
 
 @pytest.mark.asyncio
 async def test_host_is_not_ready_before_it_knows_a_version() -> None:
-    world = PlatformWorld()
-    await world.start()
+    platform = PlatformWorld()
+    await platform.start()
     try:
-        world.store.delete("op/config")
-        await world.add_host("h1")
-        assert not world.hosts["h1"].ready
-        answer = await world.call("h1", "/book/x")
+        platform.store.delete("op/config")
+        await platform.add_host("h1")
+        assert not platform.hosts["h1"].ready
+        answer = await platform.call("h1", "/book/x")
         assert answer.status == 503
         assert "Retry-After" in answer.headers
-        world.configure(configuration(version=2))
-        await world.wait_until(lambda: world.hosts["h1"].ready)
+        platform.configure(configuration(version=2))
+        await platform.wait_until(lambda: platform.hosts["h1"].ready)
     finally:
-        await world.stop()
+        await platform.stop()
 
 
 @pytest.mark.asyncio
 async def test_graceful_shutdown_finishes_running_requests_and_refuses_none(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    calls = [asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(3)]
-    await world.wait_until(lambda: len(world.ledger.arrivals) == 3)
-    host = world.hosts["h1"]
+    calls = [asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS)) for _ in range(3)]
+    await platform.wait_until(lambda: len(platform.ledger.arrivals) == 3)
+    host = platform.hosts["h1"]
     stopping = asyncio.create_task(host.stop())
     answers = await asyncio.gather(*calls)
     assert all(answer.whole for answer in answers)
     assert not host.ready
-    answer = await world.call("h1", "/book/x")
+    answer = await platform.call("h1", "/book/x")
     assert answer.status == 200
     assert answer.headers["Connection"] == "close"
     await stopping
-    assert (await world.call("h1", "/book/x")).status == 0
+    assert (await platform.call("h1", "/book/x")).status == 0
 
 
 @pytest.mark.asyncio
-async def test_hosts_exchange_their_running_requests(world: PlatformWorld) -> None:
-    await world.add_host("h2", seeds=(world.peers_address("h1"),))
-    await _wait_until_settled(world, "h2")
-    await world.wait_until(lambda: world.hosts["h2"].peers == ["h1"])
-    call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
-    await world.wait_until(lambda: world.hosts["h2"].known_runs == 1)
+async def test_hosts_exchange_their_running_requests(platform: PlatformWorld) -> None:
+    await platform.add_host("h2", seeds=(platform.peers_address("h1"),))
+    await _wait_until_settled(platform, "h2")
+    await platform.wait_until(lambda: platform.hosts["h2"].peers == ["h1"])
+    call = asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS))
+    await platform.wait_until(lambda: platform.hosts["h2"].known_runs == 1)
     await call
-    await world.wait_until(lambda: world.hosts["h2"].known_runs == 0)
+    await platform.wait_until(lambda: platform.hosts["h2"].known_runs == 0)
 
 
 @pytest.mark.asyncio
-async def test_retry_budget_is_shared_with_unreachable_hosts(world: PlatformWorld) -> None:
+async def test_retry_budget_is_shared_with_unreachable_hosts(platform: PlatformWorld) -> None:
     for number in range(2, 11):
         record = {"host": f"h{number}", "peers": "127.0.0.1:9", "incarnation": 1}
-        world.store.put(f"tanagerscale/hosts/h{number}", msgspec.json.encode(record))
-    await world.wait_until(lambda: world.hosts["h1"].known_hosts == 10)
+        platform.store.put(f"tanagerscale/hosts/h{number}", msgspec.json.encode(record))
+    await platform.wait_until(lambda: platform.hosts["h1"].known_hosts == 10)
     for name in ("p1", "p2"):
-        world.upstreams[name].mood = UpstreamMood.FULL
+        platform.upstreams[name].mood = UpstreamMood.FULL
     for _ in range(18):
-        await world.call("h1", "/book/x")
+        await platform.call("h1", "/book/x")
     # A host that counted only reachable hosts would repeat each of the eighteen requests.
-    assert 18 <= len(world.ledger.arrivals) < 36
+    assert 18 <= len(platform.ledger.arrivals) < 36
--- a/testing/test_platform_restarts.py
+++ b/testing/test_platform_restarts.py
@@ -27,80 +27,80 @@
 
 
 @pytest_asyncio.fixture
-async def world() -> AsyncIterator[PlatformWorld]:
+async def platform() -> AsyncIterator[PlatformWorld]:
     """Start a platform with one host, one engine and one plain upstream."""
-    made = PlatformWorld()
-    await made.start()
-    await made.add_upstream("e1", MODEL_SERVICE, born=START_TIMES_MS[0])
-    await made.add_upstream("p1", PLAIN_SERVICE, born=START_TIMES_MS[0])
-    await made.add_host("h1")
-    host = made.hosts["h1"]
-    await made.wait_until(lambda: host.ready and host.known_upstreams == 2)
-    yield made
-    await made.stop()
-
-
-def _entry_of(world: PlatformWorld, name: str) -> UpstreamEntry:
-    value = world.store.value(f"servers/{name}")
+    created = PlatformWorld()
+    await created.start()
+    await created.add_upstream("e1", MODEL_SERVICE, born=START_TIMES_MS[0])
+    await created.add_upstream("p1", PLAIN_SERVICE, born=START_TIMES_MS[0])
+    await created.add_host("h1")
+    host = created.hosts["h1"]
+    await created.wait_until(lambda: host.ready and host.known_upstreams == 2)
+    yield created
+    await created.stop()
+
+
+def _entry_of(platform: PlatformWorld, name: str) -> UpstreamEntry:
+    value = platform.store.value(f"servers/{name}")
     assert value is not None
     return decode_entry(f"servers/{name}", value).unwrap()
 
 
-async def _restart(world: PlatformWorld, name: str, service: str, born: int) -> UpstreamEmulator:
-    started = await world.restart_upstream(name, service, born=born)
-    host = world.hosts["h1"]
-    upstream = _entry_of(world, name).upstream
+async def _restart(platform: PlatformWorld, name: str, service: str, born: int) -> UpstreamEmulator:
+    started = await platform.restart_upstream(name, service, born=born)
+    host = platform.hosts["h1"]
+    upstream = _entry_of(platform, name).upstream
     roster = host._control.roster
-    await world.wait_until(lambda: roster.get(upstream) is not None)
+    await platform.wait_until(lambda: roster.get(upstream) is not None)
     return started
 
 
 @pytest.mark.asyncio
 async def test_call_runs_on_the_new_incarnation_when_the_old_one_was_leaving(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    world.register(world.upstreams["p1"], PLAIN_SERVICE, state="draining")
-    await world.wait_until(lambda: world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 0)
-    await _restart(world, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
-    answer = await world.call("h1", "/book/x")
+    platform.register(platform.upstreams["p1"], PLAIN_SERVICE, state="draining")
+    await platform.wait_until(lambda: platform.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 0)
+    await _restart(platform, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
+    answer = await platform.call("h1", "/book/x")
     assert answer.status == 200
 
 
 @pytest.mark.asyncio
 async def test_late_entry_of_the_old_incarnation_does_not_close_the_new_one(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    previous = world.upstreams["p1"]
-    await _restart(world, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
-    world.register(previous, PLAIN_SERVICE, state="draining")
-    known = world.hosts["h1"].known_upstreams
-    await world.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
-    await world.wait_until(lambda: world.hosts["h1"].known_upstreams > known)
-    assert world.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 2
+    previous = platform.upstreams["p1"]
+    await _restart(platform, "p1", PLAIN_SERVICE, START_TIMES_MS[1])
+    platform.register(previous, PLAIN_SERVICE, state="draining")
+    known = platform.hosts["h1"].known_upstreams
+    await platform.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
+    await platform.wait_until(lambda: platform.hosts["h1"].known_upstreams > known)
+    assert platform.hosts["h1"].count_open_upstreams(PLAIN_SERVICE) == 2
 
 
 @pytest.mark.asyncio
 async def test_request_that_crashes_each_incarnation_of_an_engine_is_finally_refused(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
-    engine = world.upstreams["e1"]
+    engine = platform.upstreams["e1"]
     for born in START_TIMES_MS[1 : MAX_CRASHES + 1]:
         engine.mood = UpstreamMood.HANGS
-        call = asyncio.create_task(world.call("h1", "/draft/x", tokens=TOKENS))
-        await world.wait_until(lambda engine=engine: len(engine.running) == 1)
-        engine = await _restart(world, "e1", MODEL_SERVICE, born)
+        call = asyncio.create_task(platform.call("h1", "/draft/x", tokens=TOKENS))
+        await platform.wait_until(lambda engine=engine: len(engine.running) == 1)
+        engine = await _restart(platform, "e1", MODEL_SERVICE, born)
         assert (await call).status != 200
-    await world.call("h1", "/draft/x", tokens=TOKENS)
-    arrivals = [arrival for arrival in world.ledger.arrivals if arrival.ran]
+    await platform.call("h1", "/draft/x", tokens=TOKENS)
+    arrivals = [arrival for arrival in platform.ledger.arrivals if arrival.ran]
     assert len(arrivals) == MAX_CRASHES
 
 
 @pytest.mark.asyncio
-async def test_no_runs_are_counted_for_an_ended_incarnation(world: PlatformWorld) -> None:
-    await _restart(world, "e1", MODEL_SERVICE, START_TIMES_MS[1])
-    answer = await world.call("h1", "/draft/x", tokens=TOKENS)
+async def test_no_runs_are_counted_for_an_ended_incarnation(platform: PlatformWorld) -> None:
+    await _restart(platform, "e1", MODEL_SERVICE, START_TIMES_MS[1])
+    answer = await platform.call("h1", "/draft/x", tokens=TOKENS)
     assert (answer.status, answer.whole) == (200, True)
-    assert world.hosts["h1"].known_runs == 0
+    assert platform.hosts["h1"].known_runs == 0
 
 
 @pytest.mark.asyncio
@@ -114,36 +114,36 @@
     ],
 )
 async def test_invalid_entry_is_ignored_and_other_upstreams_serve(
-    world: PlatformWorld, value: object
+    platform: PlatformWorld, value: object
 ) -> None:
-    world.put_entry("made-up", value)
-    await world.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
-    await world.wait_until(lambda: world.hosts["h1"].known_upstreams == 3)
-    answers = [await world.call("h1", "/book/x") for _ in range(6)]
+    platform.put_entry("made-up", value)
+    await platform.add_upstream("p2", PLAIN_SERVICE, born=START_TIMES_MS[0])
+    await platform.wait_until(lambda: platform.hosts["h1"].known_upstreams == 3)
+    answers = [await platform.call("h1", "/book/x") for _ in range(6)]
     assert [answer.status for answer in answers] == [200] * 6
 
 
 @pytest.mark.asyncio
 async def test_report_of_another_incarnation_is_refused(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=1000)
     client = PlatformUpstreams(pool=pool)
-    previous = _entry_of(world, "e1")
+    previous = _entry_of(platform, "e1")
     assert isinstance(await client.report(upstream=previous), Success)
-    await _restart(world, "e1", MODEL_SERVICE, START_TIMES_MS[1])
+    await _restart(platform, "e1", MODEL_SERVICE, START_TIMES_MS[1])
     assert isinstance(await client.report(upstream=previous), Failure)
-    assert isinstance(await client.report(upstream=_entry_of(world, "e1")), Success)
+    assert isinstance(await client.report(upstream=_entry_of(platform, "e1")), Success)
     pool.close()
 
 
 @pytest.mark.asyncio
 async def test_idle_connections_to_an_ended_incarnation_are_not_reused(
-    world: PlatformWorld,
+    platform: PlatformWorld,
 ) -> None:
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=1000, idle_ms=60_000)
     client = PlatformUpstreams(pool=pool)
-    entry = _entry_of(world, "e1")
+    entry = _entry_of(platform, "e1")
     await client.report(upstream=entry)
     client.forget(upstream=entry)
     await client.report(upstream=entry)
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Pair:
+class StoreHarness:
     """The store emulator and a client that is connected to it."""
 
     emulator: StoreEmulator
@@ -46,12 +46,12 @@
 
 
 @pytest_asyncio.fixture
-async def pair() -> AsyncIterator[Pair]:
+async def harness() -> AsyncIterator[StoreHarness]:
     """Start a store emulator and create a client for it."""
     emulator = StoreEmulator(page=3)
     address = await emulator.start()
     pool = ConnectionPool(clock=Clock(), connect_timeout_ms=2000, idle_ms=60_000)
-    yield Pair(emulator=emulator, store=PlatformStore(address=address, pool=pool))
+    yield StoreHarness(emulator=emulator, store=PlatformStore(address=address, pool=pool))
     pool.close()
     await emulator.stop()
 
@@ -71,42 +71,42 @@
 
 
 @pytest.mark.asyncio
-async def test_key_is_read_as_it_was_written(pair: Pair) -> None:
-    pair.emulator.put("a/b c&d", bytes(range(256)))
-    entry = (await pair.store.get(key="a/b c&d")).unwrap()
+async def test_key_is_read_as_it_was_written(harness: StoreHarness) -> None:
+    harness.emulator.put("a/b c&d", bytes(range(256)))
+    entry = (await harness.store.get(key="a/b c&d")).unwrap()
     assert entry is not None
     assert entry.value == bytes(range(256))
-    assert (await pair.store.get(key="a/none")).unwrap() is None
+    assert (await harness.store.get(key="a/none")).unwrap() is None
 
 
 @pytest.mark.asyncio
-async def test_list_returns_all_pages(pair: Pair) -> None:
+async def test_list_returns_all_pages(harness: StoreHarness) -> None:
     for number in range(8):
-        pair.emulator.put(f"a/{number}", b"x")
-    pair.emulator.put("b/1", b"x")
-    found = (await pair.store.list(prefix="a/")).unwrap()
+        harness.emulator.put(f"a/{number}", b"x")
+    harness.emulator.put("b/1", b"x")
+    found = (await harness.store.list(prefix="a/")).unwrap()
     assert [entry.key for entry in found.entries] == [f"a/{number}" for number in range(8)]
 
 
 @pytest.mark.asyncio
-async def test_write_is_refused_when_the_revision_differs(pair: Pair) -> None:
-    assert (await _commit(pair.store, _put("k", b"1"))).written
-    refused = await _commit(pair.store, _put("k", b"2"))
+async def test_write_is_refused_when_the_revision_differs(harness: StoreHarness) -> None:
+    assert (await _commit(harness.store, _put("k", b"1"))).written
+    refused = await _commit(harness.store, _put("k", b"2"))
     assert not refused.written
     assert refused.current_entry is not None
     assert refused.current_entry.value == b"1"
     again = _put("k", b"2", expected=refused.current_entry.mod_revision)
-    assert (await _commit(pair.store, again)).written
+    assert (await _commit(harness.store, again)).written
 
 
 @pytest.mark.asyncio
-async def test_key_is_deleted_with_its_lease(pair: Pair) -> None:
-    lease = (await pair.store.grant_lease(ttl_s=60)).unwrap()
-    await _commit(pair.store, _put("k", b"1", lease=lease))
-    assert (await pair.store.keep_alive(lease=lease)).unwrap() > 0
-    await pair.store.revoke(lease=lease)
-    assert pair.emulator.keys() == []
-    assert (await pair.store.keep_alive(lease=lease)).unwrap() == 0
+async def test_key_is_deleted_with_its_lease(harness: StoreHarness) -> None:
+    lease = (await harness.store.grant_lease(ttl_s=60)).unwrap()
+    await _commit(harness.store, _put("k", b"1", lease=lease))
+    assert (await harness.store.keep_alive(lease=lease)).unwrap() > 0
+    await harness.store.revoke(lease=lease)
+    assert harness.emulator.keys() == []
+    assert (await harness.store.keep_alive(lease=lease)).unwrap() == 0
 
 
 @pytest.mark.asyncio
@@ -119,13 +119,13 @@
     ],
 )
 async def test_error_kind_shows_whether_a_write_may_have_been_applied(
-    pair: Pair, mood: StoreMood, kind: StoreErrorKind
+    harness: StoreHarness, mood: StoreMood, kind: StoreErrorKind
 ) -> None:
-    pair.emulator.mood = mood
-    result = await pair.store.commit(puts=[_put("k", b"1")])
+    harness.emulator.mood = mood
+    result = await harness.store.commit(puts=[_put("k", b"1")])
     assert isinstance(result, Failure)
     assert result.failure().kind is kind
-    assert (pair.emulator.keys() == ["k"]) == (mood is StoreMood.LOSES_ANSWERS)
+    assert (harness.emulator.keys() == ["k"]) == (mood is StoreMood.LOSES_ANSWERS)
 
 
 @dataclass(slots=True)
@@ -160,13 +160,13 @@
 
 
 @pytest_asyncio.fixture
-async def listener(pair: Pair) -> AsyncIterator[RecordingListener]:
+async def listener(harness: StoreHarness) -> AsyncIterator[RecordingListener]:
     """Run a follower that reports to a listener."""
     recorded = RecordingListener()
     follower = PrefixFollower(
-        store=pair.store, prefix="a/", listener=recorded, clock=Clock(), rng=Random(1)
+        store=harness.store, prefix="a/", listener=recorded, clock=Clock(), rng=Random(1)
     )
-    pair.emulator.put("a/0", b"0")
+    harness.emulator.put("a/0", b"0")
     task = asyncio.create_task(follower.run())
     await _wait_until_known(recorded, {"a/0": b"0"})
     yield recorded
@@ -174,26 +174,28 @@
 
 
 @pytest.mark.asyncio
-async def test_follower_sees_each_change(pair: Pair, listener: RecordingListener) -> None:
-    pair.emulator.put("a/1", b"1")
+async def test_follower_sees_each_change(
+    harness: StoreHarness, listener: RecordingListener
+) -> None:
+    harness.emulator.put("a/1", b"1")
     await _wait_until_known(listener, {"a/0": b"0", "a/1": b"1"})
-    pair.emulator.delete("a/0")
-    pair.emulator.put("b/1", b"1")
+    harness.emulator.delete("a/0")
+    harness.emulator.put("b/1", b"1")
     await _wait_until_known(listener, {"a/1": b"1"})
     assert listener.snapshots == 1
 
 
-async def _wait_until_reads(pair: Pair, count: int) -> None:
+async def _wait_until_reads(harness: StoreHarness, count: int) -> None:
     async with asyncio.timeout(20):
-        while len([call for call in pair.emulator.calls if "range" in call]) < count:
+        while len([call for call in harness.emulator.calls if "range" in call]) < count:
             await asyncio.sleep(0.005)
 
 
 @pytest.mark.asyncio
-async def test_changes_during_a_pause_of_the_follower_cost_one_call(pair: Pair) -> None:
+async def test_changes_during_a_pause_of_the_follower_cost_one_call(harness: StoreHarness) -> None:
     recorded = RecordingListener()
     follower = PrefixFollower(
-        store=pair.store,
+        store=harness.store,
         prefix="a/",
         listener=recorded,
         clock=Clock(),
@@ -201,32 +203,32 @@
         change_delay_ms=lambda: 300,
     )
     task = asyncio.create_task(follower.run())
-    await _wait_until_reads(pair, 1)
-    pair.emulator.put("a/0", b"0")
+    await _wait_until_reads(harness, 1)
+    harness.emulator.put("a/0", b"0")
     await _wait_until_known(recorded, {"a/0": b"0"})
     for number in range(1, 6):
-        pair.emulator.put(f"a/{number}", b"x")
+        harness.emulator.put(f"a/{number}", b"x")
         await asyncio.sleep(0.005)
     await _wait_until_known(
         recorded, {"a/0": b"0", **{f"a/{number}": b"x" for number in range(1, 6)}}
     )
     task.cancel()
-    watches = [call for call in pair.emulator.calls if "watch" in call]
+    watches = [call for call in harness.emulator.calls if "watch" in call]
     # One watch returned the first change, and one returned the other five.
     assert len(watches) == 2
 
 
 @pytest.mark.asyncio
 async def test_follower_reads_a_snapshot_again_after_the_store_was_unreachable(
-    pair: Pair, listener: RecordingListener
+    harness: StoreHarness, listener: RecordingListener
 ) -> None:
-    pair.emulator.mood = StoreMood.RESET
-    pair.emulator.put("a/1", b"1")
+    harness.emulator.mood = StoreMood.RESET
+    harness.emulator.put("a/1", b"1")
     while False not in listener.reachable:
-        pair.emulator.put("a/1", b"1")
+        harness.emulator.put("a/1", b"1")
         await asyncio.sleep(0.01)
-    pair.emulator.delete("a/0")
-    pair.emulator.mood = StoreMood.WELL
+    harness.emulator.delete("a/0")
+    harness.emulator.mood = StoreMood.WELL
     await _wait_until_known(listener, {"a/1": b"1"})
     assert listener.reachable[:3] == [True, False, True]
     assert listener.snapshots == 2
@@ -234,13 +236,13 @@
 
 @pytest.mark.asyncio
 async def test_follower_reports_that_the_store_answers_again_without_any_change(
-    pair: Pair, listener: RecordingListener
+    harness: StoreHarness, listener: RecordingListener
 ) -> None:
-    pair.emulator.mood = StoreMood.RESET
+    harness.emulator.mood = StoreMood.RESET
     while False not in listener.reachable:
-        pair.emulator.put("a/0", b"0")
+        harness.emulator.put("a/0", b"0")
         await asyncio.sleep(0.01)
-    pair.emulator.mood = StoreMood.WELL
+    harness.emulator.mood = StoreMood.WELL
     while listener.reachable[-1] is False:
         await asyncio.sleep(0.01)
     assert listener.reachable == [True, False, True]
@@ -248,13 +250,13 @@
 
 @pytest.mark.asyncio
 async def test_follower_reads_a_snapshot_again_after_compaction(
-    pair: Pair, listener: RecordingListener
+    harness: StoreHarness, listener: RecordingListener
 ) -> None:
-    pair.emulator.delete("a/0")
-    pair.emulator.put("a/2", b"2")
-    pair.emulator.compact()
+    harness.emulator.delete("a/0")
+    harness.emulator.put("a/2", b"2")
+    harness.emulator.compact()
     await _wait_until_known(listener, {"a/2": b"2"})
-    pair.emulator.put("a/3", b"3")
+    harness.emulator.put("a/3", b"3")
     await _wait_until_known(listener, {"a/2": b"2", "a/3": b"3"})
 
 
--- a/testing/test_policy.py
+++ b/testing/test_policy.py
@@ -34,11 +34,11 @@
 MEMORY = 8_000
 
 
-def spec(engine: UpstreamId, *, memory: int = MEMORY, batch: int = 8) -> EngineSpec:
+def make_spec(engine: UpstreamId, *, memory: int = MEMORY, batch: int = 8) -> EngineSpec:
     return EngineSpec(engine=engine, memory_tokens=memory, max_batch=batch)
 
 
-def request(
+def make_request(
     number: int,
     *,
     account: str = "account",
@@ -66,15 +66,17 @@
     )
 
 
-def scheduler(*, tuning: Tuning | None = None, share: float = 1.0) -> ForecastScheduler:
+def make_forecast_scheduler(
+    *, tuning: Tuning | None = None, share: float = 1.0
+) -> ForecastScheduler:
     target = ForecastScheduler(accounts={}, tuning=tuning or Tuning(), rng=Random(1), share=share)
-    target.set_engines(engines=[spec(engine) for engine in ENGINES], now=Millis(0))
+    target.set_engines(engines=[make_spec(engine) for engine in ENGINES], now=Millis(0))
     return target
 
 
 def train_estimator(target: ForecastScheduler, *, kind: str, tokens: int, count: int = 60) -> None:
     for number in range(count):
-        target.observe(request=request(number, kind=kind), tokens=tokens)
+        target.observe(request=make_request(number, kind=kind), tokens=tokens)
 
 
 class SchedulerMachine(RuleBasedStateMachine):
@@ -83,7 +85,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = Millis(0)
-        self.scheduler = scheduler(tuning=Tuning(shed_after_ms=2_000.0))
+        self.scheduler = make_forecast_scheduler(tuning=Tuning(shed_after_ms=2_000.0))
         self.open = set(ENGINES)
         self.number = 0
         self.queued: dict[GenerationId, PlacementRequest] = {}
@@ -101,7 +103,7 @@
         self, account: str, kind: str, prompt: int, prefix: str, excluded: set[UpstreamId]
     ) -> None:
         self.number += 1
-        item = request(
+        item = make_request(
             self.number,
             account=account,
             kind=kind,
@@ -164,7 +166,7 @@
     @rule(engines=st.sets(st.sampled_from(ENGINES)))
     def set_engines(self, engines: set[UpstreamId]) -> None:
         self.open = engines
-        self.scheduler.set_engines(engines=[spec(item) for item in engines], now=self.now)
+        self.scheduler.set_engines(engines=[make_spec(item) for item in engines], now=self.now)
 
     @rule(engine=st.sampled_from(ENGINES))
     def lose_engine(self, engine: UpstreamId) -> None:
@@ -204,24 +206,24 @@
 
 
 def test_estimator_keeps_its_curve_when_a_generation_has_not_ended() -> None:
-    target = scheduler()
-    target.submit(request=request(1), now=Millis(0))
+    target = make_forecast_scheduler()
+    target.submit(request=make_request(1), now=Millis(0))
     assert target.decide(now=Millis(0))
-    before = LengthEstimator().curve(request=request(2)).mean
+    before = LengthEstimator().curve(request=make_request(2)).mean
     target.on_progress(generation=GenerationId("generation-1"), tokens=900, now=Millis(9))
     target.on_finished(
         generation=GenerationId("generation-1"), tokens=900, complete=False, now=Millis(10)
     )
-    target.submit(request=request(2), now=Millis(11))
+    target.submit(request=make_request(2), now=Millis(11))
     assert target.expected_tokens == before
 
 
 def test_estimator_backs_off_to_the_class_when_an_account_is_new() -> None:
     estimator = LengthEstimator()
     for number in range(200):
-        estimator.observe(request=request(number, kind="check"), tokens=20)
-        estimator.observe(request=request(number, kind="plan"), tokens=2_000)
-    new_account = estimator.curve(request=request(1, account="stranger", kind="check"))
+        estimator.observe(request=make_request(number, kind="check"), tokens=20)
+        estimator.observe(request=make_request(number, kind="plan"), tokens=2_000)
+    new_account = estimator.curve(request=make_request(1, account="stranger", kind="check"))
     assert 15 < new_account.mean < 60
 
 
@@ -229,43 +231,45 @@
     estimator = LengthEstimator()
     for tokens in (20, 2_000):
         for number in range(2_000):
-            estimator.observe(request=request(number), tokens=tokens)
-    assert estimator.curve(request=request(1)).mean > 1_500
+            estimator.observe(request=make_request(number), tokens=tokens)
+    assert estimator.curve(request=make_request(1)).mean > 1_500
 
 
 def test_survival_odds_grow_with_length_when_lengths_are_heavy_tailed() -> None:
     rng = Random(3)
     estimator = LengthEstimator()
     for number in range(2_000):
-        estimator.observe(request=request(number), tokens=int(rng.lognormvariate(5.0, 1.5)) + 1)
-    curve = estimator.curve(request=request(1))
-    young = curve.survival(200) / curve.survival(100)
-    old = curve.survival(1_100) / curve.survival(1_000)
-    assert 1.0 > old > young > 0.0
+        estimator.observe(
+            request=make_request(number), tokens=int(rng.lognormvariate(5.0, 1.5)) + 1
+        )
+    curve = estimator.curve(request=make_request(1))
+    early_odds = curve.survival(200) / curve.survival(100)
+    late_odds = curve.survival(1_100) / curve.survival(1_000)
+    assert 1.0 > late_odds > early_odds > 0.0
 
 
 def test_estimate_stays_below_the_limit_when_the_caller_sets_one() -> None:
     estimator = LengthEstimator()
     for number in range(200):
-        estimator.observe(request=request(number), tokens=2_000)
-    limited = estimator.curve(request=replace(request(1), max_tokens=50))
+        estimator.observe(request=make_request(number), tokens=2_000)
+    limited = estimator.curve(request=replace(make_request(1), max_tokens=50))
     assert limited.mean <= 60
     assert limited.survival(60) == 0.0
 
 
 def test_first_burst_is_not_shed_after_a_quiet_period() -> None:
-    target = scheduler()
+    target = make_forecast_scheduler()
     train_estimator(target, kind="plan", tokens=2_000)
     for number in range(100):
         now = Millis(number * 10_000)
-        target.submit(request=request(number, kind="plan", arrived=now), now=now)
+        target.submit(request=make_request(number, kind="plan", arrived=now), now=now)
         assert target.decide(now=now)
         target.on_finished(
             generation=GenerationId(f"generation-{number}"), tokens=1, complete=False, now=now
         )
     burst = Millis(1_000_000)
     for number in range(200, 260):
-        target.submit(request=request(number, kind="plan", arrived=burst), now=burst)
+        target.submit(request=make_request(number, kind="plan", arrived=burst), now=burst)
     kinds = {decision.kind for decision in target.decide(now=burst)}
     assert kinds == {DecisionKind.ADMIT}
     assert target.queued > 0
@@ -274,49 +278,49 @@
 def test_admission_is_limited_when_forecast_memory_is_full() -> None:
     admitted = {}
     for tokens in (20, 3_000):
-        target = scheduler()
+        target = make_forecast_scheduler()
         train_estimator(target, kind="check", tokens=tokens)
         for number in range(24):
-            target.submit(request=request(number), now=Millis(0))
+            target.submit(request=make_request(number), now=Millis(0))
         admitted[tokens] = len(target.decide(now=Millis(0)))
     assert admitted[20] == 24
     assert admitted[3_000] <= 12
 
 
 def test_short_work_goes_first_when_both_wait() -> None:
-    target = scheduler(tuning=Tuning(shed_after_ms=1e9))
+    target = make_forecast_scheduler(tuning=Tuning(shed_after_ms=1e9))
     train_estimator(target, kind="check", tokens=20)
     train_estimator(target, kind="plan", tokens=2_000)
     for number in range(60):
-        target.submit(request=request(number, kind="plan"), now=Millis(0))
-    target.submit(request=request(99, kind="check", arrived=1), now=Millis(1))
+        target.submit(request=make_request(number, kind="plan"), now=Millis(0))
+    target.submit(request=make_request(99, kind="check", arrived=1), now=Millis(1))
     assert target.decide(now=Millis(1))[0].generation == GenerationId("generation-99")
 
 
 def test_long_work_goes_first_when_it_has_waited_long() -> None:
-    target = scheduler(tuning=Tuning(shed_after_ms=1e9))
+    target = make_forecast_scheduler(tuning=Tuning(shed_after_ms=1e9))
     train_estimator(target, kind="check", tokens=20)
     train_estimator(target, kind="plan", tokens=2_000)
     late_ms = 2_000 * int(Tuning().length_ms_per_token) + 60_000
-    target.submit(request=request(99, kind="check", arrived=late_ms), now=Millis(late_ms))
-    target.submit(request=request(1, kind="plan", arrived=0), now=Millis(late_ms))
+    target.submit(request=make_request(99, kind="check", arrived=late_ms), now=Millis(late_ms))
+    target.submit(request=make_request(1, kind="plan", arrived=0), now=Millis(late_ms))
     assert target.decide(now=Millis(late_ms))[0].generation == GenerationId("generation-1")
 
 
 def test_prefix_decides_the_engine_when_loads_are_equal() -> None:
     for engine in ENGINES:
-        target = scheduler()
+        target = make_forecast_scheduler()
         target.on_cache(engine=engine, prefix="p", stored=True, now=Millis(0))
-        target.submit(request=request(1, prefix="p"), now=Millis(1))
+        target.submit(request=make_request(1, prefix="p"), now=Millis(1))
         assert target.decide(now=Millis(1))[0].engine == engine
 
 
 def test_share_bounds_memory_when_the_owner_is_unreachable() -> None:
-    target = scheduler(share=0.25)
-    target.set_engines(engines=[spec(engine, batch=64) for engine in ENGINES], now=Millis(0))
+    target = make_forecast_scheduler(share=0.25)
+    target.set_engines(engines=[make_spec(engine, batch=64) for engine in ENGINES], now=Millis(0))
     train_estimator(target, kind="check", tokens=20)
     for number in range(60):
-        target.submit(request=request(number, prompt=400), now=Millis(0))
+        target.submit(request=make_request(number, prompt=400), now=Millis(0))
     target.decide(now=Millis(0))
     assert 0 < max(target.held_tokens(engine=engine) for engine in ENGINES) <= MEMORY / 4
 
@@ -326,11 +330,11 @@
     target = ForecastScheduler(
         accounts=specs, tuning=Tuning(shed_after_ms=1e9, fairness_ms_per_token=5.0), rng=Random(1)
     )
-    target.set_engines(engines=[spec(ENGINES[0], memory=2_000)], now=Millis(0))
+    target.set_engines(engines=[make_spec(ENGINES[0], memory=2_000)], now=Millis(0))
     train_estimator(target, kind="check", tokens=100)
     for number in range(200):
         account = "a" if number % 2 else "b"
-        target.submit(request=request(number, account=account), now=Millis(0))
+        target.submit(request=make_request(number, account=account), now=Millis(0))
     served = {"a": 0, "b": 0}
     for turn in range(10):
         for decision in target.decide(now=Millis(turn)):
@@ -343,13 +347,14 @@
 
 def test_only_sheddable_requests_are_shed_under_overload() -> None:
     # Guards against shedding a request that has already waited for or run on an engine.
-    target = scheduler(tuning=Tuning(shed_after_ms=5_000.0))
+    target = make_forecast_scheduler(tuning=Tuning(shed_after_ms=5_000.0))
     train_estimator(target, kind="plan", tokens=2_000)
     shed: set[GenerationId] = set()
     for number in range(200):
         now = Millis(number * 100)
         target.submit(
-            request=request(number, kind="plan", arrived=now, sheddable=number % 2 == 0), now=now
+            request=make_request(number, kind="plan", arrived=now, sheddable=number % 2 == 0),
+            now=now,
         )
         for decision in target.decide(now=now):
             if decision.kind is DecisionKind.SHED:
@@ -360,8 +365,8 @@
     assert not shed & {GenerationId(f"generation-{number}") for number in range(1, 200, 2)}
 
 
-def test_shed_callers_are_admitted_when_they_retry_as_told() -> None:
-    target = scheduler(tuning=Tuning(shed_after_ms=5_000.0))
+def test_shed_callers_are_admitted_when_they_retry_after_the_given_time() -> None:
+    target = make_forecast_scheduler(tuning=Tuning(shed_after_ms=5_000.0))
     train_estimator(target, kind="plan", tokens=2_000)
     retry_times: dict[GenerationId, int] = {}
     number = 0
@@ -372,7 +377,7 @@
             del retry_times[key]
         for is_retry in [True] * len(returning) + [False] * (now % 500 == 0):
             number += 1
-            target.submit(request=request(number, kind="plan", arrived=now), now=Millis(now))
+            target.submit(request=make_request(number, kind="plan", arrived=now), now=Millis(now))
             for decision in target.decide(now=Millis(now)):
                 shed = decision.kind is DecisionKind.SHED
                 if shed:
@@ -390,13 +395,17 @@
 
 
 def test_deviations_follow_the_objective_when_weights_change() -> None:
-    careful = tuning_for(objective=Objective(preemption_weight=10.0, stall_weight=1.0))
-    eager = tuning_for(objective=Objective(preemption_weight=1.0, stall_weight=10.0))
-    assert careful.deviations > tuning_for(objective=Objective()).deviations > eager.deviations
+    preemption_weighted = tuning_for(objective=Objective(preemption_weight=10.0, stall_weight=1.0))
+    stall_weighted = tuning_for(objective=Objective(preemption_weight=1.0, stall_weight=10.0))
+    assert (
+        preemption_weighted.deviations
+        > tuning_for(objective=Objective()).deviations
+        > stall_weighted.deviations
+    )
 
 
-def test_made_scheduler_admits_a_request() -> None:
+def test_scheduler_from_make_scheduler_admits_a_request() -> None:
     target = make_scheduler(objective=Objective(), accounts={}, rng=Random(1))
-    target.set_engines(engines=[spec(ENGINES[0])], now=Millis(0))
-    target.submit(request=request(1), now=Millis(0))
+    target.set_engines(engines=[make_spec(ENGINES[0])], now=Millis(0))
+    target.submit(request=make_request(1), now=Millis(0))
     assert [decision.engine for decision in target.decide(now=Millis(0))] == [ENGINES[0]]
--- a/testing/test_policy_copying.py
+++ b/testing/test_policy_copying.py
@@ -13,14 +13,14 @@
 
 
 def test_copy_time_follows_from_size_and_doubles_across_failure_domains() -> None:
-    near = estimate_copy_ms(
+    same_domain = estimate_copy_ms(
         tokens=3500, token_bytes=TOKEN_BYTES, link_mbps=LINK_MBPS, is_cross_domain=False
     )
-    away = estimate_copy_ms(
+    other_domain = estimate_copy_ms(
         tokens=3500, token_bytes=TOKEN_BYTES, link_mbps=LINK_MBPS, is_cross_domain=True
     )
-    assert near == pytest.approx(191, abs=1)
-    assert away == pytest.approx(2 * near)
+    assert same_domain == pytest.approx(191, abs=1)
+    assert other_domain == pytest.approx(2 * same_domain)
 
 
 def test_copy_time_is_zero_when_the_bandwidth_is_not_declared() -> None:
@@ -40,6 +40,6 @@
 
 
 def test_run_with_the_longer_answer_is_copied_first() -> None:
-    grown = copy_sort_key(tokens=4000, answer_tokens=2000)
-    young = copy_sort_key(tokens=4000, answer_tokens=100)
-    assert grown < young
+    longer_answer = copy_sort_key(tokens=4000, answer_tokens=2000)
+    shorter_answer = copy_sort_key(tokens=4000, answer_tokens=100)
+    assert longer_answer < shorter_answer
--- a/testing/test_policy_placement.py
+++ b/testing/test_policy_placement.py
@@ -19,14 +19,14 @@
 from tanagerscale.policy import place
 from tanagerscale.policy import tokens_to_evict
 
-HERE = FailureDomainId("here")
-THERE = FailureDomainId("there")
+LOCAL_DOMAIN = FailureDomainId("here")
+REMOTE_DOMAIN = FailureDomainId("there")
 
 
-def _view(name: str = "x", **changes: object) -> EngineView:
+def _make_view(name: str = "x", **changes: object) -> EngineView:
     defaults: dict[str, object] = {
         "upstream": UpstreamId(name),
-        "failure_domain": HERE,
+        "failure_domain": LOCAL_DOMAIN,
         "memory_tokens": 34_000,
         "held_tokens": 0,
         "copy_tokens": 0,
@@ -42,68 +42,75 @@
 
 
 def _place(query: PlacementQuery, *views: EngineView) -> tuple[Verdict, str | None]:
-    placement = place(query=query, views=views, failure_domain=HERE, rng=Random(1))
+    placement = place(query=query, views=views, failure_domain=LOCAL_DOMAIN, rng=Random(1))
     return placement.verdict, None if placement.engine is None else placement.engine.upstream
 
 
-def _query(*, prompt: int = 3000, is_long: bool = True, left_ms: int = 1500) -> PlacementQuery:
+def _make_query(*, prompt: int = 3000, is_long: bool = True, left_ms: int = 1500) -> PlacementQuery:
     return PlacementQuery(prompt_tokens=prompt, is_long=is_long, left_ms=left_ms)
 
 
 def test_engine_with_fewest_waiting_prompts_is_selected_when_many_arrive() -> None:
-    busy = _view("busy", waiting_tokens=6000, waiting=2, held_tokens=6000)
-    assert _place(_query(), busy, _view("idle")) == (Verdict.SEND, "idle")
+    busy = _make_view("busy", waiting_tokens=6000, waiting=2, held_tokens=6000)
+    assert _place(_make_query(), busy, _make_view("idle")) == (Verdict.SEND, "idle")
 
 
 def test_engine_with_fewer_generations_is_selected_when_no_prompts_wait() -> None:
-    crowded = _view("crowd", running=6, held_tokens=20_000)
-    assert _place(_query(), crowded, _view("few", running=1, held_tokens=20_000))[1] == "few"
+    loaded = _make_view("crowd", running=6, held_tokens=20_000)
+    assert (
+        _place(_make_query(), loaded, _make_view("few", running=1, held_tokens=20_000))[1] == "few"
+    )
 
 
 def test_same_failure_domain_is_selected_when_engines_are_equal() -> None:
-    assert _place(_query(), _view("far", failure_domain=THERE), _view("near"))[1] == "near"
+    assert (
+        _place(_make_query(), _make_view("far", failure_domain=REMOTE_DOMAIN), _make_view("near"))[
+            1
+        ]
+        == "near"
+    )
 
 
 def test_other_failure_domain_is_selected_when_it_is_faster() -> None:
-    near = _view("near", waiting_tokens=3000, waiting=1, held_tokens=3000)
-    assert _place(_query(), near, _view("far", failure_domain=THERE))[1] == "far"
+    near = _make_view("near", waiting_tokens=3000, waiting=1, held_tokens=3000)
+    assert _place(_make_query(), near, _make_view("far", failure_domain=REMOTE_DOMAIN))[1] == "far"
 
 
 def test_engine_with_fewer_uncopied_tokens_is_selected_for_a_long_generation() -> None:
-    exposed = _view("exposed", running=3, held_tokens=12_000, uncopied_tokens=12_000)
-    copied = _view("copied", running=3, held_tokens=12_000, uncopied_tokens=0)
-    assert _place(_query(), exposed, copied)[1] == "copied"
+    uncopied = _make_view("exposed", running=3, held_tokens=12_000, uncopied_tokens=12_000)
+    copied = _make_view("copied", running=3, held_tokens=12_000, uncopied_tokens=0)
+    assert _place(_make_query(), uncopied, copied)[1] == "copied"
 
 
 def test_engine_in_warmup_is_selected_only_when_it_is_faster() -> None:
-    old = _view("old", waiting_tokens=9000, waiting=3, held_tokens=9000, running=1)
-    assert _place(_query(), old, _view("new", warmup_ms=900))[1] == "new"
-    assert _place(_query(), _view("old"), _view("new", warmup_ms=900))[1] == "old"
+    old = _make_view("old", waiting_tokens=9000, waiting=3, held_tokens=9000, running=1)
+    assert _place(_make_query(), old, _make_view("new", warmup_ms=900))[1] == "new"
+    assert _place(_make_query(), _make_view("old"), _make_view("new", warmup_ms=900))[1] == "old"
 
 
 def test_generation_waits_when_memory_is_full_before_its_deadline() -> None:
-    full = _view(held_tokens=31_000, running=8)
-    assert _place(_query(), full) == (Verdict.WAIT, None)
+    full = _make_view(held_tokens=31_000, running=8)
+    assert _place(_make_query(), full) == (Verdict.WAIT, None)
 
 
 def test_generation_is_refused_when_memory_is_full_at_its_deadline() -> None:
-    full = _view(held_tokens=31_000, running=8)
-    assert _place(_query(left_ms=0), full) == (Verdict.REFUSE, None)
+    full = _make_view(held_tokens=31_000, running=8)
+    assert _place(_make_query(left_ms=0), full) == (Verdict.REFUSE, None)
 
 
 def test_generation_waits_when_prompts_ahead_would_make_it_late() -> None:
-    queue = _view(waiting_tokens=12_000, waiting=4, held_tokens=12_000, running=1)
-    assert _place(_query(left_ms=1500), queue)[0] is Verdict.WAIT
+    queue = _make_view(waiting_tokens=12_000, waiting=4, held_tokens=12_000, running=1)
+    assert _place(_make_query(left_ms=1500), queue)[0] is Verdict.WAIT
 
 
 def test_late_generation_is_sent_when_there_is_capacity() -> None:
-    assert _place(_query(left_ms=-5000), _view())[0] is Verdict.SEND
+    assert _place(_make_query(left_ms=-5000), _make_view())[0] is Verdict.SEND
 
 
 def test_late_long_generation_leaves_memory_for_one_that_may_be_in_time() -> None:
     # The engine has memory for a prompt of 4,000 tokens and its growth.
-    view = _view(held_tokens=27_800)
-    assert _place(_query(left_ms=1), view)[0] is Verdict.SEND
+    view = _make_view(held_tokens=27_800)
+    assert _place(_make_query(left_ms=1), view)[0] is Verdict.SEND
     late = PlacementQuery(prompt_tokens=3000, is_long=True, left_ms=-1, patience_ms=1000)
     assert _place(late, view)[0] is Verdict.WAIT
     short = PlacementQuery(prompt_tokens=3000, is_long=False, left_ms=-1, patience_ms=1000)
@@ -111,7 +118,7 @@
 
 
 def test_late_generation_waits_until_its_patience_ends() -> None:
-    full = _view(held_tokens=33_000)
+    full = _make_view(held_tokens=33_000)
     for patience_ms, verdict in ((3000, Verdict.WAIT), (2000, Verdict.REFUSE)):
         late = PlacementQuery(
             prompt_tokens=3000, is_long=True, left_ms=-2500, patience_ms=patience_ms
@@ -120,12 +127,12 @@
 
 
 def test_generation_waits_when_no_engine_accepts_work() -> None:
-    assert _place(_query()) == (Verdict.WAIT, None)
-    assert _place(_query(left_ms=0)) == (Verdict.REFUSE, None)
+    assert _place(_make_query()) == (Verdict.WAIT, None)
+    assert _place(_make_query(left_ms=0)) == (Verdict.REFUSE, None)
 
 
 def test_engine_has_no_capacity_when_all_batch_slots_are_taken() -> None:
-    assert not has_capacity(view=_view(running=20, waiting=4), tokens=100)
+    assert not has_capacity(view=_make_view(running=20, waiting=4), tokens=100)
 
 
 @pytest.mark.parametrize(
@@ -140,35 +147,46 @@
 def test_copies_leave_memory_for_a_prompt_and_spare_copies_leave_more(
     held_tokens: int, max_ratio: float, has_memory: bool
 ) -> None:
-    view = _view(held_tokens=held_tokens)
+    view = _make_view(held_tokens=held_tokens)
     assert has_capacity_for_copy(view=view, tokens=3000, max_ratio=max_ratio) is has_memory
 
 
 def test_prompt_is_sent_at_once_when_it_is_late_on_any_engine() -> None:
-    assert _place(_query(prompt=20_000, left_ms=1500), _view())[0] is Verdict.SEND
+    assert _place(_make_query(prompt=20_000, left_ms=1500), _make_view())[0] is Verdict.SEND
 
 
 def test_long_generation_waits_while_evacuated_runs_need_the_memory() -> None:
-    views = [_view("x", held_tokens=26_000, running=6), _view("y", held_tokens=24_000, running=6)]
-    free = place(query=_query(), views=views, failure_domain=HERE, rng=Random(1))
+    views = [
+        _make_view("x", held_tokens=26_000, running=6),
+        _make_view("y", held_tokens=24_000, running=6),
+    ]
+    free = place(query=_make_query(), views=views, failure_domain=LOCAL_DOMAIN, rng=Random(1))
     assert free.verdict is Verdict.SEND
     reserved = place(
-        query=_query(), views=views, reserved_tokens=9000, failure_domain=HERE, rng=Random(1)
+        query=_make_query(),
+        views=views,
+        reserved_tokens=9000,
+        failure_domain=LOCAL_DOMAIN,
+        rng=Random(1),
     )
     assert (reserved.verdict, reserved.engine) == (Verdict.WAIT, None)
 
 
 def test_short_generation_is_sent_before_evacuated_runs() -> None:
-    view = _view(held_tokens=24_000, running=6)
-    query = _query(prompt=2000, is_long=False)
+    view = _make_view(held_tokens=24_000, running=6)
+    query = _make_query(prompt=2000, is_long=False)
     placement = place(
-        query=query, views=[view], reserved_tokens=20_000, failure_domain=HERE, rng=Random(1)
+        query=query,
+        views=[view],
+        reserved_tokens=20_000,
+        failure_domain=LOCAL_DOMAIN,
+        rng=Random(1),
     )
     assert placement.verdict is Verdict.SEND
 
 
-def test_copies_made_ahead_give_way_to_prompts_but_not_to_other_copies() -> None:
-    view = _view(held_tokens=20_000, evictable_tokens=9000, running=5)
+def test_copies_ahead_yield_memory_to_prompts_but_not_to_other_copies() -> None:
+    view = _make_view(held_tokens=20_000, evictable_tokens=9000, running=5)
     assert has_capacity(view=view, tokens=3000)
     assert not has_capacity_for_copy(view=view, tokens=3000, max_ratio=MAX_COPY_MEMORY_RATIO)
 
@@ -176,15 +194,15 @@
 def test_only_the_memory_that_an_engine_lacks_is_evicted() -> None:
     # 32,300 of 34,000 tokens may be planned for, and each of the five generations reserves 250
     # for its growth.
-    assert tokens_to_evict(_view(held_tokens=20_000, evictable_tokens=9000, running=5)) == 0
-    assert tokens_to_evict(_view(held_tokens=25_000, evictable_tokens=9000, running=5)) == 2950
-    assert tokens_to_evict(_view(held_tokens=33_000, evictable_tokens=900, running=5)) == 900
+    assert tokens_to_evict(_make_view(held_tokens=20_000, evictable_tokens=9000, running=5)) == 0
+    assert tokens_to_evict(_make_view(held_tokens=25_000, evictable_tokens=9000, running=5)) == 2950
+    assert tokens_to_evict(_make_view(held_tokens=33_000, evictable_tokens=900, running=5)) == 900
 
 
 @pytest.mark.parametrize(("difference_tokens", "imbalanced"), [(9000, False), (11_000, True)])
 def test_engines_are_imbalanced_only_when_the_target_stays_the_emptier_one(
     difference_tokens: int, imbalanced: bool
 ) -> None:
-    full = _view("full", held_tokens=10_000 + difference_tokens, running=1)
-    empty = _view("empty", held_tokens=10_000, running=1)
+    full = _make_view("full", held_tokens=10_000 + difference_tokens, running=1)
+    empty = _make_view("empty", held_tokens=10_000, running=1)
     assert is_imbalanced(full=full, empty=empty, tokens=4000) is imbalanced
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -36,9 +36,9 @@
 from testing._callers import expected_text
 from testing._callers import resume
 from testing._callers import wait_until
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
-LONG = "plan [[tokens=150]]"
+LONG_PROMPT = "plan [[tokens=150]]"
 
 
 async def _start_requests(
@@ -47,7 +47,7 @@
     hosts: Sequence[str],
     *,
     each: int = 3,
-    prompt: str = LONG,
+    prompt: str = LONG_PROMPT,
 ) -> list[tuple[Answer, asyncio.Task[Answer]]]:
     """Send streaming requests to hosts and wait until each has received its first text."""
     started = []
@@ -65,14 +65,14 @@
     for answer, task in started:
         await task
         assert answer.done, answer.error
-        assert answer.text == expected_text(prompt=LONG)
+        assert answer.text == expected_text(prompt=LONG_PROMPT)
 
 
 @pytest.mark.parametrize("failure", ["kill", "freeze", "out of memory", "gap", "crossed", "no end"])
 async def test_answers_are_complete_when_an_engine_fails_during_generation(
-    start_serving: StartServing, session: aiohttp.ClientSession, failure: str
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession, failure: str
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=2, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=2, services=0))
     engine = cluster.engines["engine-1"]
     modes = {
         "gap": StreamFaultMode.GAP,
@@ -95,9 +95,9 @@
 
 
 async def test_caller_resumes_when_its_host_and_its_engine_are_killed_together(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=2, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=2, services=0))
     prompt = "plan [[tokens=400]]"
     started = await _start_requests(cluster, session, ["host-1"], each=4, prompt=prompt)
     await asyncio.gather(cluster.hosts["host-1"].kill(), cluster.engines["engine-1"].kill())
@@ -113,9 +113,11 @@
 
 
 async def test_cursor_is_rejected_when_it_is_forged_or_of_another_account_or_request(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=1, services=0, accounts=("crew-north", "b")))
+    cluster = await start_ready_cluster(
+        ClusterPlan(hosts=1, services=0, accounts=("crew-north", "b"))
+    )
     url = cluster.caller_url("host-1")
     answer = await ask(session=session, url=url, prompt="check [[tokens=5]]")
     assert answer.done
@@ -132,9 +134,9 @@
 
 
 async def test_leaving_engine_gets_no_new_work_when_the_host_list_lags(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, services=0, list_lag_ms=60_000))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, services=0, list_lag_ms=60_000))
     engine = cluster.engines["engine-1"]
     await cluster.post(engine, "/admin/leave", LeaveRequest())
     for number in range(12):
@@ -146,9 +148,9 @@
 
 
 async def test_streams_are_not_interrupted_when_two_hosts_stop_during_a_store_outage(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, services=0))
     started = await _start_requests(cluster, session, list(cluster.hosts))
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
     stops = [asyncio.create_task(cluster.hosts[name].stop()) for name in ("host-1", "host-2")]
@@ -159,9 +161,9 @@
 
 
 async def test_booking_is_rejected_immediately_when_the_store_is_down(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=1))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=1))
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
     refused = await book(session=session, url=cluster.caller_url("host-1"), key="round-1")
     assert isinstance(refused, ProblemDetails)
@@ -178,9 +180,9 @@
 
 
 async def test_booking_runs_once_when_hosts_get_it_concurrently_and_the_response_is_cut(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3))
     service = cluster.services["booking-1"]
     fault = ServiceFault(mode=ServiceFaultMode.CUT_AFTER, count=1, delay_ms=200)
     await cluster.post(service, "/admin/fault", fault)
@@ -198,9 +200,9 @@
 
 
 async def test_booking_runs_once_when_its_host_is_killed_before_the_response(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=2))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=2))
     service = cluster.services["booking-1"]
     await cluster.post(service, "/admin/fault", ServiceFault(answer_delay_ms=1500))
     url = cluster.caller_url("host-1")
@@ -223,9 +225,9 @@
 
 
 async def test_declarations_reach_all_hosts_when_the_store_fails_after_acceptance(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, services=0))
     await cluster.list_state("engine-2", ListedState.LEAVING)
     applied = await cluster.apply(author="second")
     assert applied.returncode == 0, applied.output + applied.errors
@@ -246,9 +248,9 @@
 
 
 async def test_identical_harmless_requests_run_concurrently_when_engines_are_free(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=1, engines=3, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=1, engines=3, services=0))
     started = await _start_requests(cluster, session, ["host-1"], each=6)
     # All requests have started, so none waits for another one to end.
     assert not any(answer.done for answer, _ in started)
@@ -256,15 +258,15 @@
 
 
 async def test_two_engines_at_most_are_lost_when_a_request_crashes_each_and_is_sent_everywhere(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, engines=4, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, engines=4, services=0))
     started = await _start_requests(cluster, session, list(cluster.hosts), each=4)
-    poison = "plan [[crash_at=4]] [[tokens=50]]"
+    crashing_prompt = "plan [[crash_at=4]] [[tokens=50]]"
     statuses = set()
     for number in range(9):
         url = cluster.caller_url(f"host-{1 + number % 3}")
-        answer = await ask(session=session, url=url, prompt=poison)
+        answer = await ask(session=session, url=url, prompt=crashing_prompt)
         assert not answer.done
         statuses.add(answer.status)
     await _check_answers(started)
@@ -272,24 +274,24 @@
     assert 1 <= len(lost) <= 2, lost
     assert 422 in statuses
     await cluster.post(cluster.store, "/admin/fault", Fault(mode=FaultMode.DOWN))
-    refused = await ask(session=session, url=cluster.caller_url("host-1"), prompt=poison)
+    refused = await ask(session=session, url=cluster.caller_url("host-1"), prompt=crashing_prompt)
     assert refused.status == 422
     assert msgspec.json.decode(refused.error, type=ProblemDetails).retry_after_ms
 
 
 async def test_waiting_requests_are_rejected_when_an_identical_one_crashes_the_last_allowed_engine(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
     options = {"max_batch": "1", "step_ms": "50"}
     plan = ClusterPlan(hosts=3, engines=2, services=0, engine_options=options)
-    cluster = await start_serving(plan)
+    cluster = await start_ready_cluster(plan)
     (cell,) = make_cells(engines=cluster.declarations.engines)
     owner = select_owner(cell=cell.cell_id, hosts=[HostId(name) for name in cluster.hosts])
     first_host, second_host = (name for name in cluster.hosts if name != owner)
-    poison = "plan [[crash_at=12]] [[tokens=50]]"
+    crashing_prompt = "plan [[crash_at=12]] [[tokens=50]]"
 
     def ask_at(host: str) -> asyncio.Task[Answer]:
-        call = ask(session=session, url=cluster.caller_url(host), prompt=poison)
+        call = ask(session=session, url=cluster.caller_url(host), prompt=crashing_prompt)
         return asyncio.create_task(call)
 
     calls = [ask_at(first_host)]
@@ -309,10 +311,10 @@
 
 
 async def test_request_is_rejected_by_each_host_when_all_engines_are_down(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
     # Guards against requests that never complete on hosts that do not own the cell.
-    cluster = await start_serving(ClusterPlan(hosts=3, engines=2, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, engines=2, services=0))
     for engine in cluster.engines.values():
         await engine.kill()
     engine_names = list(cluster.engines)
@@ -335,9 +337,9 @@
 
 
 async def test_declared_adapter_is_loaded_on_all_engines_when_the_controller_is_killed(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=2, engines=2, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=2, engines=2, services=0))
     await cluster.hosts["host-1"].kill()
     await cluster.unlist("host-1")
     engines = [
@@ -362,10 +364,10 @@
 
 
 async def test_host_logs_task_stacks_on_signal(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
     plan = ClusterPlan(hosts=1, engines=1, services=0, engine_options={"max_batch": "1"})
-    cluster = await start_serving(plan)
+    cluster = await start_ready_cluster(plan)
     started = await _start_requests(cluster, session, ["host-1"], each=1)
     host = cluster.hosts["host-1"]
     prompt = "check [[tokens=4]]"
--- a/testing/test_regions.py
+++ b/testing/test_regions.py
@@ -27,10 +27,10 @@
 from tanagerscale.routes import RouteTable
 from tanagerscale.settings import get_regions_by_domain
 from tanagerscale.settings import read_gateway_settings
-from testing._gateway_fakes import Bench
 from testing._gateway_fakes import FakeResponder
-from testing._gateway_fakes import make_bench
+from testing._gateway_fakes import GatewayFakes
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_stream_mover
@@ -118,18 +118,18 @@
 
     def __init__(self, route: Route, *domains: str) -> None:
         entries = [make_entry(f"x{domain}", domain=domain) for domain in domains]
-        self.bench: Bench = make_bench(*entries)
-        self.bench.tables.table = make_table(route)
-        parts = self.bench.parts
+        self.fakes: GatewayFakes = make_gateway_fakes(*entries)
+        self.fakes.tables.table = make_table(route)
+        parts = self.fakes.parts
         self.dispatcher = Dispatcher(
             parts=parts,
-            admission=Admission(parts=parts, placer=self.bench.alone.client),
-            stream_mover=make_stream_mover(self.bench),
+            admission=Admission(parts=parts, placer=self.fakes.single_host.client),
+            stream_mover=make_stream_mover(self.fakes),
             homes=AllowedRegions(regions=REGIONS),
             is_stopping=lambda: False,
         )
 
-    async def request(self, *, prompt: int | None = None) -> FakeResponder:
+    async def serve(self, *, prompt: int | None = None) -> FakeResponder:
         """Dispatch a request and return the response that the caller receives."""
         responder = FakeResponder()
         await self.dispatcher.serve(make_request(prompt=prompt), responder)
@@ -151,13 +151,15 @@
     make: Callable[..., Route], region: RegionId
 ) -> None:
     async def scenario() -> None:
-        host = _DispatcherHarness(make(region), "a", "b", "c")
+        harness = _DispatcherHarness(make(region), "a", "b", "c")
         prompt = None if make is _plain else 100
         for _ in range(20):
-            await host.request(prompt=prompt)
-        wanted = {f"x{domain}" for domain, one in REGIONS.items() if one == region}
-        assert set(host.bench.caller.asked) <= wanted
-        assert len(host.bench.caller.asked) == 20
+            await harness.serve(prompt=prompt)
+        allowed_upstreams = {
+            f"x{domain}" for domain, allowed in REGIONS.items() if allowed == region
+        }
+        assert set(harness.fakes.upstream_client.asked) <= allowed_upstreams
+        assert len(harness.fakes.upstream_client.asked) == 20
 
     run_virtually(scenario())
 
@@ -167,29 +169,29 @@
     make: Callable[..., Route],
 ) -> None:
     async def scenario() -> None:
-        for host in (
+        for harness in (
             _DispatcherHarness(make(WEST), "a", "b"),
             _DispatcherHarness(make(RegionId("north")), "a", "c"),
         ):
-            began = host.bench.parts.clock.now()
-            responder = await host.request(prompt=None if make is _plain else 100)
+            began = harness.fakes.parts.clock.now()
+            responder = await harness.serve(prompt=None if make is _plain else 100)
             assert responder.refusal is not None
             assert responder.refusal.kind is RefusalKind.OVERLOADED
-            assert host.bench.caller.asked == []
-            assert host.bench.parts.clock.now() == began
+            assert harness.fakes.upstream_client.asked == []
+            assert harness.fakes.parts.clock.now() == began
 
     run_virtually(scenario())
 
 
 def test_run_moves_only_to_an_engine_in_its_regions() -> None:
     async def scenario() -> None:
-        scene = MoveHarness("xa", "xb", "xc")
-        scene.bench.upstreams.entries = [
+        harness = MoveHarness("xa", "xb", "xc")
+        harness.fakes.upstreams.entries = [
             make_entry(f"x{domain}", domain=domain) for domain in ("a", "c", "b")
         ]
-        run = scene.add("1", at="xa")
-        scene.bench.work.end(request=run.request)
-        scene.bench.work.begin(
+        run = harness.add("1", at="xa")
+        harness.fakes.work.end(request=run.request)
+        harness.fakes.work.begin(
             request=run.request,
             upstream=UpstreamId("xa"),
             prompt_tokens=run.tokens,
@@ -197,9 +199,9 @@
             is_long=True,
             domains={FailureDomainId("a"), FailureDomainId("b")},
         )
-        scene.begin(run)
-        scene.leave("xa")
+        harness.begin(run)
+        harness.leave("xa")
         await asyncio.sleep(MOVE_TIME_S)
-        assert {target for _, _, target, _ in scene.bench.engines.copies} == {"xb"}
+        assert {target for _, _, target, _ in harness.fakes.engines.copies} == {"xb"}
 
     run_virtually(scenario())
--- a/testing/test_replay.py
+++ b/testing/test_replay.py
@@ -229,10 +229,10 @@
 
 
 def test_objective_trades_stall_against_preemptions_when_weights_change() -> None:
-    careful = replay_with(Objective(preemption_weight=10.0)).summary
-    eager = replay_with(Objective(stall_weight=10.0)).summary
-    assert careful.preemptions < eager.preemptions
-    assert careful.stall_s > eager.stall_s
+    preemption_weighted = replay_with(Objective(preemption_weight=10.0)).summary
+    stall_weighted = replay_with(Objective(stall_weight=10.0)).summary
+    assert preemption_weighted.preemptions < stall_weighted.preemptions
+    assert preemption_weighted.stall_s > stall_weighted.stall_s
 
 
 def test_objective_shortens_tail_gaps_when_tail_weight_is_raised() -> None:
--- a/testing/test_retry_budgets.py
+++ b/testing/test_retry_budgets.py
@@ -51,27 +51,27 @@
 
 
 def test_isolated_host_among_many_may_retry_once() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         budgets = _make_budgets(share=lambda: 1 / 78, slack=182.0)
         return budgets.try_acquire(service=SERVICE, requests=1) + _acquire_all(budgets)
 
-    assert run_virtually(main()) == 1
+    assert run_virtually(scenario()) == 1
 
 
 def test_isolated_hosts_together_stay_within_the_retry_budget() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         isolated = [_make_budgets(share=lambda: 1 / 78, slack=182.0) for _ in range(78)]
         acquired = 0
         for _ in range(100):
-            acquired += sum(_acquire_all(one) for one in isolated)
+            acquired += sum(_acquire_all(budgets) for budgets in isolated)
             await asyncio.sleep(0.1)
         return acquired
 
-    assert 78 <= run_virtually(main()) <= 182
+    assert 78 <= run_virtually(scenario()) <= 182
 
 
 def test_single_decider_grants_the_whole_retry_budget() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         budgets = _make_budgets()
         acquired = 0
         for _ in range(100):
@@ -80,20 +80,20 @@
         return acquired
 
     # Eight tenths of 430.
-    assert 330 <= run_virtually(main()) <= 344
+    assert 330 <= run_virtually(scenario()) <= 344
 
 
 def test_retry_ratio_applies_without_slack() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         budgets = _make_budgets(slack=0.0)
         return sum(budgets.try_acquire(service=SERVICE, requests=5) for _ in range(100))
 
     # Eight tenths of a fifth of 500 requests.
-    assert 75 <= run_virtually(main()) <= 80
+    assert 75 <= run_virtually(scenario()) <= 80
 
 
 def test_new_decider_does_not_grant_retries_accrued_before_it_took_over() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         first, second = _make_budgets(), _make_budgets(since=lambda: Millis(5000))
         acquired = 0
         for step in range(100):
@@ -101,11 +101,11 @@
             await asyncio.sleep(0.1)
         return acquired
 
-    assert run_virtually(main()) <= 344
+    assert run_virtually(scenario()) <= 344
 
 
 def test_two_concurrent_deciders_grant_no_more_than_one() -> None:
-    async def main() -> int:
+    async def scenario() -> int:
         deciders = [_make_budgets(share=lambda: 0.4), _make_budgets(share=lambda: 0.6)]
         acquired = 0
         for _ in range(100):
@@ -113,7 +113,7 @@
             await asyncio.sleep(0.1)
         return acquired
 
-    assert run_virtually(main()) <= 344
+    assert run_virtually(scenario()) <= 344
 
 
 def _entry(name: str) -> StoreEntry:
@@ -124,7 +124,7 @@
 
 
 def test_isolated_host_counts_hosts_with_a_store_entry() -> None:
-    async def main() -> list[int]:
+    async def scenario() -> list[int]:
         clock = Clock()
         directory = Directory(host=HostId("a"), seeds=(), clock=clock)
         presence = HostPresence(
@@ -142,4 +142,4 @@
         presence.on_changes(WatchBatch(entries=(), deleted=gone, revision=REVISION))
         return [*seen, directory.hosts]
 
-    assert run_virtually(main()) == [3, 2]
+    assert run_virtually(scenario()) == [3, 2]
--- a/testing/test_roster.py
+++ b/testing/test_roster.py
@@ -58,27 +58,27 @@
     def write(self, *names: str, state: str = "ready") -> None:
         """Write entries and deliver the change to the roster."""
         self.revision += 1
-        self.roster.on_changes(self._build_batch(self._build_entries(names, state), ()))
+        self.roster.on_changes(self._make_batch(self._make_entries(names, state), ()))
 
     def delete(self, *names: str) -> None:
         """Delete entries and deliver the change to the roster."""
         self.revision += 1
-        self.roster.on_changes(self._build_batch((), names))
+        self.roster.on_changes(self._make_batch((), names))
 
     def snapshot(self, *names: str) -> None:
         """Deliver a snapshot of the store to the roster."""
         revision = StoreRevision(self.revision)
-        found = StoreRange(entries=self._build_entries(names, "ready"), revision=revision)
+        found = StoreRange(entries=self._make_entries(names, "ready"), revision=revision)
         self.roster.on_snapshot(found)
 
-    def _build_entries(self, names: tuple[str, ...], state: str) -> tuple[StoreEntry, ...]:
+    def _make_entries(self, names: tuple[str, ...], state: str) -> tuple[StoreEntry, ...]:
         return tuple(make_store_entry(name, state, revision=self.revision) for name in names)
 
-    def _build_batch(self, entries: tuple[StoreEntry, ...], deleted: tuple[str, ...]) -> WatchBatch:
+    def _make_batch(self, entries: tuple[StoreEntry, ...], deleted: tuple[str, ...]) -> WatchBatch:
         return WatchBatch(entries=entries, deleted=deleted, revision=StoreRevision(self.revision))
 
 
-async def _create_settled_harness(*, outage: bool = False) -> RosterHarness:
+async def _make_settled_harness(*, outage: bool = False) -> RosterHarness:
     """Return a harness whose store is reachable, optionally right after an outage."""
     harness = RosterHarness()
     harness.roster.on_reachability_changed(reachable=True)
@@ -93,7 +93,7 @@
 
 def test_upstream_gets_no_requests_when_it_is_leaving() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("b", state="leaving")
         assert harness.open_ids() == "acde"
         assert [message.upstream for message in harness.notices] == ["b"]
@@ -103,7 +103,7 @@
 
 def test_upstream_gets_no_requests_when_only_its_entry_is_deleted() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.delete("b")
         assert harness.open_ids() == "acde"
         assert harness.roster.get(UpstreamId("b")) is not None
@@ -113,7 +113,7 @@
 
 def test_upstream_reopens_when_its_entry_is_rewritten() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.delete("b")
         harness.write("b")
         assert harness.open_ids() == "abcde"
@@ -123,7 +123,7 @@
 
 def test_upstreams_are_kept_when_entries_expire_during_store_outage() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness(outage=True)
+        harness = await _make_settled_harness(outage=True)
         harness.delete(*NAMES)
         assert harness.open_ids() == "abcde"
         harness.write("a", "b", "c")
@@ -135,7 +135,7 @@
 
 def test_upstreams_are_kept_when_entries_expire_together_without_detected_outage() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.delete(*NAMES)
         assert harness.open_ids() == "abcde"
         await asyncio.sleep((MASS_EXPIRY_GRACE_MS + MARGIN_MS) / 1000)
@@ -148,7 +148,7 @@
 
 def test_notice_from_peer_closes_upstream_until_a_later_entry() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.gate.on_peer(UpstreamLeaving(upstream="c", incarnation=harness.revision + 5))
         assert harness.open_ids() == "abde"
         harness.revision += 10
@@ -160,7 +160,7 @@
 
 def test_outdated_notice_from_peer_does_not_close_upstream() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.gate.on_peer(UpstreamLeaving(upstream="c", incarnation=harness.revision - 5))
         assert harness.open_ids() == "abcde"
 
@@ -169,7 +169,7 @@
 
 def test_upstream_missing_from_snapshot_gets_no_requests() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.revision += 1
         harness.snapshot("a", "b", "c", "d")
         assert harness.open_ids() == "abcd"
@@ -179,7 +179,7 @@
 
 def test_unreadable_entry_is_ignored() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("z", state="bad")
         assert harness.open_ids() == "abcde"
 
@@ -188,7 +188,7 @@
 
 def test_upstream_record_is_deleted_when_it_has_been_gone_for_long() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.delete("b")
         await asyncio.sleep(120)
         assert harness.roster.get(UpstreamId("b")) is None
@@ -210,7 +210,7 @@
     run_virtually(scenario())
 
 
-async def _create_harness_with_start_times() -> RosterHarness:
+async def _make_harness_with_start_times() -> RosterHarness:
     """Return a harness whose upstreams report their start times, all of them 1000."""
     harness = RosterHarness()
     harness.roster.on_reachability_changed(reachable=True)
@@ -222,7 +222,7 @@
 
 def test_later_start_gets_requests_when_the_earlier_one_was_leaving() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="leaving@1000")
         assert harness.open_ids() == "a1000c1000d1000e1000"
         harness.write("b", state="ready@2000")
@@ -233,7 +233,7 @@
 
 def test_earlier_start_is_gone_when_the_upstream_restarts() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@2000")
         assert harness.open_ids() == "a1000b2000c1000d1000e1000"
         assert harness.gate.is_leaving(UpstreamId("b1000"))
@@ -248,7 +248,7 @@
 @pytest.mark.parametrize("late_value", ["leaving@1000", "ready@1000"])
 def test_late_write_of_earlier_start_is_ignored(late_value: str) -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@2000")
         harness.write("b", state=late_value)
         assert harness.open_ids() == "a1000b2000c1000d1000e1000"
@@ -262,7 +262,7 @@
 
 def test_forged_later_start_is_replaced_by_the_real_one() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@9000")
         harness.write("b", state="ready@1000")
         await asyncio.sleep((OLDER_START_DELAY_MS + MARGIN_MS) / 1000)
@@ -273,7 +273,7 @@
 
 def test_late_write_of_earlier_start_is_ignored_when_the_entry_is_deleted() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@2000")
         harness.write("b", state="ready@1000")
         harness.delete("b")
@@ -285,7 +285,7 @@
 
 def test_deleted_entry_closes_the_newest_start() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@2000")
         await asyncio.sleep(SETTLE_S)
         harness.delete("b")
@@ -296,7 +296,7 @@
 
 def test_start_after_a_deleted_record_gets_requests() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready@2000")
         await asyncio.sleep(120)
         assert harness.roster.get(UpstreamId("b1000")) is None
@@ -308,7 +308,7 @@
 
 def test_upstream_gets_no_requests_immediately_when_its_entry_is_overwritten() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("b", state="bad")
         assert harness.open_ids() == "acde"
         assert "b" not in {entry.upstream for entry in harness.roster.staying(SERVICE)}
@@ -319,7 +319,7 @@
 
 def test_upstream_is_leaving_when_its_entry_stays_unreadable() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("b", state="bad")
         await asyncio.sleep((UNREADABLE_GRACE_MS + MARGIN_MS) / 1000)
         assert harness.gate.is_leaving(UpstreamId("b"))
@@ -329,7 +329,7 @@
 
 def test_upstream_reopens_when_it_rewrites_its_overwritten_entry() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("b", state="bad")
         await asyncio.sleep(UNREADABLE_GRACE_MS / 2000)
         harness.write("b")
@@ -343,7 +343,7 @@
 
 def test_entry_without_start_time_is_rejected_when_an_earlier_one_had_it() -> None:
     async def scenario() -> None:
-        harness = await _create_harness_with_start_times()
+        harness = await _make_harness_with_start_times()
         harness.write("b", state="ready")
         assert harness.open_ids() == "a1000c1000d1000e1000"
 
@@ -352,7 +352,7 @@
 
 def test_other_upstreams_stay_open_when_snapshot_lacks_unreadable_entries() -> None:
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.write("b", "d", state="bad")
         harness.snapshot("a", "c", "e")
         await asyncio.sleep(SETTLE_S)
@@ -365,7 +365,7 @@
     None
 ):
     async def scenario() -> None:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         harness.roster.on_calls(answered=False)
         harness.delete("b")
         assert harness.open_ids() == "acde"
@@ -375,7 +375,7 @@
 
 def test_entries_of_unknown_upstreams_leave_no_state() -> None:
     async def scenario() -> int:
-        harness = await _create_settled_harness()
+        harness = await _make_settled_harness()
         known = len(harness.roster._written_revisions)
         for number in range(50):
             harness.write(f"made-up-{number}", state="bad")
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -44,7 +44,7 @@
 
 pytestmark = pytest.mark.looptime
 
-SETTLED_S = 15
+SETTLE_S = 15
 """Longer than the lease of a reservation."""
 
 
@@ -144,14 +144,14 @@
     await asyncio.sleep(0.5)
     # Each of the two hosts has a share of half of the engine's four slots.
     assert sum(task.done() for task in tasks) == 2
-    cluster.switch.thaw(owner)
+    cluster.switch.resume(owner)
     await asyncio.sleep(4)
     assert all(task.done() for task in tasks)
     assert len(cluster.placements()) == 4
     assert set(cluster.scheduler(owner).running) == {f"g{index}" for index in range(4)}
     for index in range(4):
         cluster.release(entry, f"g{index}")
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_S)
     assert cluster.reservations() == 0
     assert cluster.placements() == {}
 
@@ -287,7 +287,7 @@
     assert waiting.done()
     cluster.release(entry, "g2")
     cluster.release(entry, "g3")
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_S)
     assert cluster.reservations() == 0
 
 
@@ -306,7 +306,7 @@
     cluster.release(entry, "g1")
     cluster.release(other, "g2")
     cluster.release(entry, "g3")
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_S)
     assert cluster.reservations() == 0
 
 
@@ -315,7 +315,7 @@
     entry, owner = cluster.entry_and_owner()
     await cluster.place(entry, "g1")
     cluster.remove_host(entry)
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_S)
     assert cluster.reservations() == 0
     await cluster.place(owner, "g2")
 
@@ -414,7 +414,7 @@
     await asyncio.sleep(60)
     owner.tick()
     assert owner.running == {"g1": "engine-0"}
-    for _ in range(SETTLED_S):
+    for _ in range(SETTLE_S):
         await asyncio.sleep(1)
         owner.tick()
     assert owner.running == {}
@@ -489,7 +489,7 @@
         )
     assert all(done)
     cluster.switch.drop_probability = 0.0
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_S)
     assert cluster.reservations() == 0
     assert cluster.placements() == {}
 
--- a/testing/test_routing_machine.py
+++ b/testing/test_routing_machine.py
@@ -25,7 +25,7 @@
 
 HOSTS = ("a", "b", "c")
 ENGINES = ("engine-0", "engine-1")
-SETTLED_S = 15
+SETTLE_S = 15
 """Longer than the lease of a reservation and than any repeat interval."""
 
 PLACEMENT_TIMEOUT_S = 5
@@ -121,12 +121,12 @@
         self.cluster.switch.frozen.add(HostId(host))
 
     @rule(host=hosts)
-    def thaw(self, host: str) -> None:
+    def resume(self, host: str) -> None:
         """Resume a frozen host and deliver its delayed messages at once."""
-        self._run(self._thaw(host))
+        self._run(self._resume(host))
 
-    async def _thaw(self, host: str) -> None:
-        self.cluster.switch.thaw(host)
+    async def _resume(self, host: str) -> None:
+        self.cluster.switch.resume(host)
 
     @rule(host=hosts, engines=st.sets(st.sampled_from(ENGINES), min_size=1))
     def mark_engines_down(self, host: str, engines: set[str]) -> None:
@@ -156,7 +156,7 @@
     def remove_faults(self) -> None:
         """Remove all faults and check that the owner's reservations match the placements."""
         self._remove_faults()
-        self._advance(SETTLED_S)
+        self._advance(SETTLE_S)
         self.check_placements()
         owner = self.cluster.owner()
         running = self.cluster.scheduler(owner).running if self.placed else {}
@@ -193,7 +193,7 @@
             for name, (host, _) in list(self.placed.items()):
                 self._run(self._release(host=host, name=name, lost=False))
             self.placed.clear()
-        self._advance(SETTLED_S)
+        self._advance(SETTLE_S)
         assert self.cluster.reservations() == 0
         assert all(
             not scheduler.running
@@ -211,7 +211,7 @@
         switch = self.cluster.switch
         switch.drop_probability, switch.duplicate_probability, switch.jitter_ms = 0.0, 0.0, 0
         for host in HOSTS:
-            self._run(self._thaw(host))
+            self._run(self._resume(host))
             self._run(self._set_live_peers(host, list(HOSTS)))
             self._run(self._mark_engines_up(host))
 
@@ -241,4 +241,4 @@
 
 
 RoutingMachine.TestCase.settings = random_case_settings(examples=25, steps=25)
-TestRouting = RoutingMachine.TestCase
+TestRoutingMachine = RoutingMachine.TestCase
--- a/testing/test_routing_poller.py
+++ b/testing/test_routing_poller.py
@@ -89,7 +89,7 @@
     pollers: EnginePollers
 
 
-def _start() -> Harness:
+def _start_harness() -> Harness:
     """Start to poll one engine; appending to ``engines`` simulates a change of its address."""
     engines, owner = [FakePolledEngine()], FakeCellOwner()
     gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
@@ -104,7 +104,7 @@
 
 
 async def test_load_reports_with_their_age_and_cache_events_reach_the_owner() -> None:
-    harness = _start()
+    harness = _start_harness()
     await asyncio.sleep(1.2)
     load = harness.owner.loads[-1]
     assert (load.running, load.waiting, load.used_tokens, load.measured) == (3, 1, 900, 1000 - 400)
@@ -113,7 +113,7 @@
 
 
 async def test_engine_is_closed_when_its_load_report_says_that_it_is_leaving() -> None:
-    harness = _start()
+    harness = _start_harness()
     harness.engines[0].report = LoadReport(
         running=0, waiting=0, used_tokens=0, memory_tokens=1000, leaving=True
     )
@@ -122,7 +122,7 @@
 
 
 async def test_unreachable_engine_is_reported_lost_once_and_reopens_when_it_answers() -> None:
-    harness = _start()
+    harness = _start_harness()
     harness.engines[0].reachable = False
     opened = []
     harness.gate.changes.subscribe(lambda each: opened.append(harness.gate.is_open(each)))
@@ -135,7 +135,7 @@
 
 
 async def test_engine_is_polled_at_its_new_address_until_another_host_owns_it() -> None:
-    harness = _start()
+    harness = _start_harness()
     await asyncio.sleep(1)
     harness.engines.append(FakePolledEngine())
     await asyncio.sleep(1)
--- a/testing/test_routing_processes.py
+++ b/testing/test_routing_processes.py
@@ -1,4 +1,4 @@
-"""Requests while the owners of cells are frozen and thawed, with real processes."""
+"""Requests while the owners of cells are frozen and resumed, with real processes."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from standins.launcher import ClusterPlan
 from testing._callers import ask
 from testing._callers import expected_text
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
 REQUESTS_PER_HOST = 4
 
 
-async def test_each_answer_is_complete_and_runs_once_when_any_host_is_frozen_and_thawed(
-    start_serving: StartServing, session: aiohttp.ClientSession
+async def test_each_answer_is_complete_and_runs_once_when_any_host_is_frozen_and_resumed(
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan(hosts=3, services=0))
+    cluster = await start_ready_cluster(ClusterPlan(hosts=3, services=0))
     asked = 0
 
     async def ask_at(host: str, number: int) -> None:
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -71,19 +71,19 @@
         self.sent_to.append(address)
         failure_point = self.failure_points.pop(0) if self.failure_points else FailurePoint.NONE
         if failure_point is FailurePoint.CONNECT:
-            return _build_failure(UpstreamErrorKind.NOT_SENT)
+            return _failure(UpstreamErrorKind.NOT_SENT)
         if failure_point is FailurePoint.REFUSED:
             refusal = Refusal(kind=RefusalKind.OVERLOADED)
             return Failure(
                 UpstreamError(kind=UpstreamErrorKind.REFUSED, detail="Full.", refusal=refusal)
             )
         if failure_point is FailurePoint.BEFORE_EXECUTION:
-            return _build_failure(UpstreamErrorKind.BROKEN)
+            return _failure(UpstreamErrorKind.BROKEN)
         self.executions[call.body] += 1
         if failure_point is FailurePoint.AFTER_EXECUTION:
-            return _build_failure(UpstreamErrorKind.BROKEN)
+            return _failure(UpstreamErrorKind.BROKEN)
         if failure_point is FailurePoint.LATE:
-            return _build_failure(UpstreamErrorKind.STALLED)
+            return _failure(UpstreamErrorKind.STALLED)
         return Success(
             ServiceResponse(status=201, content_type="text/plain", headers=(), body=b"ok")
         )
@@ -143,7 +143,7 @@
     key: str = "",
     times: int = 1,
 ) -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
-    async def run() -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
+    async def scenario() -> tuple[FakeService, list[Result[ServiceResponse, Problem]]]:
         service = FakeService(failure_points=list(failure_points))
         dispatch = make_service_dispatch(service, FaultyStore(backend=FakeBackend()))
         results = [
@@ -152,7 +152,7 @@
         ]
         return service, results
 
-    return run_virtually(run())
+    return run_virtually(scenario())
 
 
 FAILURES = [
@@ -228,5 +228,5 @@
     assert result.failure().execution is Execution.UNKNOWN
 
 
-def _build_failure(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
+def _failure(kind: UpstreamErrorKind) -> Failure[UpstreamError]:
     return Failure(UpstreamError(kind=kind, detail="Failure injected by the test."))
--- a/testing/test_standins_engine.py
+++ b/testing/test_standins_engine.py
@@ -42,16 +42,16 @@
 )
 
 
-def _options(limits: BatchLimits = AMPLE_LIMITS, **overrides: Any) -> EngineOptions:
+def _make_options(limits: BatchLimits = AMPLE_LIMITS, **overrides: Any) -> EngineOptions:
     return EngineOptions(
         limits=limits, models={"planner": "7"}, adapters={}, report_lag_ms=0, load_ms=0, **overrides
     )
 
 
-async def _engine(
+async def _start_engine(
     client_of: ClientOf, limits: BatchLimits = AMPLE_LIMITS, **overrides: Any
 ) -> Client:
-    return await client_of(EngineServer(_options(limits, **overrides)).app())
+    return await client_of(EngineServer(_make_options(limits, **overrides)).app())
 
 
 def _parse(text: str) -> list[TokenEvent]:
@@ -92,14 +92,14 @@
 
 
 async def test_stream_has_each_token_once_and_an_end_marker(client_of: ClientOf) -> None:
-    events = await _generate(await _engine(client_of), REQUEST)
+    events = await _generate(await _start_engine(client_of), REQUEST)
     assert _texts(events) == answer_tokens(REQUEST)
     assert [event.offset for event in events] == list(range(21))
     assert (events[-1].text, events[-1].finish_reason) == ("", FinishReason.STOP)
 
 
 async def test_stream_ends_at_the_limit_when_the_answer_is_longer(client_of: ClientOf) -> None:
-    events = await _generate(await _engine(client_of), replace(REQUEST, max_tokens=5))
+    events = await _generate(await _start_engine(client_of), replace(REQUEST, max_tokens=5))
     assert (events[-1].offset, events[-1].finish_reason) == (5, FinishReason.LENGTH)
 
 
@@ -111,7 +111,7 @@
 async def test_generation_continues_and_can_be_resumed_after_a_disconnect(
     client_of: ClientOf,
 ) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     reply = await engine.post("/v1/completions", data=msgspec.json.encode(REQUEST))
     await reply.content.readline()
     reply.close()
@@ -120,7 +120,7 @@
 
 
 async def test_attempt_runs_once_when_it_is_posted_twice(client_of: ClientOf) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     first, second = await asyncio.gather(_generate(engine, REQUEST), _generate(engine, REQUEST))
     assert first == second
     assert (await _execution(engine)).posts == 2
@@ -128,7 +128,7 @@
 
 
 async def test_cancelled_generation_stops_and_cancelling_is_idempotent(client_of: ClientOf) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     running = asyncio.create_task(
         _generate(engine, replace(REQUEST, prompt="[[tokens=100000]]", max_tokens=100_000))
     )
@@ -143,7 +143,7 @@
 async def test_lowest_priority_is_preempted_and_completes_when_memory_is_full(
     client_of: ClientOf,
 ) -> None:
-    engine = await _engine(client_of, BatchLimits(memory_tokens=96, step_ms=1, sequence_ms=0))
+    engine = await _start_engine(client_of, BatchLimits(memory_tokens=96, step_ms=1, sequence_ms=0))
     high_priority = EngineRequest(
         attempt_id="dear", model="planner", prompt="[[tokens=60]]", priority=0
     )
@@ -160,7 +160,7 @@
 
 
 async def test_running_generations_fail_on_out_of_memory(client_of: ClientOf) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     long = replace(REQUEST, prompt="[[tokens=100000]]", max_tokens=100_000)
     running = asyncio.create_task(_generate(engine, long))
     await asyncio.sleep(0.05)
@@ -184,7 +184,7 @@
     status: int,
     kind: RefusalKind,
 ) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     await engine.post("/admin/leave", json={"leaving": leaving})
     reply = await engine.post("/v1/completions", data=msgspec.json.encode(request_body))
     assert reply.status == status
@@ -193,7 +193,7 @@
 
 
 async def _with_fault(client_of: ClientOf, mode: StreamFaultMode) -> list[TokenEvent]:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     fault = StreamFault(mode=mode, at=4, count=1)
     await engine.post("/admin/fault", data=msgspec.json.encode(fault))
     return await _generate(engine, REQUEST)
@@ -212,7 +212,7 @@
 
 
 async def test_resumed_stream_starts_early_with_the_overlap_fault(client_of: ClientOf) -> None:
-    engine = await _engine(client_of)
+    engine = await _start_engine(client_of)
     await _generate(engine, REQUEST)
     fault = StreamFault(mode=StreamFaultMode.OVERLAP)
     await engine.post("/admin/fault", data=msgspec.json.encode(fault))
@@ -235,7 +235,7 @@
 async def test_order_with_a_stale_fence_is_refused_only_when_fences_are_checked(
     client_of: ClientOf, checks_fence: bool, status: int
 ) -> None:
-    engine = await _engine(client_of, checks_fence=checks_fence)
+    engine = await _start_engine(client_of, checks_fence=checks_fence)
     assert await _order(engine, "new", 5) == 200
     assert await _order(engine, "old", 4) == status
     assert await _order(engine, "new", 5) == 200
--- a/testing/test_suspects.py
+++ b/testing/test_suspects.py
@@ -14,7 +14,7 @@
 from tanagerscale.quarantine._suspects import SUSPICION_TTL_MS
 from testing._virtual_time import run_virtually
 
-POISON = Fingerprint("poison")
+CRASHING = Fingerprint("poison")
 HARMLESS = Fingerprint("harmless")
 ENGINES = [UpstreamId(name) for name in ("x", "y", "z")]
 
@@ -25,29 +25,29 @@
 
 
 def test_request_is_refused_once_it_has_crashed_three_upstreams() -> None:
-    async def run() -> list[bool]:
+    async def scenario() -> list[bool]:
         suspects = SuspectTracker(clock=Clock())
         results = []
         for upstream in ENGINES:
-            results.append(suspects.is_refused(POISON))
-            suspects.note_broken(fingerprint=POISON, upstream=upstream)
-        return [*results, suspects.is_refused(POISON)]
+            results.append(suspects.is_refused(CRASHING))
+            suspects.note_broken(fingerprint=CRASHING, upstream=upstream)
+        return [*results, suspects.is_refused(CRASHING)]
 
-    assert run_virtually(run()) == [False, False, False, True]
+    assert run_virtually(scenario()) == [False, False, False, True]
 
 
 def test_crash_is_withdrawn_when_the_upstream_answers_later() -> None:
-    async def run() -> bool:
+    async def scenario() -> bool:
         suspects = SuspectTracker(clock=Clock())
-        _record_crashes(suspects, POISON)
+        _record_crashes(suspects, CRASHING)
         suspects.note_alive(upstream=ENGINES[1])
-        return suspects.is_refused(POISON)
+        return suspects.is_refused(CRASHING)
 
-    assert not run_virtually(run())
+    assert not run_virtually(scenario())
 
 
 def test_crash_is_withdrawn_on_all_hosts_when_the_upstream_answers_one_of_them() -> None:
-    async def run() -> list[bool]:
+    async def scenario() -> list[bool]:
         local, remote = SuspectTracker(clock=Clock()), SuspectTracker(clock=Clock())
         local.news.subscribe(remote.on_peer)
         _record_crashes(local, HARMLESS)
@@ -55,72 +55,72 @@
         local.note_alive(upstream=ENGINES[0])
         return [*results, remote.is_refused(HARMLESS)]
 
-    assert run_virtually(run()) == [True, False]
+    assert run_virtually(scenario()) == [True, False]
 
 
 def test_snapshot_omits_requests_with_a_single_crash() -> None:
-    async def run() -> set[str]:
+    async def scenario() -> set[str]:
         suspects = SuspectTracker(clock=Clock())
-        _record_crashes(suspects, POISON, 2)
+        _record_crashes(suspects, CRASHING, 2)
         _record_crashes(suspects, HARMLESS, 1)
         return {suspect.fingerprint for suspect in suspects.snapshot()}
 
-    assert run_virtually(run()) == {str(POISON)}
+    assert run_virtually(scenario()) == {str(CRASHING)}
 
 
 def test_upstream_counts_once_when_answers_break_off_repeatedly() -> None:
-    async def run() -> bool:
+    async def scenario() -> bool:
         suspects = SuspectTracker(clock=Clock())
         for _ in range(5):
-            suspects.note_broken(fingerprint=POISON, upstream=ENGINES[0])
-        return suspects.is_refused(POISON)
+            suspects.note_broken(fingerprint=CRASHING, upstream=ENGINES[0])
+        return suspects.is_refused(CRASHING)
 
-    assert not run_virtually(run())
+    assert not run_virtually(scenario())
 
 
 def test_request_is_cleared_on_all_hosts_by_a_complete_answer() -> None:
-    async def run() -> tuple[bool, bool, bool]:
+    async def scenario() -> tuple[bool, bool, bool]:
         local, remote = SuspectTracker(clock=Clock()), SuspectTracker(clock=Clock())
         local.news.subscribe(remote.on_peer)
-        _record_crashes(local, POISON)
+        _record_crashes(local, CRASHING)
         _record_crashes(local, HARMLESS, 2)
         local.note_whole(fingerprint=HARMLESS, upstream=UpstreamId("w"))
         local.note_broken(fingerprint=HARMLESS, upstream=ENGINES[2])
-        return remote.is_refused(POISON), remote.is_refused(HARMLESS), local.is_refused(HARMLESS)
+        return remote.is_refused(CRASHING), remote.is_refused(HARMLESS), local.is_refused(HARMLESS)
 
-    assert run_virtually(run()) == (True, False, False)
+    assert run_virtually(scenario()) == (True, False, False)
 
 
 def test_crashes_are_counted_over_all_hosts_and_sent_to_hosts_that_connect_later() -> None:
-    async def run() -> bool:
+    async def scenario() -> bool:
         first, second, third = (SuspectTracker(clock=Clock()) for _ in range(3))
         first.news.subscribe(second.on_peer)
-        first.note_broken(fingerprint=POISON, upstream=ENGINES[0])
-        second.note_broken(fingerprint=POISON, upstream=ENGINES[1])
+        first.note_broken(fingerprint=CRASHING, upstream=ENGINES[0])
+        second.note_broken(fingerprint=CRASHING, upstream=ENGINES[1])
         for message in second.snapshot():
             third.on_peer(message)
-        third.on_peer(Suspect(upstream=ENGINES[2], evidence=Evidence.BROKEN, fingerprint=POISON))
-        return third.is_refused(POISON)
+        third.on_peer(Suspect(upstream=ENGINES[2], evidence=Evidence.BROKEN, fingerprint=CRASHING))
+        return third.is_refused(CRASHING)
 
-    assert run_virtually(run())
+    assert run_virtually(scenario())
 
 
 def test_suspicion_ends_when_its_ttl_has_elapsed() -> None:
-    async def run() -> bool:
+    async def scenario() -> bool:
         suspects = SuspectTracker(clock=Clock())
-        _record_crashes(suspects, POISON)
+        _record_crashes(suspects, CRASHING)
         await asyncio.sleep(SUSPICION_TTL_MS / 1000)
-        return suspects.is_refused(POISON)
+        return suspects.is_refused(CRASHING)
 
-    assert not run_virtually(run())
+    assert not run_virtually(scenario())
 
 
 def test_suspect_count_does_not_exceed_its_limit() -> None:
-    async def run() -> int:
+    async def scenario() -> int:
         suspects = SuspectTracker(clock=Clock())
         for number in range(MAX_SUSPECTS + 100):
             fingerprint = Fingerprint(str(number))
             suspects.note_broken(fingerprint=fingerprint, upstream=ENGINES[0])
         return suspects.suspect_count
 
-    assert run_virtually(run()) == MAX_SUSPECTS
+    assert run_virtually(scenario()) == MAX_SUSPECTS
--- a/testing/test_tls.py
+++ b/testing/test_tls.py
@@ -52,7 +52,7 @@
     key: Path
 
 
-class Authority:
+class CertificateAuthority:
     """Certificate authority that signs certificates for the loopback address."""
 
     def __init__(self, *, directory: Path, name: str) -> None:
@@ -65,7 +65,7 @@
         self.certificate = directory / f"{name}.pem"
         self._write(self.certificate, builder)
 
-    def sign(self, name: str) -> KeyPair:
+    def issue(self, name: str) -> KeyPair:
         """Create a certificate and its private key and write both to files."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
@@ -105,10 +105,10 @@
 
 
 async def _start_host(
-    cluster: Cluster, name: str, *, authority: Authority, seeds: list[str]
+    cluster: Cluster, name: str, *, authority: CertificateAuthority, seeds: list[str]
 ) -> ManagedProcess:
-    callers = authority.sign(f"{name}-callers")
-    peers = authority.sign(f"{name}-peers")
+    callers = authority.issue(f"{name}-callers")
+    peers = authority.issue(f"{name}-peers")
     settings = HostSettings(
         host=HostSection(
             id=name, failure_domain=FAILURE_DOMAINS[0], callers=ANY_PORT, peers=ANY_PORT
@@ -154,8 +154,8 @@
     start_cluster: StartCluster, tmp_path: Path
 ) -> None:
     cluster = await start_cluster(ClusterPlan(hosts=0, engines=1, services=0))
-    our_authority = Authority(directory=tmp_path, name="ours")
-    foreign_authority = Authority(directory=tmp_path, name="foreign")
+    our_authority = CertificateAuthority(directory=tmp_path, name="ours")
+    foreign_authority = CertificateAuthority(directory=tmp_path, name="foreign")
     first = await _start_host(cluster, "host-1", authority=our_authority, seeds=[])
     applied = await cluster.apply()
     assert applied.returncode == 0, applied.output + applied.errors
@@ -174,11 +174,11 @@
         answer = await ask(session=session, url=url, prompt=PROMPT)
         assert answer.text == expected_text(prompt=PROMPT)
 
-        await _connect_as_peer(first, pair=our_authority.sign("visitor"))
-        for pair in (None, foreign_authority.sign("intruder")):
+        await _connect_as_peer(first, pair=our_authority.issue("visitor"))
+        for pair in (None, foreign_authority.issue("intruder")):
             with pytest.raises((aiohttp.ClientError, OSError)):
                 await _connect_as_peer(first, pair=pair)
         assert (await _status(session, first)).live_hosts == ["host-2"]
-    async with aiohttp.ClientSession() as untrusting:
+    async with aiohttp.ClientSession() as untrusting_session:
         with pytest.raises(aiohttp.ClientConnectorCertificateError):
-            await _status(untrusting, first)
+            await _status(untrusting_session, first)
--- a/testing/test_upstream_connection.py
+++ b/testing/test_upstream_connection.py
@@ -223,7 +223,7 @@
         assert caught.value.failure is ExchangeFailure.NOT_SENT
 
 
-def _create_pool(*, idle_ms: int = 60_000) -> ConnectionPool:
+def _make_pool(*, idle_ms: int = 60_000) -> ConnectionPool:
     return ConnectionPool(clock=Clock(), connect_timeout_ms=2000, idle_ms=idle_ms)
 
 
@@ -237,7 +237,7 @@
 @pytest.mark.asyncio
 async def test_pool_reuses_connection() -> None:
     async with _serve(_script_responses(COMPLETE, COMPLETE)) as address:
-        pool = _create_pool()
+        pool = _make_pool()
         first = await _exchange_through(pool, address)
         assert await _exchange_through(pool, address) is first
         assert (pool.opened, pool.reused) == (1, 1)
@@ -247,7 +247,7 @@
 @pytest.mark.asyncio
 async def test_pool_opens_new_connection_when_idle_one_has_ended() -> None:
     async with _serve(_script_responses(COMPLETE, close=True)) as address:
-        pool = _create_pool()
+        pool = _make_pool()
         first = await _exchange_through(pool, address)
         while first.is_open:
             await asyncio.sleep(0.005)
@@ -258,7 +258,7 @@
 @pytest.mark.asyncio
 async def test_pool_opens_new_connection_when_unsolicited_response_arrived() -> None:
     async with _serve(_script_responses(COMPLETE + COMPLETE)) as address:
-        pool = _create_pool()
+        pool = _make_pool()
         await _exchange_through(pool, address)
         await _exchange_through(pool, address)
         assert pool.reused == 0
@@ -270,7 +270,7 @@
 async def test_pool_does_not_reuse_connection_when_upstream_closes_it(field: bytes) -> None:
     response = COMPLETE.replace(b"X-Id: 1", field)
     async with _serve(_script_responses(response, response)) as address:
-        pool = _create_pool()
+        pool = _make_pool()
         await _exchange_through(pool, address)
         await _exchange_through(pool, address)
         assert pool.reused == 0
@@ -280,7 +280,7 @@
 @pytest.mark.asyncio
 async def test_pool_does_not_reuse_connection_after_idle_timeout() -> None:
     async with _serve(_script_responses(COMPLETE, COMPLETE)) as address:
-        pool = _create_pool(idle_ms=0)
+        pool = _make_pool(idle_ms=0)
         await _exchange_through(pool, address)
         pool.sweep()
         await _exchange_through(pool, address)
--- a/testing/test_warmup.py
+++ b/testing/test_warmup.py
@@ -30,8 +30,8 @@
 from testing._gateway_fakes import FakeResponse
 from testing._gateway_fakes import FakeTables
 from testing._gateway_fakes import FakeUpstreams
-from testing._gateway_fakes import make_bench
 from testing._gateway_fakes import make_entry
+from testing._gateway_fakes import make_gateway_fakes
 from testing._gateway_fakes import make_request
 from testing._gateway_fakes import make_route
 from testing._gateway_fakes import make_table
@@ -52,7 +52,9 @@
 ENTRY = make_entry("x")
 
 
-def _limit(*, share: float = 1.0, host: str = "host", per_s: float = RATE_PER_S) -> WarmupLimit:
+def _make_limit(
+    *, share: float = 1.0, host: str = "host", per_s: float = RATE_PER_S
+) -> WarmupLimit:
     return WarmupLimit(
         host=HostId(host),
         tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=per_s)),
@@ -76,8 +78,8 @@
 
 @pytest.mark.parametrize("per_s", [1.0, 4.0, 10.0, 36.0])
 def test_cold_upstream_gets_at_most_its_rate_in_any_second(per_s: float) -> None:
-    async def main() -> tuple[int, int]:
-        limit, rng = _limit(per_s=per_s), Random(1)
+    async def scenario() -> tuple[int, int]:
+        limit, rng = _make_limit(per_s=per_s), Random(1)
         sent = []
         for _ in range(4000):
             await asyncio.sleep(rng.expovariate(300))
@@ -85,32 +87,32 @@
                 sent.append(asyncio.get_running_loop().time())
         return _max_in_a_second(sent), len(sent)
 
-    most, sent = run_virtually(main())
+    most, sent = run_virtually(scenario())
     assert most <= per_s
     assert sent >= 5
 
 
 def test_two_deciders_in_one_second_stay_within_the_burst_limit() -> None:
-    async def main() -> int:
-        first, second = _limit(), _limit(host="other")
+    async def scenario() -> int:
+        first, second = _make_limit(), _make_limit(host="other")
         return sum(first.try_acquire(ENTRY) for _ in range(50)) + sum(
             second.try_acquire(ENTRY) for _ in range(50)
         )
 
-    assert run_virtually(main()) <= RATE_PER_S * BURST_FACTOR
+    assert run_virtually(scenario()) <= RATE_PER_S * BURST_FACTOR
 
 
 @pytest.mark.parametrize("hosts", [2, 9, 61, 195, 390])
 def test_isolated_hosts_together_stay_within_the_limit(hosts: int) -> None:
-    async def main() -> int:
-        limits = [_limit(host=f"host-{number}", share=1 / hosts) for number in range(hosts)]
+    async def scenario() -> int:
+        limits = [_make_limit(host=f"host-{number}", share=1 / hosts) for number in range(hosts)]
         return sum(limit.try_acquire(ENTRY) for limit in limits for _ in range(50))
 
-    assert 1 <= run_virtually(main()) <= MAX_IN_A_SECOND
+    assert 1 <= run_virtually(scenario()) <= MAX_IN_A_SECOND
 
 
 def test_warm_upstream_is_not_limited() -> None:
-    async def main() -> bool:
+    async def scenario() -> bool:
         limit = WarmupLimit(
             host=HostId("host"),
             tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S)),
@@ -120,11 +122,11 @@
         )
         return all(limit.try_acquire(ENTRY) for _ in range(1000)) and not limit.is_warming(ENTRY)
 
-    assert run_virtually(main())
+    assert run_virtually(scenario())
 
 
 def test_upstream_counts_as_cold_after_an_evacuation_ends() -> None:
-    async def main() -> list[bool]:
+    async def scenario() -> list[bool]:
         upstreams = FakeUpstreams(entries=[ENTRY])
         limit = WarmupLimit(
             host=HostId("host"),
@@ -139,79 +141,79 @@
             seen.append(limit.is_warming(ENTRY))
         return seen
 
-    assert run_virtually(main()) == [False, True, True, False]
+    assert run_virtually(scenario()) == [False, True, True, False]
 
 
 def test_new_cold_time_in_an_entry_counts_from_its_revision() -> None:
-    async def main() -> list[int]:
-        world = RosterHarness()
-        world.write("a")
+    async def scenario() -> list[int]:
+        harness = RosterHarness()
+        harness.write("a")
         await asyncio.sleep(100)
-        seen = [world.roster.cold_ms(UpstreamId("a"))]
-        world.revision += 1
-        entry = make_store_entry("a", "ready 800", revision=world.revision)
-        found = StoreRange(entries=(entry,), revision=StoreRevision(world.revision))
-        world.roster.on_snapshot(found)
-        seen.append(world.roster.cold_ms(UpstreamId("a")))
+        seen = [harness.roster.cold_ms(UpstreamId("a"))]
+        harness.revision += 1
+        entry = make_store_entry("a", "ready 800", revision=harness.revision)
+        found = StoreRange(entries=(entry,), revision=StoreRevision(harness.revision))
+        harness.roster.on_snapshot(found)
+        seen.append(harness.roster.cold_ms(UpstreamId("a")))
         await asyncio.sleep(0.3)
         # Reading the same entry again does not restart its cold time.
-        world.roster.on_snapshot(found)
-        seen.append(world.roster.cold_ms(UpstreamId("a")))
+        harness.roster.on_snapshot(found)
+        seen.append(harness.roster.cold_ms(UpstreamId("a")))
         await asyncio.sleep(1)
-        return [*seen, world.roster.cold_ms(UpstreamId("a"))]
+        return [*seen, harness.roster.cold_ms(UpstreamId("a"))]
 
-    assert run_virtually(main()) == [0, 800, 500, 0]
+    assert run_virtually(scenario()) == [0, 800, 500, 0]
 
 
-def _tables() -> FakeTables:
+def _make_tables() -> FakeTables:
     return FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S))
 
 
 def test_plain_requests_above_the_limit_go_to_warm_upstreams() -> None:
-    async def main() -> Counter[str]:
-        bench = make_bench(make_entry("x"), make_entry("y"))
-        bench.tables.table = _tables().table
-        bench.upstreams.cold["x"] = 60_000
-        bench.caller.set("x", *(FakeResponse() for _ in range(500)))
+    async def scenario() -> Counter[str]:
+        fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
+        fakes.tables.table = _make_tables().table
+        fakes.upstreams.cold["x"] = 60_000
+        fakes.upstream_client.set("x", *(FakeResponse() for _ in range(500)))
         for number in range(300):
             request = route_request(make_request(name=f"r{number}"), make_route())
-            refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(FakeResponder())
+            refusal = await PlainForwarder(routed=request, parts=fakes.parts).serve(FakeResponder())
             assert refusal is None
             await asyncio.sleep(0.003)
-        return Counter(bench.caller.asked)
+        return Counter(fakes.upstream_client.asked)
 
-    asked = run_virtually(main())
+    asked = run_virtually(scenario())
     assert 1 <= asked["x"] <= RATE_PER_S
     assert asked["x"] + asked["y"] == 300
 
 
 def test_plain_request_is_refused_as_not_executed_when_all_upstreams_are_at_the_limit() -> None:
-    async def main() -> None:
-        bench = make_bench(make_entry("x"))
-        bench.tables.table = _tables().table
-        bench.upstreams.cold["x"] = 60_000
+    async def scenario() -> None:
+        fakes = make_gateway_fakes(make_entry("x"))
+        fakes.tables.table = _make_tables().table
+        fakes.upstreams.cold["x"] = 60_000
         refusals = []
         for number in range(30):
             request = route_request(make_request(name=f"r{number}"), make_route())
-            forward = PlainForwarder(routed=request, parts=bench.parts)
+            forward = PlainForwarder(routed=request, parts=fakes.parts)
             refusals.append(await forward.serve(FakeResponder()))
         refused = [refusal for refusal in refusals if refusal is not None]
-        assert len(bench.caller.asked) + len(refused) == 30
+        assert len(fakes.upstream_client.asked) + len(refused) == 30
         assert {refusal.kind for refusal in refused} == {RefusalKind.OVERLOADED}
         assert all(refusal.retry_after_ms for refusal in refused)
 
-    run_virtually(main())
+    run_virtually(scenario())
 
 
-def _run(scenario: Callable[[Fleet], Coroutine[Any, Any, Any]]) -> Any:
-    async def main() -> Any:
+def _run_with_fleet(scenario: Callable[[Fleet], Coroutine[Any, Any, Any]]) -> Any:
+    async def run() -> Any:
         fleet = Fleet()
         await fleet.start(count=12, domains=3, engines=1)
         fleet.write(CONFIGURATION_KEY, f"2 {COLD_MS} {RATE_PER_S}")
         await asyncio.sleep(1)
         return await scenario(fleet)
 
-    return run_virtually(main())
+    return run_virtually(run())
 
 
 async def _ask_concurrently(fleet: Fleet, *, count: int) -> list[float]:
@@ -236,7 +238,7 @@
         granted = await _ask_concurrently(fleet, count=60)
         assert 1 <= _max_in_a_second(granted) <= RATE_PER_S
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_limit_holds_when_the_decider_is_killed_within_the_second() -> None:
@@ -250,7 +252,7 @@
         granted = await first + await second
         assert _max_in_a_second(granted) <= MAX_IN_A_SECOND
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_limit_holds_when_all_hosts_are_isolated() -> None:
@@ -263,19 +265,19 @@
         granted = await _ask_concurrently(fleet, count=120)
         assert _max_in_a_second(granted) <= MAX_IN_A_SECOND
 
-    _run(scenario)
+    _run_with_fleet(scenario)
 
 
 def test_upstream_is_warm_long_after_an_evacuation_ends() -> None:
-    async def main() -> bool:
+    async def scenario() -> bool:
         upstreams = FakeUpstreams(entries=[ENTRY], taken_back={"x": 59_000})
         limit = WarmupLimit(
             host=HostId("host"),
-            tables=_tables(),
+            tables=_make_tables(),
             upstreams=upstreams,
             share=lambda: 1.0,
             clock=Clock(),
         )
         return limit.is_warming(ENTRY)
 
-    assert not run_virtually(main())
+    assert not run_virtually(scenario())
--- a/testing/test_warmup_machine.py
+++ b/testing/test_warmup_machine.py
@@ -56,12 +56,12 @@
         self.clock = _ManualClock()
         self.decider = dict.fromkeys(HOSTS, COORDINATORS[0])
         self.reported = dict(self.decider)
-        """Decider of each host as the deciders know it."""
+        """Decider of each host as last reported to the deciders."""
         self.changed_at = 0
         self.sent: deque[int] = deque()
-        self.limits = {host: self._limit(host) for host in HOSTS}
+        self.limits = {host: self._make_limit(host) for host in HOSTS}
 
-    def _limit(self, host: str) -> WarmupLimit:
+    def _make_limit(self, host: str) -> WarmupLimit:
         return WarmupLimit(
             host=HostId(host),
             tables=FakeTables(table=make_table(cold_ms=60_000, cold_per_s=RATE_PER_S)),
@@ -71,7 +71,7 @@
         )
 
     def _share(self, decider: str) -> float:
-        deciding = sum(one == decider for one in self.reported.values())
+        deciding = sum(reported == decider for reported in self.reported.values())
         return max(deciding, 1) / len(HOSTS)
 
     @rule(host=st.sampled_from(HOSTS), repeats=st.integers(1, 12))
@@ -117,5 +117,5 @@
         assert len(self.sent) <= RATE_PER_S * BURST_FACTOR + BURST_SLACK
 
 
-TestWarmup = WarmupMachine.TestCase
-TestWarmup.settings = random_case_settings(examples=150, steps=50)
+TestWarmupMachine = WarmupMachine.TestCase
+TestWarmupMachine.settings = random_case_settings(examples=150, steps=50)
--- a/testing/test_whole_path.py
+++ b/testing/test_whole_path.py
@@ -12,15 +12,15 @@
 from testing._callers import expected_text
 from testing._callers import headers
 from testing._callers import resume
-from testing.conftest import StartServing
+from testing.conftest import StartReadyCluster
 
 PAUSE_S = 0.05
 
 
 async def test_answer_and_booking_are_served_when_processes_are_separate(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan())
+    cluster = await start_ready_cluster(ClusterPlan())
     for host in cluster.hosts:
         answer = await ask(
             session=session, url=cluster.caller_url(host), prompt="ladder [[tokens=20]]"
@@ -38,9 +38,9 @@
 
 
 async def test_nothing_is_interrupted_when_a_host_stops(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan())
+    cluster = await start_ready_cluster(ClusterPlan())
     prompt = "plan [[tokens=150]]"
     url = cluster.caller_url("host-1")
     answer = Answer()
@@ -56,9 +56,9 @@
 
 
 async def test_caller_goes_on_at_another_host_when_its_host_is_killed(
-    start_serving: StartServing, session: aiohttp.ClientSession
+    start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
-    cluster = await start_serving(ClusterPlan())
+    cluster = await start_ready_cluster(ClusterPlan())
     prompt = "plan [[tokens=200]]"
     answer = Answer()
     task = asyncio.create_task(
