--- a/src/tanagerscale/claims/_batcher.py
+++ b/src/tanagerscale/claims/_batcher.py
@@ -91,7 +91,7 @@
         self._retry_at = Millis(self._clock.now() + RETRY_DELAY_MS)
         return True
 
-    def note_failure(self, *, error: StoreError) -> None:
+    def record_failure(self, *, error: StoreError) -> None:
         """Record the failure of any call to the store, including calls that are not commits."""
         if error.kind is StoreErrorKind.REFUSED:
             return
@@ -185,7 +185,7 @@
             self._in_flight = False
         if isinstance(result, Failure):
             self._resolve(batch, Failure(result.failure()))
-            self.note_failure(error=result.failure())
+            self.record_failure(error=result.failure())
             return
         self._failures = 0
         for queued, outcome in zip(batch, result.unwrap(), strict=True):
--- a/src/tanagerscale/claims/_claims.py
+++ b/src/tanagerscale/claims/_claims.py
@@ -222,7 +222,7 @@
         for _ in range(MAX_CLAIM_ROUNDS):
             leased = await self._leases.get_lease(ttl_s=attempt.ttl_s)
             if isinstance(leased, Failure):
-                self._batcher.note_failure(error=leased.failure())
+                self._batcher.record_failure(error=leased.failure())
                 return Failure(self._store_unavailable())
             result = await self._put(attempt, expected=expected, lease=leased.unwrap())
             if isinstance(result, Failure):
--- a/src/tanagerscale/coordination/_announcements.py
+++ b/src/tanagerscale/coordination/_announcements.py
@@ -69,7 +69,7 @@
         self._pending: dict[Announcement, asyncio.TimerHandle] = {}
         """Announcements scheduled to be sent unless a coordinator sends them first."""
 
-    def tell(self, announcement: Announcement) -> None:
+    def announce(self, announcement: Announcement) -> None:
         """Send an announcement, unless a coordinator has already sent it."""
         if announcement in self._pending or self._is_announced(announcement):
             return
@@ -91,7 +91,7 @@
             self._record_announced(announcement)
         elif isinstance(announcement, Suspect):
             # The gate itself announces leaving upstreams that are new to it.
-            self.tell(announcement)
+            self.announce(announcement)
 
     def _is_announced(self, announcement: Announcement) -> bool:
         at = self._announced.get(announcement)
--- a/src/tanagerscale/coordination/_client.py
+++ b/src/tanagerscale/coordination/_client.py
@@ -90,7 +90,7 @@
 
 @final
 class CoordinationClient:
-    """Requests placements and permissions from the decider, and reports the runs of this host.
+    """Requests placements and permits from the decider, and reports the runs of this host.
 
     A decider that does not answer delays a caller by ``DECIDER_TIMEOUT_MS``; then the next host in
     rank is asked, and this host decides for itself when none answers. So neither a crash nor a
--- a/src/tanagerscale/coordination/_context.py
+++ b/src/tanagerscale/coordination/_context.py
@@ -1,4 +1,4 @@
-"""The upstreams, declarations and health data that decisions are based on."""
+"""The upstreams, configuration and health data that decisions are based on."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     def get(self, upstream: UpstreamId) -> UpstreamEntry | None:
         """Return the entry of an upstream, also for a while after it has been removed."""
 
-    def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return the remaining cold time of an upstream, as the upstream reports it."""
+    def warmup_ms(self, upstream: UpstreamId) -> int:
+        """Return the remaining warm-up time of an upstream, as the upstream reports it."""
 
     def is_evacuated(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream gets no requests because its failure domain is evacuated."""
@@ -46,7 +46,7 @@
     def open_for(self, service: ServiceId) -> list[UpstreamEntry]:
         """Return the upstreams of a service that accept new work."""
 
-    def staying(self, service: ServiceId) -> list[UpstreamEntry]:
+    def not_leaving(self, service: ServiceId) -> list[UpstreamEntry]:
         """Return the upstreams of a service that are not leaving, including failing ones."""
 
 
@@ -59,25 +59,25 @@
     def is_broken(self, upstream: UpstreamId) -> bool:
         """Return whether calls to an upstream failed and the next probe is not due yet."""
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream reports that it is leaving."""
 
-    def note_gone(self, *, upstream: UpstreamId) -> None:
+    def record_gone(self, *, upstream: UpstreamId) -> None:
         """Record that the address of an upstream now belongs to another one."""
 
-    def note_down(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream did not answer correctly."""
 
-    def note_up(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream has answered."""
 
 
 class RouteTableSource(Protocol):
-    """Provides the declarations in force."""
+    """Provides the configuration in force."""
 
     @property
     def table(self) -> RouteTable | None:
-        """The declarations in force; ``None`` before any are known."""
+        """The configuration in force; ``None`` before one is known."""
 
 
 class UpstreamView(Protocol):
@@ -95,7 +95,7 @@
 class DecisionContext(Struct, frozen=True, kw_only=True):
     """Inputs of decisions about engines, except the runs on them.
 
-    :param tables: The declarations in force.
+    :param tables: Provides the configuration in force.
     :param upstreams: The known upstreams.
     :param gate: Which upstreams are leaving or unreachable.
     :param health: Which upstreams are ejected.
@@ -112,7 +112,7 @@
     clock: Clock
     rng: Random
 
-    def engine_of(self, service: ServiceId) -> EngineCapabilities | None:
+    def get_engine_capabilities(self, service: ServiceId) -> EngineCapabilities | None:
         """Return the capabilities of the engines of a service; ``None`` when it has no engines."""
         table = self.tables.table
         declared = None if table is None else table.service(service)
@@ -141,8 +141,8 @@
         ]
 
     open_now = usable(view.upstreams.open_for(service))
-    sound = view.health.exclude_ejected(open_now)
-    return sound or open_now or usable(view.upstreams.staying(service))
+    healthy = view.health.exclude_ejected(open_now)
+    return healthy or open_now or usable(view.upstreams.not_leaving(service))
 
 
 def build_engine_view(
@@ -166,11 +166,11 @@
         memory_tokens=0 if engine is None else engine.memory_tokens,
         held_tokens=total.long_tokens + total.short_tokens,
         copy_tokens=total.copy_tokens,
-        evictable_tokens=total.yielding_tokens,
+        evictable_tokens=total.evictable_tokens,
         uncopied_tokens=total.uncopied_tokens,
         running=total.running,
         waiting_tokens=total.waiting_tokens,
         waiting=total.waiting,
-        max_batch=entry.max_concurrency if engine is None else engine.batch,
-        warmup_ms=upstreams.cold_ms(entry.upstream),
+        max_batch=entry.max_concurrency if engine is None else engine.max_batch,
+        warmup_ms=upstreams.warmup_ms(entry.upstream),
     )
--- a/src/tanagerscale/coordination/_coordinator.py
+++ b/src/tanagerscale/coordination/_coordinator.py
@@ -1,4 +1,4 @@
-"""The decision-making part of a host: placements, moves, retries and warm-up permissions."""
+"""The decision-making part of a host: placements, moves, retries and warm-up permits."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from tanagerscale.upstreams import UpstreamEntry
 
 REPORT_DELAY_MS: Final = 700
-"""Delay between a leave notice and the query for the departure time: reports are half a second
+"""Delay between a leaving notice and the query for the departure time: reports are half a second
 old."""
 
 REPORT_LAG_MS: Final = 580
@@ -98,10 +98,14 @@
         self.queue = PlacementQueue(
             context=context,
             ledger=self.ledger,
-            answer=lambda asker, answer: _log_unsent(asker, send(asker, answer)),
+            send_answer=lambda asker, answer: _log_unsent(asker, send(asker, answer)),
         )
         self.planner = MovePlanner(
-            host=host, context=context, ledger=self.ledger, departures=self.departures, order=send
+            host=host,
+            context=context,
+            ledger=self.ledger,
+            departures=self.departures,
+            send_order=send,
         )
         self.ledger.changes.subscribe(lambda _: self._on_ledger_change())
 
@@ -112,7 +116,7 @@
                 self.ledger.report(host=host, runs=message)
             case PlaceAsk():
                 domain = self._failure_domains.get(host, self._domain)
-                self.queue.ask(host=host, domain=domain, ask=message)
+                self.queue.submit(host=host, domain=domain, ask=message)
             case PlaceWithdrawal():
                 self.queue.withdraw(host=host, serial=message.serial)
             case RepeatAsk():
@@ -171,7 +175,7 @@
         return (self._poll_engines(),)
 
     async def _poll_engines(self) -> None:
-        """Poll engines for leave notices while the store delivers no changes.
+        """Poll engines for leaving notices while the store delivers no changes.
 
         When the store is down for eight seconds while an engine is removed every three, nobody can
         read the notices in the store. An engine's own report says, half a second late, that it is
@@ -206,7 +210,7 @@
         self.departures.record_notice(upstream)
         if in_ms is not None:
             self.departures.set_departure(upstream, in_ms=in_ms - REPORT_LAG_MS)
-        self._context.gate.note_leaving(upstream=upstream)
+        self._context.gate.record_leaving(upstream=upstream)
 
     def _engines_in_use(self) -> list[UpstreamId]:
         """Return the engines with runs of the hosts that this host decides for."""
--- a/src/tanagerscale/coordination/_departures.py
+++ b/src/tanagerscale/coordination/_departures.py
@@ -1,4 +1,4 @@
-"""Leave notices and departure times of engines."""
+"""Leaving notices and departure times of engines."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from tanagerscale.policy import MIN_NOTICE_MS
 
 LINK_RESERVATION_MS: Final = 1600
-"""How long after a leave notice the links of engines are reserved for runs that must leave. Engines
+"""How long after a leaving notice the links are reserved for runs that must leave. Engines
 are removed 1.5 to 2.1 s after their notice, and a copy that is not needed yet would delay one that
 can't wait."""
 
 
 @final
 class Departures:
-    """Records when the first leave notice of each engine was received.
+    """Records when the first leaving notice of each engine was received.
 
     :param clock: Source of the current time.
     """
@@ -54,7 +54,7 @@
         return True
 
     def noticed_at(self, upstream: UpstreamId) -> Millis:
-        """Return when the leave notice of an engine was received; now if never."""
+        """Return when the leaving notice of an engine was received; now if never."""
         return self._noticed.get(upstream, self._clock.now())
 
     def forget(self, upstream: UpstreamId) -> None:
--- a/src/tanagerscale/coordination/_feed.py
+++ b/src/tanagerscale/coordination/_feed.py
@@ -123,14 +123,14 @@
         """Host that the entries come from; ``None`` while this host watches the store itself."""
         return self._source
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Handle a snapshot of all entries in the store."""
-        if found.revision < self._revision:
+        if snapshot.revision < self._revision:
             return
-        self._entries = {entry.key: entry for entry in found.entries}
+        self._entries = {entry.key: entry for entry in snapshot.entries}
         self._changes.clear()
-        self._oldest = self._revision = found.revision
-        self._listener.on_snapshot(found)
+        self._oldest = self._revision = snapshot.revision
+        self._listener.on_snapshot(snapshot)
         self._publish(self._full_content())
 
     def on_changes(self, batch: WatchBatch) -> None:
--- a/src/tanagerscale/coordination/_health.py
+++ b/src/tanagerscale/coordination/_health.py
@@ -30,8 +30,8 @@
 from tanagerscale.upstreams import UpstreamEntry
 
 WINDOW_MS: Final = 4000
-"""Length of the window of counted answers. In it, all hosts together observe some 25 answers of an
-upstream that handles a third of 20 requests a second."""
+"""Length of the window of counted responses. In it, all hosts together observe some 25 responses of
+an upstream that handles a third of 20 requests a second."""
 
 BASE_EJECTION_MS: Final = 3000
 MAX_EJECTION_MS: Final = 12_000
@@ -51,8 +51,8 @@
 _log = get_logger(part="health")
 
 
-class _AnswerHistory(Struct, kw_only=True):
-    """Answers of one upstream to this host, and its ejections."""
+class _ResponseHistory(Struct, kw_only=True):
+    """Responses of one upstream to this host, and its ejections."""
 
     results: deque[tuple[Millis, bool]] = field(default_factory=deque)
     ejections: int = 0
@@ -80,7 +80,7 @@
         self._service_of = service_of
         self._can_eject = can_eject
         self._clock = clock
-        self._own_answers: dict[UpstreamId, _AnswerHistory] = defaultdict(_AnswerHistory)
+        self._own_responses: dict[UpstreamId, _ResponseHistory] = defaultdict(_ResponseHistory)
         self._peer_tallies: dict[HostId, dict[UpstreamId, Tally]] = {}
         self._published = AnswerTallies()
         self._timer: asyncio.TimerHandle | None = None
@@ -88,7 +88,7 @@
         self._ejections: Subject[EjectedUpstream] = Subject()
 
     @property
-    def news(self) -> Observable[AnswerTallies]:
+    def tally_updates(self) -> Observable[AnswerTallies]:
         """Emits the tallies to send to the coordinators."""
         return self._tally_updates
 
@@ -97,13 +97,13 @@
         """Emits the ejections made by this host, to be sent to all hosts."""
         return self._ejections
 
-    def note_good(self, *, upstream: UpstreamId) -> None:
-        """Record a complete answer that arrived in time."""
-        self._own_answers[upstream].results.append((self._clock.now(), True))
+    def record_success(self, *, upstream: UpstreamId) -> None:
+        """Record a complete response that arrived in time."""
+        self._own_responses[upstream].results.append((self._clock.now(), True))
 
-    def note_bad(self, *, upstream: UpstreamId) -> None:
-        """Record an error, or an answer that is broken, late or missing."""
-        self._own_answers[upstream].results.append((self._clock.now(), False))
+    def record_failure(self, *, upstream: UpstreamId) -> None:
+        """Record an error, or a response that is broken, late or missing."""
+        self._own_responses[upstream].results.append((self._clock.now(), False))
         self._check_outlier(upstream)
         self._schedule_publish()
 
@@ -118,10 +118,10 @@
 
     def on_ejected(self, message: EjectedUpstream) -> None:
         """Apply an ejection that the decider has made."""
-        answers = self._own_answers[UpstreamId(message.upstream)]
-        answers.ejected_until = Millis(self._clock.now() + message.for_ms)
-        answers.rate = message.rate
-        answers.results.clear()
+        responses = self._own_responses[UpstreamId(message.upstream)]
+        responses.ejected_until = Millis(self._clock.now() + message.for_ms)
+        responses.rate = message.rate
+        responses.results.clear()
         _log.info(
             "Another host has ejected an upstream.", upstream=message.upstream, rate=message.rate
         )
@@ -134,10 +134,10 @@
         """Return those upstreams of a service that are not ejected."""
         now = self._clock.now()
         ejected = {
-            entry.upstream: answers.rate
+            entry.upstream: responses.rate
             for entry in entries
-            if (answers := self._own_answers.get(entry.upstream)) is not None
-            and answers.ejected_until > now
+            if (responses := self._own_responses.get(entry.upstream)) is not None
+            and responses.ejected_until > now
         }
         if not ejected:
             return list(entries)
@@ -153,7 +153,7 @@
         """Publish the tallies of upstreams with recent failures, if they have changed."""
         self._timer = None
         self._forget_expired()
-        tallies = {upstream: self._own_tally(upstream) for upstream in self._own_answers}
+        tallies = {upstream: self._own_tally(upstream) for upstream in self._own_responses}
         message = AnswerTallies(
             upstreams={
                 str(upstream): [tally.good, tally.bad]
@@ -168,10 +168,10 @@
             self._schedule_publish()
 
     def _check_outlier(self, upstream: UpstreamId) -> None:
-        answers = self._own_answers[upstream]
+        responses = self._own_responses[upstream]
         now = self._clock.now()
         service = self._service_of(upstream)
-        if service is None or answers.ejected_until > now or not self._can_eject():
+        if service is None or responses.ejected_until > now or not self._can_eject():
             return
         own = self._tally(upstream)
         others = Tally()
@@ -182,15 +182,15 @@
             self._eject(upstream, own, others)
 
     def _eject(self, upstream: UpstreamId, own: Tally, others: Tally) -> None:
-        answers = self._own_answers[upstream]
+        responses = self._own_responses[upstream]
         now = self._clock.now()
-        if now - answers.ejected_until > EJECTION_RESET_MS:
-            answers.ejections = 0
-        for_ms = min(BASE_EJECTION_MS * 2**answers.ejections, MAX_EJECTION_MS)
-        answers.ejections += 1
-        answers.ejected_until = Millis(now + for_ms)
-        answers.rate = own.rate
-        answers.results.clear()
+        if now - responses.ejected_until > EJECTION_RESET_MS:
+            responses.ejections = 0
+        for_ms = min(BASE_EJECTION_MS * 2**responses.ejections, MAX_EJECTION_MS)
+        responses.ejections += 1
+        responses.ejected_until = Millis(now + for_ms)
+        responses.rate = own.rate
+        responses.results.clear()
         for tallies in self._peer_tallies.values():
             tallies.pop(upstream, None)
         _log.warning(
@@ -207,7 +207,7 @@
         )
 
     def _known_upstreams(self) -> set[UpstreamId]:
-        known = set(self._own_answers)
+        known = set(self._own_responses)
         for tallies in self._peer_tallies.values():
             known.update(tallies)
         return known
@@ -219,24 +219,24 @@
         return tally
 
     def _own_tally(self, upstream: UpstreamId) -> Tally:
-        answers = self._own_answers.get(upstream)
-        if answers is None:
+        responses = self._own_responses.get(upstream)
+        if responses is None:
             return Tally()
-        self._drop_expired(answers)
-        good = sum(is_good for _, is_good in answers.results)
-        return Tally(good=good, bad=len(answers.results) - good)
+        self._drop_expired(responses)
+        good = sum(is_good for _, is_good in responses.results)
+        return Tally(good=good, bad=len(responses.results) - good)
 
-    def _drop_expired(self, answers: _AnswerHistory) -> None:
+    def _drop_expired(self, responses: _ResponseHistory) -> None:
         oldest = self._clock.now() - WINDOW_MS
-        while answers.results and answers.results[0][0] < oldest:
-            answers.results.popleft()
+        while responses.results and responses.results[0][0] < oldest:
+            responses.results.popleft()
 
     def _forget_expired(self) -> None:
         now = self._clock.now()
-        for upstream, answers in list(self._own_answers.items()):
-            self._drop_expired(answers)
-            if not answers.results and now - answers.ejected_until > EJECTION_RESET_MS:
-                del self._own_answers[upstream]
+        for upstream, responses in list(self._own_responses.items()):
+            self._drop_expired(responses)
+            if not responses.results and now - responses.ejected_until > EJECTION_RESET_MS:
+                del self._own_responses[upstream]
 
 
 @final
@@ -245,7 +245,7 @@
 
     :param health: Health of the upstreams.
     :param entry: The upstream.
-    :param after_ms: Time in milliseconds after which the answer counts as late.
+    :param after_ms: Time in milliseconds after which the response counts as late.
     """
 
     def __init__(self, *, health: UpstreamHealth, entry: UpstreamEntry, after_ms: int) -> None:
@@ -262,9 +262,9 @@
             return
         self._is_recorded = True
         if is_good:
-            self._health.note_good(upstream=self._entry.upstream)
+            self._health.record_success(upstream=self._entry.upstream)
         else:
-            self._health.note_bad(upstream=self._entry.upstream)
+            self._health.record_failure(upstream=self._entry.upstream)
 
     def cancel(self) -> None:
         """Stop the timer of an attempt cancelled before it was late; its outcome is unknown."""
@@ -272,4 +272,4 @@
 
     def _on_late(self) -> None:
         self._is_recorded = True
-        self._health.note_bad(upstream=self._entry.upstream)
+        self._health.record_failure(upstream=self._entry.upstream)
--- a/src/tanagerscale/coordination/_ledger.py
+++ b/src/tanagerscale/coordination/_ledger.py
@@ -42,7 +42,7 @@
     :param long_tokens: Tokens that long generations hold or will hold.
     :param short_tokens: Tokens that short generations hold or will hold.
     :param copy_tokens: Memory of copies of runs that are leaving another engine.
-    :param yielding_tokens: Memory of copies made ahead of time, which are dropped for new work.
+    :param evictable_tokens: Memory of copies made ahead of time, which are evicted for new work.
     :param uncopied_tokens: Memory of long generations that have no copy elsewhere.
     """
 
@@ -52,7 +52,7 @@
     long_tokens: int = 0
     short_tokens: int = 0
     copy_tokens: int = 0
-    yielding_tokens: int = 0
+    evictable_tokens: int = 0
     uncopied_tokens: int = 0
 
 
@@ -62,7 +62,7 @@
     :param host: Host that serves its caller.
     :param use: Last report of its host.
     :param tokens: Estimated memory in tokens.
-    :param made: Estimated number of generated tokens.
+    :param answer_tokens: Estimated number of generated tokens.
     :param running_ms: Time since its engine began to answer; negative before that.
     :param copy_age_ms: Age of its copy.
     """
@@ -70,7 +70,7 @@
     host: HostId
     use: RunUse
     tokens: int
-    made: int
+    answer_tokens: int
     running_ms: int
     copy_age_ms: int
 
@@ -88,13 +88,13 @@
     """A change to the copy of a run that its host has been ordered to make.
 
     :param copy_at: Engine that will hold the copy; empty for none.
-    :param yields: Whether the copy is made ahead of time.
+    :param is_evictable: Whether the copy is made ahead of time.
     :param is_moving: Whether the run is being copied.
     :param expires_at: When the plan stops counting.
     """
 
     copy_at: str
-    yields: bool
+    is_evictable: bool
     is_moving: bool
     expires_at: Millis
 
@@ -161,19 +161,21 @@
         if self._grants.pop(request, None) is not None:
             self._changes.on_next(None)
 
-    def plan_copy(self, *, run: LedgerRun, target: UpstreamId, yields: bool, for_ms: int) -> None:
+    def plan_copy(
+        self, *, run: LedgerRun, target: UpstreamId, is_evictable: bool, for_ms: int
+    ) -> None:
         """Count the memory of a copy that a host is ordered to make.
 
         :param run: The run.
         :param target: Engine that will hold the copy.
-        :param yields: Whether the copy is made ahead of time and is dropped for new work.
+        :param is_evictable: Whether the copy is made ahead of time and is evicted for new work.
         :param for_ms: How long the plan counts unless it is ended earlier.
         """
-        self._set_plan(run, target, yields=yields, is_moving=True, for_ms=for_ms)
+        self._set_plan(run, target, is_evictable=is_evictable, is_moving=True, for_ms=for_ms)
 
     def plan_drop(self, *, run: LedgerRun) -> None:
         """Count the memory of a copy as free, since its host is ordered to drop it."""
-        self._set_plan(run, "", yields=False, is_moving=False, for_ms=DROP_TIMEOUT_MS)
+        self._set_plan(run, "", is_evictable=False, is_moving=False, for_ms=DROP_TIMEOUT_MS)
 
     def end_plan(self, *, request: RequestId) -> None:
         """Use the report of the host for a run again."""
@@ -196,11 +198,11 @@
         return totals
 
     def _set_plan(
-        self, run: LedgerRun, copy_at: str, *, yields: bool, is_moving: bool, for_ms: int
+        self, run: LedgerRun, copy_at: str, *, is_evictable: bool, is_moving: bool, for_ms: int
     ) -> None:
         self._plans[RequestId(run.use.request)] = _CopyPlan(
             copy_at=copy_at,
-            yields=yields,
+            is_evictable=is_evictable,
             is_moving=is_moving,
             expires_at=Millis(self._clock.now() + for_ms),
         )
@@ -222,7 +224,9 @@
 
 
 def _apply_plan(use: RunUse, plan: _CopyPlan) -> RunUse:
-    return replace(use, copy_at=plan.copy_at, copy_yields=plan.yields, is_moving=plan.is_moving)
+    return replace(
+        use, copy_at=plan.copy_at, copy_yields=plan.is_evictable, is_moving=plan.is_moving
+    )
 
 
 def _extrapolate(host: HostId, use: RunUse, age_ms: int) -> LedgerRun:
@@ -233,7 +237,7 @@
         host=host,
         use=use,
         tokens=use.tokens + growth,
-        made=use.made + growth,
+        answer_tokens=use.made + growth,
         running_ms=use.begun_ms + age_ms if has_begun else use.begun_ms,
         copy_age_ms=use.copy_ms + age_ms,
     )
@@ -255,6 +259,6 @@
     if use.is_long and not use.copy_at and run.running_ms >= 0:
         total.uncopied_tokens += run.tokens
     if use.copy_at and use.copy_yields:
-        totals[UpstreamId(use.copy_at)].yielding_tokens += run.tokens
+        totals[UpstreamId(use.copy_at)].evictable_tokens += run.tokens
     elif use.copy_at:
         totals[UpstreamId(use.copy_at)].copy_tokens += run.tokens
--- a/src/tanagerscale/coordination/_placement_queue.py
+++ b/src/tanagerscale/coordination/_placement_queue.py
@@ -27,9 +27,9 @@
 from tanagerscale.generated.messages import PlaceAsk
 from tanagerscale.generated.messages import PlaceKind
 from tanagerscale.generated.messages import RunUse
-from tanagerscale.policy import Placement
+from tanagerscale.policy import PlacementDecision
 from tanagerscale.policy import PlacementQuery
-from tanagerscale.policy import Verdict
+from tanagerscale.policy import PlacementVerdict
 from tanagerscale.policy import place
 
 REEVALUATION_INTERVAL_MS: Final = 50
@@ -71,7 +71,7 @@
 
     :param context: Inputs of decisions.
     :param ledger: Runs of all hosts.
-    :param answer: Sends a decision to a host.
+    :param send_answer: Sends a decision to a host.
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         *,
         context: DecisionContext,
         ledger: RunLedger,
-        answer: Callable[[HostId, PlaceAnswer], None],
+        send_answer: Callable[[HostId, PlaceAnswer], None],
     ) -> None:
         self._context = context
         self._ledger = ledger
-        self._answer = answer
+        self._send_answer = send_answer
         self._waiting: dict[tuple[HostId, int], _QueuedPlacement] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._is_evaluating = False
@@ -93,7 +93,7 @@
         """Number of waiting generations."""
         return len(self._waiting)
 
-    def ask(self, *, host: HostId, domain: FailureDomainId, ask: PlaceAsk) -> None:
+    def submit(self, *, host: HostId, domain: FailureDomainId, ask: PlaceAsk) -> None:
         """Place a generation, or queue it until there is capacity.
 
         :param host: Host that asks.
@@ -102,7 +102,7 @@
         """
         key = (host, ask.serial)
         if key in self._waiting:
-            self._answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
+            self._send_answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
             return
         now = self._context.clock.now()
         waiting = _QueuedPlacement(
@@ -115,7 +115,7 @@
         self._waiting[key] = waiting
         self.reevaluate()
         if key in self._waiting:
-            self._answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
+            self._send_answer(host, PlaceAnswer(serial=ask.serial, kind=PlaceKind.WAIT))
 
     def withdraw(self, *, host: HostId, serial: int) -> None:
         """Remove a generation whose placement its host has withdrawn."""
@@ -146,37 +146,39 @@
         )
         for waiting in ordered:
             placement = self._place(waiting, totals)
-            if placement.verdict is Verdict.WAIT:
+            if placement.verdict is PlacementVerdict.WAIT:
                 self._record_wait(waiting, placement)
                 continue
             del self._waiting[(waiting.host, waiting.ask.serial)]
             self._decide(waiting, placement)
-            if placement.verdict is Verdict.SEND:
+            if placement.verdict is PlacementVerdict.SEND:
                 totals = self._ledger.totals()
 
     def _place(
         self, waiting: _QueuedPlacement, totals: Mapping[UpstreamId, EngineTotal]
-    ) -> Placement:
-        parts = self._context
+    ) -> PlacementDecision:
+        context = self._context
         ask = waiting.ask
         service = ServiceId(ask.service)
         excluded = {UpstreamId(upstream) for upstream in ask.excluded}
-        engine = parts.engine_of(service)
+        engine = context.get_engine_capabilities(service)
         domains = {FailureDomainId(domain) for domain in ask.domains}
-        entries = eligible_upstreams(parts, service, excluded, domains)
-        if not entries and parts.upstreams.has_evacuated(service):
-            return Placement(verdict=Verdict.REFUSE, reason=EVACUATED)
+        entries = eligible_upstreams(context, service, excluded, domains)
+        if not entries and context.upstreams.has_evacuated(service):
+            return PlacementDecision(verdict=PlacementVerdict.REFUSE, reason=EVACUATED)
         if not entries and domains:
-            return Placement(verdict=Verdict.REFUSE, reason=OUTSIDE_ALLOWED_REGIONS)
+            return PlacementDecision(
+                verdict=PlacementVerdict.REFUSE, reason=OUTSIDE_ALLOWED_REGIONS
+            )
         views = [
-            build_engine_view(entry, engine=engine, totals=totals, upstreams=parts.upstreams)
+            build_engine_view(entry, engine=engine, totals=totals, upstreams=context.upstreams)
             for entry in entries
-            if parts.warmup.allows(entry)
+            if context.warmup.allows(entry)
         ]
         query = PlacementQuery(
             prompt_tokens=ask.prompt_tokens,
             is_long=ask.is_long,
-            left_ms=waiting.deadline - parts.clock.now(),
+            left_ms=waiting.deadline - context.clock.now(),
             patience_ms=ask.patience_ms,
         )
         return place(
@@ -184,7 +186,7 @@
             views=views,
             reserved_tokens=self._leaving_tokens(totals),
             failure_domain=waiting.domain,
-            rng=parts.rng,
+            rng=context.rng,
         )
 
     def _leaving_tokens(self, totals: Mapping[UpstreamId, EngineTotal]) -> int:
@@ -195,18 +197,18 @@
             if self._context.gate.is_leaving(upstream)
         )
 
-    def _record_wait(self, waiting: _QueuedPlacement, placement: Placement) -> None:
+    def _record_wait(self, waiting: _QueuedPlacement, placement: PlacementDecision) -> None:
         if waiting.reason != placement.reason:
             waiting.reason = placement.reason
             self._log("A generation waits.", waiting, **_placement_fields(placement))
 
-    def _decide(self, waiting: _QueuedPlacement, placement: Placement) -> None:
+    def _decide(self, waiting: _QueuedPlacement, placement: PlacementDecision) -> None:
         ask = waiting.ask
         view = placement.engine
         if view is None:
             self._log("A generation is refused.", waiting, **_placement_fields(placement))
             refusal = PlaceAnswer(serial=ask.serial, kind=PlaceKind.REFUSE, reason=placement.reason)
-            self._answer(waiting.host, refusal)
+            self._send_answer(waiting.host, refusal)
             return
         use = RunUse(
             request=ask.request,
@@ -236,7 +238,7 @@
             forecast_ms=int(placement.wait_ms),
             reason=placement.reason,
         )
-        self._answer(waiting.host, granted)
+        self._send_answer(waiting.host, granted)
 
     def _record_request(self, upstream: UpstreamId) -> None:
         entry = self._context.upstreams.get(upstream)
@@ -263,5 +265,5 @@
         )
 
 
-def _placement_fields(placement: Placement) -> dict[str, object]:
+def _placement_fields(placement: PlacementDecision) -> dict[str, object]:
     return {"reason": placement.reason, "engines": [str(view) for view in placement.views]}
--- a/src/tanagerscale/coordination/_planner.py
+++ b/src/tanagerscale/coordination/_planner.py
@@ -87,13 +87,13 @@
 
     :param engine: Engine of the run at that time.
     :param failed_targets: Engines that did not accept the run.
-    :param is_put_back: Whether its last copy failed.
+    :param has_copy_failed: Whether its last copy failed.
     :param retry_at: When the next order may be sent.
     """
 
     engine: UpstreamId
     failed_targets: set[UpstreamId]
-    is_put_back: bool = False
+    has_copy_failed: bool = False
     retry_at: Millis = Millis(0)
 
 
@@ -105,7 +105,7 @@
     :param context: Inputs of decisions.
     :param ledger: Runs of all hosts.
     :param departures: Departure times of engines.
-    :param order: Sends an order to a host; returns whether it can be reached.
+    :param send_order: Sends an order to a host; returns whether it can be reached.
     """
 
     def __init__(
@@ -115,13 +115,13 @@
         context: DecisionContext,
         ledger: RunLedger,
         departures: Departures,
-        order: Callable[[HostId, MoveOrder], bool],
+        send_order: Callable[[HostId, MoveOrder], bool],
     ) -> None:
         self._host = host
         self._context = context
         self._ledger = ledger
         self._departures = departures
-        self._order = order
+        self._send_order = send_order
         self._numbers = count(1)
         self._orders: dict[int, _PendingOrder] = {}
         self._attempts: dict[RequestId, _MoveAttempts] = {}
@@ -201,7 +201,7 @@
         return sorted({entry.service for entry in entries if entry is not None})
 
     def _plan_service(self, service: ServiceId) -> None:
-        engine = self._context.engine_of(service)
+        engine = self._context.get_engine_capabilities(service)
         if engine is None or not engine.can_move:
             return
         while True:
@@ -250,11 +250,11 @@
             request=request,
             engine=engine,
             tokens=run.tokens,
-            answer_tokens=run.made,
+            answer_tokens=run.answer_tokens,
             is_copy_worthwhile=run.running_ms >= MIN_RUNNING_MS,
             copy_at=UpstreamId(use.copy_at) if use.copy_at else None,
             is_copy_fresh=run.copy_age_ms < MAX_COPY_AGE_MS,
-            has_copy_failed=attempts is not None and attempts.is_put_back,
+            has_copy_failed=attempts is not None and attempts.has_copy_failed,
             excluded=frozenset() if attempts is None else frozenset(attempts.failed_targets),
             allowed_domains={FailureDomainId(domain) for domain in use.domains},
         )
@@ -262,30 +262,30 @@
     def _snapshot(
         self, service: ServiceId, engine: EngineCapabilities, runs: Sequence[MovableRun]
     ) -> MoveSnapshot:
-        parts = self._context
+        context = self._context
         entries = self._entries(service, runs)
         totals = self._ledger.totals()
-        leaving = [one for one in entries if parts.gate.is_leaving(one)]
+        leaving = [one for one in entries if context.gate.is_leaving(one)]
         return MoveSnapshot(
             runs=[run for run in runs if run.engine in entries],
             engines={
                 upstream: build_engine_view(
-                    entry, engine=engine, totals=totals, upstreams=parts.upstreams
+                    entry, engine=engine, totals=totals, upstreams=context.upstreams
                 )
                 for upstream, entry in entries.items()
             },
             eligible={
                 entry.upstream
-                for entry in eligible_upstreams(parts, service)
-                if parts.warmup.allows(entry)
+                for entry in eligible_upstreams(context, service)
+                if context.warmup.allows(entry)
             },
             leaving={one: self._remaining_ms(one) for one in leaving},
-            unreachable={one for one in entries if parts.gate.is_broken(one)},
-            evacuated={one for one in entries if parts.upstreams.is_evacuated(one)},
+            unreachable={one for one in entries if context.gate.is_broken(one)},
+            evacuated={one for one in entries if context.upstreams.is_evacuated(one)},
             busy=self._busy_engines(),
             token_bytes=engine.token_bytes,
             link_mbps=engine.link_mbps,
-            are_notices_current=parts.upstreams.is_current,
+            are_notices_current=context.upstreams.is_current,
             are_links_reserved=self._departures.are_links_reserved,
         )
 
@@ -315,7 +315,7 @@
         self._ledger.plan_copy(
             run=run,
             target=move.target,
-            yields=move.kind is MoveKind.AHEAD,
+            is_evictable=move.kind is MoveKind.AHEAD,
             for_ms=ORDER_TIMEOUT_MS,
         )
         order = MoveOrder(
@@ -325,7 +325,7 @@
             source=move.run.engine,
             target=move.target,
         )
-        if not self._order(run.host, order):
+        if not self._send_order(run.host, order):
             return  # The host has disconnected, and its runs are gone with it.
         self._logged_reasons.pop(move.run.request, None)
         self._record_request(move)
@@ -356,7 +356,7 @@
             source=movable.engine,
         )
         self._ledger.plan_drop(run=run)
-        self._order(run.host, order)
+        self._send_order(run.host, order)
         _log.info(
             "A copy is dropped to free memory for new work.",
             request=movable.request,
@@ -372,11 +372,11 @@
             attempts = _MoveAttempts(engine=engine, failed_targets=set())
             self._attempts[request] = attempts
         if is_done:
-            attempts.is_put_back = False
+            attempts.has_copy_failed = False
             return
         if move.kind is MoveKind.LEAVE:
             attempts.failed_targets.add(move.target)
-        attempts.is_put_back = True
+        attempts.has_copy_failed = True
         attempts.retry_at = Millis(self._context.clock.now() + RETRY_DELAY_MS)
 
     def _log_reasons_not_moved(self, snapshot: MoveSnapshot) -> None:
--- a/src/tanagerscale/coordination/_warmup.py
+++ b/src/tanagerscale/coordination/_warmup.py
@@ -36,20 +36,20 @@
 
 
 class WarmupTables(Protocol):
-    """Provides the declarations in force."""
+    """Provides the configuration in force."""
 
     @property
     def table(self) -> RouteTable | None:
-        """The declarations in force; ``None`` before any are known."""
+        """The configuration in force; ``None`` before one is known."""
 
 
 class WarmupUpstreams(Protocol):
     """Provides the state of upstreams that limits their rate."""
 
-    def cold_ms(self, upstream: UpstreamId) -> int:
-        """Return the remaining cold time of an upstream, as the upstream reports it."""
+    def warmup_ms(self, upstream: UpstreamId) -> int:
+        """Return the remaining warm-up time of an upstream, as the upstream reports it."""
 
-    def taken_back_ms(self, upstream: UpstreamId) -> int | None:
+    def since_evacuation_ms(self, upstream: UpstreamId) -> int | None:
         """Return the time since the evacuation of its domain ended; ``None`` if long ago."""
 
 
@@ -62,7 +62,7 @@
     selected by a hash, may send one request a second.
 
     :param host: This host.
-    :param tables: The declarations in force.
+    :param tables: Provides the configuration in force.
     :param upstreams: State of the upstreams.
     :param share: Returns the fraction of all hosts that use this decider, between 0 and 1.
     :param clock: Source of the current time.
@@ -90,7 +90,7 @@
         service = self._service(entry.service)
         return (
             service is not None
-            and service.cold_per_s > 0
+            and service.warmup_requests_per_s > 0
             and self._remaining_ms(entry, service) > 0
         )
 
@@ -125,23 +125,23 @@
         return None if table is None else table.service(name)
 
     def _remaining_ms(self, entry: UpstreamEntry, service: Service) -> int:
-        """Return the remaining cold time of an upstream.
+        """Return the remaining warm-up time of an upstream.
 
         Upstreams of an evacuated failure domain may have become cold unnoticed.
         """
-        reported_ms = self._upstreams.cold_ms(entry.upstream)
-        since_evacuation_ms = self._upstreams.taken_back_ms(entry.upstream)
+        reported_ms = self._upstreams.warmup_ms(entry.upstream)
+        since_evacuation_ms = self._upstreams.since_evacuation_ms(entry.upstream)
         return (
             reported_ms
             if since_evacuation_ms is None
-            else max(reported_ms, service.cold_ms - since_evacuation_ms)
+            else max(reported_ms, service.warmup_ms - since_evacuation_ms)
         )
 
     def _limit_per_s(self, entry: UpstreamEntry) -> int:
         """Return the number of requests a second that this decider may grant for an upstream."""
         service = self._service(entry.service)
         share = self._share()
-        rate = 0.0 if service is None else service.cold_per_s * GRANTED_SHARE * share
+        rate = 0.0 if service is None else service.warmup_requests_per_s * GRANTED_SHARE * share
         if share >= 1:
             return max(int(rate), 1)
         return int(rate) if rate >= 1 else int(self._hash_fraction(entry.upstream) < rate)
--- a/src/tanagerscale/daemon/_adapters.py
+++ b/src/tanagerscale/daemon/_adapters.py
@@ -30,17 +30,17 @@
     def __init__(self, *, gate: UpstreamGate) -> None:
         self._gate = gate
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream announced that it accepts no new work."""
-        self._gate.note_leaving(upstream=upstream)
+        self._gate.record_leaving(upstream=upstream)
 
-    def note_failure(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Record that a call to an upstream failed."""
-        self._gate.note_down(upstream=upstream)
+        self._gate.record_failure(upstream=upstream)
 
-    def note_success(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Record that a call to an upstream succeeded."""
-        self._gate.note_up(upstream=upstream)
+        self._gate.record_success(upstream=upstream)
 
 
 @final
@@ -61,7 +61,7 @@
         self._declarations = declarations
         self._clients: dict[str, HttpEngineClient] = {}
 
-    def client_of(self, engine: UpstreamId) -> EngineClient:
+    def get_client(self, engine: UpstreamId) -> EngineClient:
         """Return the client of an engine.
 
         :param engine: Declared name of the engine. Calls to an engine that is no longer declared
--- a/src/tanagerscale/daemon/_host.py
+++ b/src/tanagerscale/daemon/_host.py
@@ -54,7 +54,7 @@
 from tanagerscale.policy import RetryBudget
 from tanagerscale.quarantine import Quarantine
 from tanagerscale.routing import PoolRouter
-from tanagerscale.services import ServiceDependencies
+from tanagerscale.services import ServiceContext
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.store import EtcdStore
 from tanagerscale.upstreams import HttpServiceClient
@@ -63,9 +63,9 @@
 from tanagerscale.usage import UsageMeter
 
 SHUTDOWN_TIMEOUT_S = 0.5
-"""Time to flush the remaining bytes of responses, after the grace period of a planned stop."""
+"""Time to flush the remaining bytes of responses, after the grace period of a shutdown."""
 CLAIMS_DRAIN_TIMEOUT_S = 10.0
-"""Maximum time a planned stop waits for claim outcomes to be written to the store."""
+"""Maximum time a graceful shutdown waits for claim outcomes to be written to the store."""
 FINGERPRINT_KEY_BYTES = 32
 RETRY_RESERVE = 128.0
 """Size of the retry reserve: the number of runs that one host can retry when engines fail together,
@@ -133,7 +133,7 @@
         return BoundAddresses(callers=callers, peers=peers)
 
     async def stop(self) -> None:
-        """Stop gracefully: reject new requests, drain running ones, then stop all components."""
+        """Shut down gracefully: reject new requests, drain running ones, then stop everything."""
         self._leaving = True
         self._router.set_leaving(leaving=True)
         self._mesh.send_heartbeat()
@@ -216,7 +216,7 @@
             clock=self._clock,
         )
         self._engines = EngineClients(session=self._session, declarations=self._declarations)
-        self._canceller = Canceller(client_of=self._engines.client_of, clock=self._clock)
+        self._canceller = Canceller(get_client=self._engines.get_client, clock=self._clock)
         self._schedulers = HostSchedulers(rng=self._rng)
         self._router = PoolRouter(
             network=self._mesh,
@@ -224,7 +224,7 @@
             make_scheduler=self._schedulers.make,
             clock=self._clock,
             rng=self._rng,
-            engine_clients=self._engines.client_of,
+            get_client=self._engines.get_client,
             observe_length=self._schedulers.record_answer_length,
         )
         self._controllers = CellControllers(
@@ -236,7 +236,7 @@
             rng=self._rng,
             declarations=self._follower.in_force,
             get_owned_cells=lambda: self._router.owned,
-            get_client=self._engines.client_of,
+            get_client=self._engines.get_client,
         )
         self._keys = KeyChecker()
         self._limits = HostAccountLimits(clock=self._clock)
@@ -284,7 +284,7 @@
         )
         self._dispatch = DispatchContext(
             router=self._router,
-            client_of=self._engines.client_of,
+            get_client=self._engines.get_client,
             observer=health_recorder,
             crash_watch=self._crash_adapter,
             retries=retries,
@@ -294,10 +294,10 @@
             rng=self._rng,
         )
         self._services = ServiceDispatch(
-            dependencies=ServiceDependencies(
+            context=ServiceContext(
                 client=HttpServiceClient(session=self._service_session),
                 claims=self._claims,
-                notes=health_recorder,
+                observer=health_recorder,
                 is_open=self._gate.is_open,
                 retries=retries,
                 clock=self._clock,
--- a/src/tanagerscale/daemon/_main.py
+++ b/src/tanagerscale/daemon/_main.py
@@ -1,4 +1,4 @@
-"""Command line of the daemon, and its lifecycle from start to planned stop."""
+"""Command line of the daemon, and its lifecycle from start to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -67,6 +67,6 @@
     addresses = await host.start()
     print(f"listening callers={addresses.callers} peers={addresses.peers}", flush=True)
     await stop.wait()
-    _log.notice("Planned stop started.")
+    _log.notice("Graceful shutdown started.")
     await host.stop()
     _log.notice("Host stopped.")
--- a/src/tanagerscale/daemon/_peers.py
+++ b/src/tanagerscale/daemon/_peers.py
@@ -73,24 +73,24 @@
         self._keys = keys
         self._limits = limits
         self._seeds = seeds
-        self._head_spread = HeadReplicator(network=mesh, follower=follower, clock=clock)
+        self._head_replicator = HeadReplicator(network=mesh, follower=follower, clock=clock)
 
     def start(self) -> None:
         """Subscribe to all sources of updates."""
         subscribe_gate(gate=self._gate, mesh=self._mesh, entries=self._host_list.entries)
         self._host_list.entries.subscribe(self._on_host_list)
         self._mesh.messages.subscribe(self._on_message)
-        self._head_spread.start()
+        self._head_replicator.start()
         self._follower.in_force.subscribe(self._on_declarations)
 
     async def stop(self) -> None:
         """Stop announcing revisions to the peers."""
-        await self._head_spread.stop()
+        await self._head_replicator.stop()
 
     def connect_to_seeds(self) -> None:
         """Connect to the seeds only; used when there is no host list."""
         self._mesh.set_peers(peer_addresses(entries=(), seeds=self._seeds))
-        self._head_spread.note_hosts_known()
+        self._head_replicator.record_hosts_known()
 
     def is_live(self, host: HostId, incarnation: int) -> bool:
         """Return whether a host is live and has not restarted since it wrote a record.
@@ -111,7 +111,7 @@
         self._router.set_expected_hosts(max(1, len(live)))
         others = frozenset(HostId(entry.id) for entry in live) - {self._mesh.host}
         self._limits.set_peers(peers=others)
-        self._head_spread.note_hosts_known()
+        self._head_replicator.record_hosts_known()
 
     def _on_message(self, received: ReceivedMessage) -> None:
         if isinstance(received.message, Heartbeat):
@@ -126,5 +126,5 @@
         self._router.set_engines(tuple(declarations.engines.values()))
         if declarations.revision == 0:
             return
-        self._head_spread.announce(revision=declarations.revision, digest=declarations.digest)
+        self._head_replicator.announce(revision=declarations.revision, digest=declarations.digest)
         _log.info("Declarations are in force.", revision=declarations.revision)
--- a/src/tanagerscale/dispatch/_attempt.py
+++ b/src/tanagerscale/dispatch/_attempt.py
@@ -31,7 +31,7 @@
 MAX_IDLE_RESUMES = 80
 """Maximum number of consecutive resumes without a new token before the attempt counts as lost.
 
-An engine that replies still holds the attempt, for example a preempted one that waits for memory.
+An engine that responds still holds the attempt, for example a preempted one that waits for memory.
 """
 
 _log = get_logger(part="dispatch")
@@ -101,7 +101,7 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether the engine has started to reply."""
+        """Whether the engine has started to respond."""
         return self._accepted
 
     async def run(self, *, request: EngineRequest) -> AttemptOutcome:
@@ -176,7 +176,7 @@
             end = AttemptEnd.CRASHED if resumed else AttemptEnd.NOT_SENT
             return AttemptOutcome(end=end, detail=error.detail)
         _log.info(
-            "The reply of an engine was interrupted.",
+            "The response of an engine was interrupted.",
             attempt=self._attempt,
             kind=error.kind.value,
             offset=before,
--- a/src/tanagerscale/dispatch/_cancel.py
+++ b/src/tanagerscale/dispatch/_cancel.py
@@ -32,12 +32,12 @@
     An attempt that is not cancelled only costs engine time, because none of its tokens are
     accepted. A cancellation is therefore tried a limited number of times and then abandoned.
 
-    :param client_of: Returns the client of an engine.
+    :param get_client: Returns the client of an engine.
     :param clock: Clock used for delays.
     """
 
-    def __init__(self, *, client_of: Callable[[UpstreamId], EngineClient], clock: Clock) -> None:
-        self._client_of = client_of
+    def __init__(self, *, get_client: Callable[[UpstreamId], EngineClient], clock: Clock) -> None:
+        self._get_client = get_client
         self._clock = clock
         self._tasks: dict[AttemptId, asyncio.Task[None]] = {}
         self._moved_to_peers: OrderedDict[AttemptId, None] = OrderedDict()
@@ -99,7 +99,7 @@
         await self._clock.sleep(after_ms)
         backoff_ms = INITIAL_BACKOFF_MS
         for _ in range(MAX_TRIES):
-            match await self._client_of(engine).cancel(attempt=attempt):
+            match await self._get_client(engine).cancel(attempt=attempt):
                 case Failure(error) if error.kind is not UpstreamErrorKind.NOT_SENT:
                     await self._clock.sleep(backoff_ms)
                     backoff_ms *= 2
--- a/src/tanagerscale/dispatch/_context.py
+++ b/src/tanagerscale/dispatch/_context.py
@@ -35,7 +35,7 @@
     """Dependencies shared by all generations of a host.
 
     :param router: Places generations on engines.
-    :param client_of: Returns the client of an engine.
+    :param get_client: Returns the client of an engine.
     :param observer: Records successes and failures of engines.
     :param crash_watch: Keeps requests that crash engines away from other engines.
     :param retries: Limits retries.
@@ -46,7 +46,7 @@
     """
 
     router: Router
-    client_of: Callable[[UpstreamId], EngineClient]
+    get_client: Callable[[UpstreamId], EngineClient]
     observer: UpstreamObserver
     crash_watch: CrashWatch
     retries: RetryLimiter
--- a/src/tanagerscale/dispatch/_generation.py
+++ b/src/tanagerscale/dispatch/_generation.py
@@ -234,7 +234,7 @@
         engine = placement.engine
         attempt = Attempt(
             attempt=attempt_id,
-            client=self._context.client_of(engine),
+            client=self._context.get_client(engine),
             relay=self._relay,
             sink=self._sink,
             on_progress=self._report_progress,
@@ -307,7 +307,7 @@
     ) -> Result[Finish, Problem] | None:
         """Return the final result, or ``None`` to continue with another attempt."""
         if self._relay.finish is not None:
-            self._context.observer.note_success(upstream=engine)
+            self._context.observer.record_success(upstream=engine)
             return Success(Finish(self._relay.finish, self._relay.delivered))
         if outcome is None:
             # A move cancels an attempt that may already have generated tokens.
@@ -333,9 +333,9 @@
         self._progress.excluded.add(engine)
         if outcome.end is AttemptEnd.REFUSED:
             if outcome.refusal is not None and outcome.refusal.kind is RefusalKind.LEAVING:
-                self._context.observer.note_leaving(upstream=engine)
+                self._context.observer.record_leaving(upstream=engine)
             return
-        self._context.observer.note_failure(upstream=engine)
+        self._context.observer.record_failure(upstream=engine)
         if outcome.end is not AttemptEnd.NOT_SENT:
             self._progress.may_have_run = True
             self._progress.lost_attempts += 1
--- a/src/tanagerscale/dispatch/_types.py
+++ b/src/tanagerscale/dispatch/_types.py
@@ -99,13 +99,13 @@
 class UpstreamObserver(Protocol):
     """Records successes and failures of upstreams."""
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream refused a request because it accepts no new work."""
 
-    def note_failure(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Record that a call to an upstream failed."""
 
-    def note_success(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream answered."""
 
 
--- a/src/tanagerscale/entry/_completions.py
+++ b/src/tanagerscale/entry/_completions.py
@@ -276,7 +276,7 @@
             return Failure(_GENERATION_LOST)
         attempt = Attempt(
             attempt=attempt_id,
-            client=dispatch.client_of(engine),
+            client=dispatch.get_client(engine),
             relay=relay,
             sink=sink,
             on_progress=_ignore_progress,
--- a/src/tanagerscale/forwarding/__init__.py
+++ b/src/tanagerscale/forwarding/__init__.py
@@ -7,8 +7,8 @@
 from tanagerscale.forwarding._dispatcher import Dispatcher
 from tanagerscale.forwarding._metrics import ForwardingMetrics
 from tanagerscale.forwarding._mover import StreamMover
-from tanagerscale.forwarding._parts import ForwardingParts
-from tanagerscale.forwarding._parts import RetryBudget
+from tanagerscale.forwarding._parts import ForwardingContext
+from tanagerscale.forwarding._parts import RetryPermits
 from tanagerscale.forwarding._types import CallerRequest
 from tanagerscale.forwarding._types import Continuation
 from tanagerscale.forwarding._types import CopyError
@@ -36,8 +36,8 @@
     "Demand",
     "Dispatcher",
     "EngineControl",
+    "ForwardingContext",
     "ForwardingMetrics",
-    "ForwardingParts",
     "Header",
     "LocalWorkload",
     "Placer",
@@ -45,7 +45,7 @@
     "Refusal",
     "RefusalKind",
     "Responder",
-    "RetryBudget",
+    "RetryPermits",
     "RoutedRequest",
     "RunCopy",
     "StreamMover",
--- a/src/tanagerscale/forwarding/_admission.py
+++ b/src/tanagerscale/forwarding/_admission.py
@@ -17,7 +17,7 @@
 from tanagerscale.forwarding._demand import max_late_wait_ms
 from tanagerscale.forwarding._demand import time_until_late_ms
 from tanagerscale.forwarding._demand import waited_ms
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._refusals import no_capacity
 from tanagerscale.forwarding._types import Refusal
 from tanagerscale.forwarding._types import RoutedRequest
@@ -36,7 +36,7 @@
 
 _log = get_logger(part="admission")
 
-Answer = Result[UpstreamEntry, Refusal]
+AdmissionResult = Result[UpstreamEntry, Refusal]
 
 
 class Placer(Protocol):
@@ -50,19 +50,21 @@
 class Admission:
     """Gets an engine for each generation, waiting for capacity if necessary, or refuses it.
 
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     :param placer: Places generations on engines.
     """
 
-    def __init__(self, *, parts: ForwardingParts, placer: Placer) -> None:
-        self._parts = parts
+    def __init__(self, *, context: ForwardingContext, placer: Placer) -> None:
+        self._context = context
         self._placer = placer
 
-    async def find_engine(self, *, routed: RoutedRequest, excluded: Set[UpstreamId]) -> Answer:
+    async def find_engine(
+        self, *, routed: RoutedRequest, excluded: Set[UpstreamId]
+    ) -> AdmissionResult:
         """Return the engine to send a generation to, or a refusal.
 
-        On success, the generation's memory on the engine is reserved in ``parts.work``; the calling
-        code must release it with ``work.end``.
+        On success, the generation's memory on the engine is reserved in ``context.work``; the
+        calling code must release it with ``work.end``.
 
         :param routed: The request.
         :param excluded: Engines that did not accept the request.
@@ -72,10 +74,10 @@
             answer = await self._placer.place(ask=self._build_ask(routed, tried))
             if answer.kind is not PlaceKind.SEND:
                 self._log("A generation is refused.", routed, reason=answer.reason)
-                return Failure(no_capacity(service=routed.service, rng=self._parts.rng))
+                return Failure(no_capacity(service=routed.service, rng=self._context.rng))
             upstream = UpstreamId(answer.upstream)
             entry = await self._wait_for_entry(upstream)
-            if entry is not None and not self._parts.upstreams.is_evacuated(upstream):
+            if entry is not None and not self._context.upstreams.is_evacuated(upstream):
                 self._reserve(routed, entry)
                 self._log(
                     "An engine is given.",
@@ -100,9 +102,9 @@
             service=routed.service,
             prompt_tokens=0 if demand is None else demand.prompt_tokens,
             is_long=is_long(routed),
-            left_ms=time_until_late_ms(routed, self._parts),
-            patience_ms=max_late_wait_ms(routed, self._parts),
-            waited_ms=waited_ms(routed, self._parts),
+            left_ms=time_until_late_ms(routed, self._context),
+            patience_ms=max_late_wait_ms(routed, self._context),
+            waited_ms=waited_ms(routed, self._context),
             excluded=sorted(excluded),
             domains=sorted(routed.domains),
         )
@@ -110,16 +112,16 @@
     async def _wait_for_entry(self, upstream: UpstreamId) -> UpstreamEntry | None:
         """Return the entry of an engine, polling for it for a short time if it is unknown."""
         for _ in range(MAX_ENTRY_POLLS):
-            entry = self._parts.upstreams.get(upstream)
+            entry = self._context.upstreams.get(upstream)
             if entry is not None:
                 return entry
-            await self._parts.clock.sleep(ENTRY_POLL_INTERVAL_MS)
+            await self._context.clock.sleep(ENTRY_POLL_INTERVAL_MS)
         return None
 
     def _reserve(self, routed: RoutedRequest, entry: UpstreamEntry) -> None:
         demand = routed.request.demand
         prompt = 0 if demand is None else demand.prompt_tokens
-        self._parts.work.begin(
+        self._context.work.begin(
             request=routed.request.request,
             upstream=entry.upstream,
             prompt_tokens=prompt,
@@ -133,6 +135,6 @@
         _log.info(
             message,
             request=request.request,
-            after_ms=self._parts.clock.now() - request.arrived,
+            after_ms=self._context.clock.now() - request.arrived,
             **inputs,
         )
--- a/src/tanagerscale/forwarding/_copier.py
+++ b/src/tanagerscale/forwarding/_copier.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from tanagerscale.core import get_logger
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._snapshots import ResumeTarget
 from tanagerscale.forwarding._snapshots import Snapshot
 from tanagerscale.forwarding._stream import StreamRun
@@ -32,11 +32,11 @@
 class Copier:
     """Copies runs between engines.
 
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     """
 
-    def __init__(self, *, parts: ForwardingParts) -> None:
-        self._parts = parts
+    def __init__(self, *, context: ForwardingContext) -> None:
+        self._context = context
         self._background: set[asyncio.Task[None]] = set()
 
     async def snapshot(
@@ -51,15 +51,17 @@
             evictable.
         :returns: The copy, or ``None`` if it failed or is no longer needed.
         """
-        work = self._parts.work
+        work = self._context.work
         previous = run.snapshot
-        work.set_copy(request=run.request, copy_at=target.upstream, yields=ahead)
+        work.set_copy(request=run.request, copy_at=target.upstream, is_evictable=ahead)
         copied = await self.copy(run, source, target, stop=False)
         if isinstance(copied, Failure):
             copy_at = None if previous is None else previous.entry.upstream
-            work.set_copy(request=run.request, copy_at=copy_at, yields=ahead)
+            work.set_copy(request=run.request, copy_at=copy_at, is_evictable=ahead)
             return None
-        snapshot = Snapshot(entry=target, copy=copied.unwrap().copy, taken=self._parts.clock.now())
+        snapshot = Snapshot(
+            entry=target, copy=copied.unwrap().copy, taken=self._context.clock.now()
+        )
         if run.ended or run.entry is not source:
             self.drop(snapshot)
             return None
@@ -79,13 +81,13 @@
         :param stop: Whether to stop the run first.
         """
         async with run.copy_lock:
-            started = self._parts.clock.now()
-            result = await self._parts.engines.copy(
+            started = self._context.clock.now()
+            result = await self._context.engines.copy(
                 source=source, request=run.request, target=target, stop=stop
             )
         error = result.failure() if isinstance(result, Failure) else None
         outcome = "copied" if error is None else error.failure.value
-        self._parts.metrics.copies.labels(outcome).inc()
+        self._context.metrics.copies.labels(outcome).inc()
         _log.info(
             (
                 "A run was copied to another engine."
@@ -99,12 +101,12 @@
             failure=None if error is None else error.failure.value,
             detail=None if error is None else error.detail,
             stop=stop,
-            took_ms=self._parts.clock.now() - started,
+            took_ms=self._context.clock.now() - started,
         )
         if error is not None and error.failure is CopyFailure.NO_ROOM:
             self._spawn(self._check_target_memory(target))
         if error is not None and error.failure is CopyFailure.BUSY:
-            await self._parts.clock.sleep(BUSY_BACKOFF_MS)
+            await self._context.clock.sleep(BUSY_BACKOFF_MS)
         return result
 
     async def _check_target_memory(self, entry: UpstreamEntry) -> None:
@@ -113,18 +115,18 @@
         An engine that is gone accepts no copies either, and appears to be empty while the store is
         unavailable.
         """
-        reported = await self._parts.engines.report(upstream=entry)
+        reported = await self._context.engines.report(upstream=entry)
         if isinstance(reported, Failure):
             _log.info(
                 "The engine sent no status report.",
                 upstream=entry.upstream,
                 detail=reported.failure(),
             )
-            self._parts.gate.note_down(upstream=entry.upstream)
+            self._context.gate.record_failure(upstream=entry.upstream)
             return
         report = reported.unwrap()
         if report.is_leaving:
-            self._parts.gate.note_leaving(upstream=entry.upstream)
+            self._context.gate.record_leaving(upstream=entry.upstream)
         _log.info(
             "An engine has no room.",
             upstream=entry.upstream,
@@ -162,10 +164,10 @@
         """Free the copy of a run that stays on its engine."""
         snapshot = run.snapshot
         run.snapshot = None
-        self._parts.work.set_copy(request=run.request, copy_at=None)
+        self._context.work.set_copy(request=run.request, copy_at=None)
         if snapshot is not None:
             self.drop(snapshot)
 
     def drop(self, snapshot: Snapshot) -> None:
         """Free an unused copy in the background."""
-        self._spawn(self._parts.engines.drop_copy(holder=snapshot.entry, copy=snapshot.copy))
+        self._spawn(self._context.engines.drop_copy(holder=snapshot.entry, copy=snapshot.copy))
--- a/src/tanagerscale/forwarding/_demand.py
+++ b/src/tanagerscale/forwarding/_demand.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._types import RoutedRequest
 
 MIN_LONG_ANSWER_TOKENS: Final = 200
@@ -28,24 +28,24 @@
     return demand is None or demand.max_tokens >= MIN_LONG_ANSWER_TOKENS
 
 
-def waited_ms(routed: RoutedRequest, parts: ForwardingParts) -> int:
+def waited_ms(routed: RoutedRequest, context: ForwardingContext) -> int:
     """Return the time since a request arrived."""
-    return parts.clock.now() - routed.request.arrived
+    return context.clock.now() - routed.request.arrived
 
 
-def time_until_late_ms(routed: RoutedRequest, parts: ForwardingParts) -> int:
+def time_until_late_ms(routed: RoutedRequest, context: ForwardingContext) -> int:
     """Return the time until the first event is late, counted from the caller's first attempt.
 
     A caller that retries sends the same deadline, so it has less time left.
     """
     request = routed.request
-    waited = waited_ms(routed, parts)
+    waited = waited_ms(routed, context)
     if request.time_left_ms is not None:
         waited += max(routed.route.timeout_ms - request.time_left_ms, 0)
     return routed.route.target_ms - waited
 
 
-def max_late_wait_ms(routed: RoutedRequest, parts: ForwardingParts) -> int:
+def max_late_wait_ms(routed: RoutedRequest, context: ForwardingContext) -> int:
     """Return how long a generation may still wait for capacity once its first event is late."""
-    left_ms = routed.deadline - parts.clock.now() - max(time_until_late_ms(routed, parts), 0)
+    left_ms = routed.deadline - context.clock.now() - max(time_until_late_ms(routed, context), 0)
     return max(min(MAX_LATE_WAIT_MS, left_ms - RESPONSE_RESERVE_MS), 0)
--- a/src/tanagerscale/forwarding/_dispatcher.py
+++ b/src/tanagerscale/forwarding/_dispatcher.py
@@ -15,7 +15,7 @@
 from tanagerscale.forwarding._crash_evidence import is_quarantined
 from tanagerscale.forwarding._demand import is_long
 from tanagerscale.forwarding._mover import StreamMover
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._plain import PlainForwarder
 from tanagerscale.forwarding._refusals import UNKNOWN_KEY
 from tanagerscale.forwarding._refusals import UNKNOWN_ROUTE
@@ -44,26 +44,26 @@
 class Dispatcher:
     """Serves caller requests: routes each one, enforces its deadline and reports its outcome.
 
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     :param admission: Gets engines for generations.
     :param stream_mover: Moves streams between engines; holds the set of active streams.
-    :param homes: Returns the failure domains in which a request may run.
-    :param is_stopping: Returns whether this host is in a planned shutdown.
+    :param allowed_regions: Returns the failure domains in which a request may run.
+    :param is_stopping: Returns whether this host is shutting down gracefully.
     """
 
     def __init__(
         self,
         *,
-        parts: ForwardingParts,
+        context: ForwardingContext,
         admission: Admission,
         stream_mover: StreamMover,
-        homes: AllowedRegions,
+        allowed_regions: AllowedRegions,
         is_stopping: Callable[[], bool],
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._admission = admission
         self._stream_mover = stream_mover
-        self._homes = homes
+        self._allowed_regions = allowed_regions
         self._is_stopping = is_stopping
         self._running = 0
 
@@ -86,16 +86,16 @@
                 "A caller has left.",
                 request=request.request,
                 begun=responder.begun,
-                after_ms=self._parts.clock.now() - request.arrived,
+                after_ms=self._context.clock.now() - request.arrived,
             )
             raise
         finally:
             self._running -= 1
 
     async def _serve(self, request: CallerRequest, responder: Responder) -> None:
-        table = self._parts.tables.table
+        table = self._context.tables.table
         if table is None:
-            await self._refuse(request, responder, not_ready(rng=self._parts.rng), table)
+            await self._refuse(request, responder, not_ready(rng=self._context.rng), table)
             return
         route = table.route(host=request.host, path=request.path)
         if route is None:
@@ -105,12 +105,12 @@
         if caller is None:
             await self._refuse(request, responder, UNKNOWN_KEY, table)
             return
-        domains = self._homes.domains(route=route, caller=caller)
+        domains = self._allowed_regions.get_failure_domains(route=route, caller=caller)
         if domains is None:
-            await self._refuse(request, responder, no_region(rng=self._parts.rng), table)
+            await self._refuse(request, responder, no_region(rng=self._context.rng), table)
             return
         routed = self._build_routed(request, route, caller, table, domains)
-        left = routed.deadline - self._parts.clock.now()
+        left = routed.deadline - self._context.clock.now()
         refusal: Refusal | None
         try:
             async with asyncio.timeout(max(left, 0) / MS_PER_SECOND):
@@ -124,9 +124,9 @@
     def _record_outcome(self, routed: RoutedRequest, refusal: Refusal | None) -> None:
         kind = routed.route.kind.value
         outcome = "answered" if refusal is None else refusal.kind.value
-        metrics = self._parts.metrics
+        metrics = self._context.metrics
         metrics.requests.labels(kind, outcome).inc()
-        took_ms = self._parts.clock.now() - routed.request.arrived
+        took_ms = self._context.clock.now() - routed.request.arrived
         metrics.latency_ms.labels(kind).observe(took_ms)
 
     def _build_routed(
@@ -140,7 +140,7 @@
         limit = route.timeout_ms
         if request.time_left_ms is not None:
             limit = min(limit, request.time_left_ms)
-        service = choose_target(route=route, rng=self._parts.rng)
+        service = choose_target(route=route, rng=self._context.rng)
         return RoutedRequest(
             request=request,
             route=route,
@@ -152,19 +152,19 @@
         )
 
     async def _forward(self, routed: RoutedRequest, responder: Responder) -> Refusal | None:
-        if is_quarantined(routed, self._parts):
+        if is_quarantined(routed, self._context):
             return quarantined()
-        self._parts.retry_budget.count_request(service=routed.service)
+        self._context.retry_permits.count_request(service=routed.service)
         if routed.route.kind is not RouteKind.STREAMING:
-            return await PlainForwarder(routed=routed, parts=self._parts).serve(responder)
+            return await PlainForwarder(routed=routed, context=self._context).serve(responder)
         if self._is_stopping() and is_long(routed):
             # Most long generations outlast the shutdown grace period; another host can start them
             # at once.
-            return host_stopping(rng=self._parts.rng)
+            return host_stopping(rng=self._context.rng)
         run = StreamRun(
             routed=routed,
             responder=responder,
-            parts=self._parts,
+            context=self._context,
             admission=self._admission,
             hooks=self._stream_mover,
         )
@@ -188,7 +188,7 @@
             detail=refusal.detail,
             retry_after_ms=refusal.retry_after_ms,
             begun=responder.begun,
-            after_ms=self._parts.clock.now() - request.arrived,
+            after_ms=self._context.clock.now() - request.arrived,
             version=None if table is None else table.version,
         )
         if responder.begun:
--- a/src/tanagerscale/forwarding/_execution.py
+++ b/src/tanagerscale/forwarding/_execution.py
@@ -65,22 +65,22 @@
             and self._not_sent < MAX_UNREACHABLE_UPSTREAMS
         )
 
-    def note_sent(self, upstream: UpstreamId) -> None:
+    def record_sent(self, upstream: UpstreamId) -> None:
         """Record the start of an attempt; it may have executed until its result is known."""
         self._tried.add(upstream)
         self._in_flight.add(upstream)
 
-    def note_not_sent(self, upstream: UpstreamId) -> None:
+    def record_not_sent(self, upstream: UpstreamId) -> None:
         """Record an attempt that did not reach an upstream."""
-        self.note_not_run(upstream)
+        self.record_not_run(upstream)
         self._not_sent += 1
 
-    def note_not_run(self, upstream: UpstreamId) -> None:
+    def record_not_run(self, upstream: UpstreamId) -> None:
         """Record an attempt that was refused before execution."""
         self._tried.add(upstream)
         self._in_flight.discard(upstream)
 
-    def note_run(self, upstream: UpstreamId) -> None:
+    def record_run(self, upstream: UpstreamId) -> None:
         """Record an attempt that executed the request or may have done so."""
         self._tried.add(upstream)
         self._in_flight.discard(upstream)
--- a/src/tanagerscale/forwarding/_mover.py
+++ b/src/tanagerscale/forwarding/_mover.py
@@ -16,7 +16,7 @@
 from tanagerscale.core import get_logger
 from tanagerscale.forwarding._copier import Copier
 from tanagerscale.forwarding._demand import is_long
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._snapshots import ResumeTarget
 from tanagerscale.forwarding._snapshots import Snapshot
 from tanagerscale.forwarding._stream import StreamRun
@@ -39,24 +39,24 @@
 class StreamMover:
     """Executes move orders for this host's streams and recovers streams that break off.
 
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     :param check_decider: Checks that the host that issues the orders responds.
-    :param ask_engine: Asks an engine whether it is leaving and applies its report.
+    :param query_engine: Queries whether an engine is leaving and applies its report.
     """
 
     def __init__(
         self,
         *,
-        parts: ForwardingParts,
+        context: ForwardingContext,
         check_decider: Callable[[], Awaitable[None]],
-        ask_engine: Callable[[UpstreamId], Awaitable[None]],
+        query_engine: Callable[[UpstreamId], Awaitable[None]],
     ) -> None:
         self.runs: set[StreamRun] = set()
         """Active streams of this host; the dispatcher adds and removes them."""
-        self._parts = parts
+        self._context = context
         self._check_decider = check_decider
-        self._ask_engine = ask_engine
-        self._copier = Copier(parts=parts)
+        self._query_engine = query_engine
+        self._copier = Copier(context=context)
         self._queried_at: dict[UpstreamId, Millis] = {}
         self._background: set[asyncio.Future[None]] = set()
 
@@ -66,30 +66,30 @@
             self.on_connection_closing(run.entry.upstream)
 
     def on_connection_closing(self, upstream: UpstreamId) -> None:
-        """Ask an engine whether it is leaving after one of its responses closed the connection.
+        """Query an engine about leaving after one of its responses closed the connection.
 
         Leaving engines and some others close connections. The query detects a leaving engine whose
         notice has not reached this host yet.
         """
-        now = self._parts.clock.now()
+        now = self._context.clock.now()
         self._queried_at = {
             engine: queried_at
             for engine, queried_at in self._queried_at.items()
             if now - queried_at < MIN_LEAVING_QUERY_INTERVAL_MS
         }
-        if upstream in self._queried_at or self._parts.gate.is_leaving(upstream):
+        if upstream in self._queried_at or self._context.gate.is_leaving(upstream):
             return
         self._queried_at[upstream] = now
-        self._spawn(self._ask_engine(upstream))
+        self._spawn(self._query_engine(upstream))
 
     def on_upstreams(self, upstream: UpstreamId) -> None:
         """Check that the decider responds if a leaving engine has long runs."""
-        if not self._parts.gate.is_leaving(upstream):
+        if not self._context.gate.is_leaving(upstream):
             return
         if any(_is_long_run_at(run, upstream) for run in self.runs):
             self._spawn(self._check_decider())
 
-    async def carry_out(self, order: MoveOrder) -> bool:
+    async def execute_order(self, order: MoveOrder) -> bool:
         """Execute a move order for one run.
 
         :returns: Whether the run's KV cache is at the target.
@@ -107,11 +107,11 @@
         if order.kind is MoveKind.DROP:
             self._copier.drop_snapshot_of(run)
             return True
-        self._parts.work.set_moving(request=run.request, is_moving=True)
+        self._context.work.set_moving(request=run.request, is_moving=True)
         try:
             return await self._copy_or_move(run, order)
         finally:
-            self._parts.work.set_moving(request=run.request, is_moving=False)
+            self._context.work.set_moving(request=run.request, is_moving=False)
 
     async def recover(self, run: StreamRun, source: UpstreamEntry) -> ResumeTarget | None:
         """Return where to resume a run that broke off, using an earlier copy.
@@ -142,8 +142,8 @@
     def _can_resume_at(self, entry: UpstreamEntry) -> bool:
         """Return whether a run may resume on an engine."""
         upstream = entry.upstream
-        is_evacuated = self._parts.upstreams.is_evacuated(upstream)
-        return not is_evacuated and not self._parts.gate.is_leaving(upstream)
+        is_evacuated = self._context.upstreams.is_evacuated(upstream)
+        return not is_evacuated and not self._context.gate.is_leaving(upstream)
 
     def on_snapshot_unused(self, snapshot: Snapshot) -> None:
         """Free a copy that is no longer needed."""
@@ -164,7 +164,7 @@
         return ""
 
     def _get_entry(self, order: MoveOrder) -> UpstreamEntry | None:
-        return self._parts.upstreams.get(UpstreamId(order.target))
+        return self._context.upstreams.get(UpstreamId(order.target))
 
     async def _copy_or_move(self, run: StreamRun, order: MoveOrder) -> bool:
         source, target = run.entry, self._get_entry(order)
@@ -177,7 +177,7 @@
             snapshot = await self._copier.snapshot(run, source, target, ahead=False)
         else:
             # The copy is no longer evictable because the run is about to need it.
-            self._parts.work.set_copy(request=run.request, copy_at=target.upstream)
+            self._context.work.set_copy(request=run.request, copy_at=target.upstream)
         if snapshot is None or run.ended or run.entry is not source:
             return False
         return await self._copier.finish(run, source, snapshot)
--- a/src/tanagerscale/forwarding/_parts.py
+++ b/src/tanagerscale/forwarding/_parts.py
@@ -23,7 +23,7 @@
 from tanagerscale.quarantine import SuspectTracker
 
 
-class RetryBudget(Protocol):
+class RetryPermits(Protocol):
     """Limits retries of all hosts together."""
 
     def count_request(self, *, service: ServiceId) -> None:
@@ -34,16 +34,16 @@
 
 
 class WarmupPermits(Protocol):
-    """Limits the requests that all hosts together send to upstreams in warm-up."""
+    """Limits the requests that all hosts together send to warming upstreams."""
 
     async def may_send(self, *, upstream: UpstreamId) -> bool:
-        """Return whether an upstream in warm-up may get one more request."""
+        """Return whether a warming upstream may get one more request."""
 
 
-class ForwardingParts(Struct, frozen=True, kw_only=True):
+class ForwardingContext(Struct, frozen=True, kw_only=True):
     """Dependencies shared by all requests of a host.
 
-    :param tables: Provides the route table in force.
+    :param tables: Provides the configuration in force.
     :param upstreams: Provides the known upstreams.
     :param gate: Receives reachability observations from requests.
     :param health: Receives successes and failures of requests.
@@ -51,9 +51,9 @@
     :param upstream_client: Sends requests to upstreams.
     :param engines: Copies runs between engines.
     :param work: Tracks this host's requests on upstreams.
-    :param retry_budget: Limits retries.
-    :param warmup: Knows which upstreams are in warm-up.
-    :param permits: Limits requests to upstreams in warm-up.
+    :param retry_permits: Limits retries.
+    :param warmup: Returns which upstreams are warming.
+    :param warmup_permits: Limits requests to warming upstreams.
     :param metrics: Metrics of this host.
     :param failure_domain: Failure domain of this host.
     :param clock: Source of time.
@@ -68,9 +68,9 @@
     upstream_client: UpstreamClient
     engines: EngineControl
     work: LocalWorkload
-    retry_budget: RetryBudget
+    retry_permits: RetryPermits
     warmup: WarmupLimit
-    permits: WarmupPermits
+    warmup_permits: WarmupPermits
     metrics: ForwardingMetrics
     failure_domain: FailureDomainId
     clock: Clock
--- a/src/tanagerscale/forwarding/_plain.py
+++ b/src/tanagerscale/forwarding/_plain.py
@@ -18,7 +18,7 @@
 from tanagerscale.forwarding._crash_evidence import record_broken_response
 from tanagerscale.forwarding._crash_evidence import record_complete_response
 from tanagerscale.forwarding._execution import ExecutionRecord
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._refusals import no_upstream
 from tanagerscale.forwarding._refusals import upstream_failed
 from tanagerscale.forwarding._types import Header
@@ -58,12 +58,12 @@
     """Forwards one request and sends the complete response to the caller.
 
     :param routed: The request.
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     """
 
-    def __init__(self, *, routed: RoutedRequest, parts: ForwardingParts) -> None:
+    def __init__(self, *, routed: RoutedRequest, context: ForwardingContext) -> None:
         self._routed = routed
-        self._parts = parts
+        self._context = context
         self._record = ExecutionRecord(route=routed.route)
         self._refusal: Refusal | None = None
         self._is_hedged = False
@@ -77,7 +77,7 @@
         """
         response = await self._get_first_success() or self._error_response
         if response is not None:
-            await responder.answer(
+            await responder.respond(
                 status=response.status,
                 reason=response.reason,
                 headers=response.headers,
@@ -87,7 +87,7 @@
         if self._refusal is not None and self._record.may_have_run:
             return self._refusal
         self._log_no_upstream()
-        return no_upstream(service=self._routed.service, rng=self._parts.rng)
+        return no_upstream(service=self._routed.service, rng=self._context.rng)
 
     def _log_no_upstream(self) -> None:
         service = self._routed.service
@@ -96,7 +96,7 @@
             request=self._routed.request.request,
             service=service,
             tried=len(self._record.tried),
-            are_some_evacuated=self._parts.upstreams.has_evacuated(service),
+            are_some_evacuated=self._context.upstreams.has_evacuated(service),
         )
 
     async def _get_first_success(self) -> _CompleteResponse | None:
@@ -147,17 +147,19 @@
         return await self._choose_permitted()
 
     async def _choose_permitted(self) -> UpstreamEntry | None:
-        """Return the upstream for the next attempt; in warm-up it requires a decider's permit."""
+        """Return the upstream for the next attempt; a warming one requires a decider's permit."""
         denied: set[UpstreamId] = set()
         while (entry := self._choose(denied)) is not None:
-            is_warming = self._parts.warmup.is_warming(entry)
-            if not is_warming or await self._parts.permits.may_send(upstream=entry.upstream):
+            is_warming = self._context.warmup.is_warming(entry)
+            if not is_warming or await self._context.warmup_permits.may_send(
+                upstream=entry.upstream
+            ):
                 return entry
             denied.add(entry.upstream)
         return None
 
     async def _may_repeat(self) -> bool:
-        may = await self._parts.retry_budget.may_repeat(service=self._routed.service)
+        may = await self._context.retry_permits.may_repeat(service=self._routed.service)
         if not may:
             _log.info("The retry budget is exhausted.", request=self._routed.request.request)
         return may
@@ -165,37 +167,37 @@
     def _choose(self, denied: Set[UpstreamId] = frozenset()) -> UpstreamEntry | None:
         """Return the upstream with the fewest requests in progress from this host.
 
-        :param denied: Upstreams in warm-up that get no further requests now.
+        :param denied: Warming upstreams that get no further requests now.
         """
         routed = self._routed
         excluded = self._record.tried | denied
-        entries = eligible_upstreams(self._parts, routed.service, excluded, routed.domains)
-        counts = self._parts.work.plain_counts
+        entries = eligible_upstreams(self._context, routed.service, excluded, routed.domains)
+        counts = self._context.work.plain_counts
 
         def cost(entry: UpstreamEntry) -> tuple[float, float]:
-            is_remote = entry.failure_domain != self._parts.failure_domain
+            is_remote = entry.failure_domain != self._context.failure_domain
             busy = counts[entry.upstream] + (REMOTE_DOMAIN_PENALTY_REQUESTS if is_remote else 0.0)
-            return busy, self._parts.rng.random()
+            return busy, self._context.rng.random()
 
         return min(entries, key=cost, default=None)
 
     async def _attempt(self, entry: UpstreamEntry) -> _CompleteResponse | None:
         """Send the request to one upstream; return ``None`` if another upstream should be tried."""
         response: UpstreamResponse | None = None
-        self._record.note_sent(entry.upstream)
+        self._record.record_sent(entry.upstream)
         late = AttemptHealthRecorder(
-            health=self._parts.health, entry=entry, after_ms=self._routed.route.target_ms
+            health=self._context.health, entry=entry, after_ms=self._routed.route.target_ms
         )
-        counts = self._parts.work.plain_counts
+        counts = self._context.work.plain_counts
         counts[entry.upstream] += 1
         try:
-            response = await self._parts.upstream_client.send(
+            response = await self._context.upstream_client.send(
                 upstream_request=self._build_request(entry)
             )
             body = await response.read_all()
         except ExchangeError as error:
             late.end(is_good=False)
-            self._note_error(entry, error)
+            self._record_error(entry, error)
             return None
         finally:
             late.cancel()
@@ -204,25 +206,25 @@
                 response.close()
         late.end(is_good=response.status < MIN_SERVER_ERROR_STATUS)
         if response.not_executed:
-            self._note_not_executed(entry, response)
+            self._record_not_executed(entry, response)
             return None
-        return self._note_response(entry, response, body)
+        return self._record_response(entry, response, body)
 
     def _build_request(self, entry: UpstreamEntry) -> UpstreamRequest:
         return UpstreamRequest(
             request=self._routed.request,
             upstream=entry,
             account=self._routed.caller.account,
-            time_left_ms=self._routed.deadline - self._parts.clock.now(),
+            time_left_ms=self._routed.deadline - self._context.clock.now(),
         )
 
-    def _note_response(
+    def _record_response(
         self, entry: UpstreamEntry, response: UpstreamResponse, body: bytes
     ) -> _CompleteResponse | None:
-        self._record.note_run(entry.upstream)
-        self._parts.gate.note_up(upstream=entry.upstream)
-        record_complete_response(self._routed, self._parts, entry)
-        self._parts.metrics.attempts.labels("answered").inc()
+        self._record.record_run(entry.upstream)
+        self._context.gate.record_success(upstream=entry.upstream)
+        record_complete_response(self._routed, self._context, entry)
+        self._context.metrics.attempts.labels("answered").inc()
         self._log("An upstream has answered.", entry, status=response.status)
         complete = _CompleteResponse(
             status=response.status, reason=response.reason, headers=response.headers, body=body
@@ -233,24 +235,24 @@
             return None
         return complete
 
-    def _note_error(self, entry: UpstreamEntry, error: ExchangeError) -> None:
+    def _record_error(self, entry: UpstreamEntry, error: ExchangeError) -> None:
         if error.failure is ExchangeFailure.NOT_SENT:
-            self._record.note_not_sent(entry.upstream)
-            self._parts.gate.note_down(upstream=entry.upstream)
+            self._record.record_not_sent(entry.upstream)
+            self._context.gate.record_failure(upstream=entry.upstream)
         else:
-            self._record.note_run(entry.upstream)
-            record_broken_response(self._routed, self._parts, entry)
+            self._record.record_run(entry.upstream)
+            record_broken_response(self._routed, self._context, entry)
         self._refusal = upstream_failed(cause=error.detail)
-        self._parts.metrics.attempts.labels(error.failure.value).inc()
+        self._context.metrics.attempts.labels(error.failure.value).inc()
         self._log("An attempt failed.", entry, failure=error.failure.value, detail=error.detail)
 
-    def _note_not_executed(self, entry: UpstreamEntry, response: UpstreamResponse) -> None:
-        self._record.note_not_run(entry.upstream)
+    def _record_not_executed(self, entry: UpstreamEntry, response: UpstreamResponse) -> None:
+        self._record.record_not_run(entry.upstream)
         if response.is_address_reassigned:
-            self._parts.gate.note_gone(upstream=entry.upstream)
+            self._context.gate.record_gone(upstream=entry.upstream)
         else:
-            self._parts.suspects.note_alive(upstream=entry.upstream)
-        self._parts.metrics.attempts.labels("not-executed").inc()
+            self._context.suspects.record_alive(upstream=entry.upstream)
+        self._context.metrics.attempts.labels("not-executed").inc()
         self._log(
             "An upstream refused the request before execution.", entry, status=response.status
         )
@@ -262,6 +264,6 @@
             request=request.request,
             upstream=entry.upstream,
             attempt=self._record.sent,
-            after_ms=self._parts.clock.now() - request.arrived,
+            after_ms=self._context.clock.now() - request.arrived,
             **inputs,
         )
--- a/src/tanagerscale/forwarding/_relay.py
+++ b/src/tanagerscale/forwarding/_relay.py
@@ -11,7 +11,7 @@
 from tanagerscale.core import Millis
 from tanagerscale.forwarding._events import EventError
 from tanagerscale.forwarding._events import EventReader
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._segments import SegmentSender
 from tanagerscale.forwarding._segments import StreamSegment
 from tanagerscale.forwarding._types import Responder
@@ -31,7 +31,7 @@
 
     :param routed: The request.
     :param responder: Sends the events to the caller.
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     :param sender: Records failures of engines.
     :param on_event: Called after each relayed event.
     """
@@ -41,13 +41,13 @@
         *,
         routed: RoutedRequest,
         responder: Responder,
-        parts: ForwardingParts,
+        context: ForwardingContext,
         sender: SegmentSender,
         on_event: Callable[[StreamSegment], None],
     ) -> None:
         self._routed = routed
         self._responder = responder
-        self._parts = parts
+        self._context = context
         self._sender = sender
         self._on_event = on_event
         self._last_event_at: Millis | None = None
@@ -73,15 +73,15 @@
                     if event.number != self.last_event + 1:
                         return f"event {event.number} came after {self.last_event}"
                     await self._responder.write(event.content)
-                    self._note_event(segment, event.number)
+                    self._record_event(segment, event.number)
         except (ExchangeError, EventError) as error:
             return str(error)
         return None if reader.is_empty else "the answer ended within an event"
 
-    def note_stream_end(self, segment: StreamSegment) -> None:
+    def record_stream_end(self, segment: StreamSegment) -> None:
         """Record the proper end of the stream."""
-        self._sender.note_complete_response(segment.entry)
-        self._parts.metrics.longest_gap_ms.observe(self._longest_gap_ms)
+        self._sender.record_complete_response(segment.entry)
+        self._context.metrics.longest_gap_ms.observe(self._longest_gap_ms)
         self._sender.log(
             "A stream is whole.",
             segment.entry,
@@ -105,26 +105,26 @@
                 if has_copy():
                     raise ExchangeError(ExchangeFailure.LOST, "The engine went silent") from None
 
-    def _note_event(self, segment: StreamSegment, number: int) -> None:
+    def _record_event(self, segment: StreamSegment, number: int) -> None:
         self.last_event = number
-        now = self._parts.clock.now()
+        now = self._context.clock.now()
         if self._last_event_at is None:
             self._first_event_ms = now - self._routed.request.arrived
-            self._parts.metrics.first_event_ms.observe(self._first_event_ms)
+            self._context.metrics.first_event_ms.observe(self._first_event_ms)
         else:
-            self._note_gap(segment, now - self._last_event_at)
+            self._record_gap(segment, now - self._last_event_at)
         self._last_event_at = now
         if segment.first_event is None:
             segment.first_event = now
             segment.late.end(is_good=True)
-            self._parts.suspects.note_alive(upstream=segment.entry.upstream)
+            self._context.suspects.record_alive(upstream=segment.entry.upstream)
             self._segments_begun += 1
             self._sender.log("An engine begins to answer.", segment.entry, event=number)
         self._on_event(segment)
 
-    def _note_gap(self, segment: StreamSegment, gap_ms: int) -> None:
+    def _record_gap(self, segment: StreamSegment, gap_ms: int) -> None:
         self._longest_gap_ms = max(self._longest_gap_ms, gap_ms)
         allowed_ms = self._routed.route.gap_ms
         if segment.first_event is not None and gap_ms > allowed_ms > 0 and not segment.is_slow:
             segment.is_slow = True
-            self._sender.note_bad(segment.entry)
+            self._sender.record_failure(segment.entry)
--- a/src/tanagerscale/forwarding/_segments.py
+++ b/src/tanagerscale/forwarding/_segments.py
@@ -15,7 +15,7 @@
 from tanagerscale.forwarding._crash_evidence import record_broken_response
 from tanagerscale.forwarding._crash_evidence import record_complete_response
 from tanagerscale.forwarding._demand import is_long
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._snapshots import ResumeTarget
 from tanagerscale.forwarding._snapshots import Snapshot
 from tanagerscale.forwarding._types import Continuation
@@ -67,12 +67,12 @@
     """Progress of a run.
 
     :param tokens: Tokens in the KV cache, or tokens it will hold once the prompt is processed.
-    :param made: Tokens of the answer so far.
+    :param answer_tokens: Tokens of the answer so far.
     :param event: Number of the last event that was relayed to the caller.
     """
 
     tokens: int
-    made: int
+    answer_tokens: int
     event: int
 
 
@@ -81,12 +81,12 @@
     """Sends one request to engines and records how they respond.
 
     :param routed: The request.
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     """
 
-    def __init__(self, *, routed: RoutedRequest, parts: ForwardingParts) -> None:
+    def __init__(self, *, routed: RoutedRequest, context: ForwardingContext) -> None:
         self._routed = routed
-        self._parts = parts
+        self._context = context
 
     async def send(
         self, *, entry: UpstreamEntry, resume_target: ResumeTarget | None, progress: RunProgress
@@ -98,21 +98,21 @@
         :param progress: Progress of the run.
         :raises ExchangeError: The engine did not respond.
         """
-        work = self._parts.work
+        work = self._context.work
         request = self._routed.request
         work.begin(
             request=request.request,
             upstream=entry.upstream,
             prompt_tokens=progress.tokens if resume_target is None else 0,
             tokens=progress.tokens,
-            made=progress.made,
+            answer_tokens=progress.answer_tokens,
             is_long=is_long(self._routed),
             domains=self._routed.domains,
         )
         late_ms = self._routed.route.target_ms
-        late = AttemptHealthRecorder(health=self._parts.health, entry=entry, after_ms=late_ms)
+        late = AttemptHealthRecorder(health=self._context.health, entry=entry, after_ms=late_ms)
         try:
-            response = await self._parts.upstream_client.send(
+            response = await self._context.upstream_client.send(
                 upstream_request=self._build_request(entry, resume_target, progress)
             )
         except BaseException:
@@ -146,7 +146,7 @@
                 segment = await self._try_resume(entry, resume_target, progress)
             except (ExchangeError, TimeoutError) as error:
                 self.log("An attempt to resume a run failed.", entry, detail=repr(error))
-                self.note_bad(entry)
+                self.record_failure(entry)
                 if not _is_not_sent(error):
                     return self._snapshot_at_other_holder(resume_target, entry)
             else:
@@ -155,7 +155,7 @@
                 await self.drain(segment)
                 if not segment.response.not_executed:
                     return None
-            await self._parts.clock.sleep(backoff_ms)
+            await self._context.clock.sleep(backoff_ms)
             backoff_ms *= 2
             entry = self._other_holder(resume_target, entry)
         return None
@@ -171,20 +171,20 @@
             )
             segment.response.close()
 
-    def note_bad(self, entry: UpstreamEntry) -> None:
+    def record_failure(self, entry: UpstreamEntry) -> None:
         """Record a failure in an engine's health, unless the engine is leaving."""
-        if not self._parts.gate.is_leaving(entry.upstream):
-            self._parts.health.note_bad(upstream=entry.upstream)
+        if not self._context.gate.is_leaving(entry.upstream):
+            self._context.health.record_failure(upstream=entry.upstream)
 
-    def note_broken_response(self, entry: UpstreamEntry) -> None:
+    def record_broken_response(self, entry: UpstreamEntry) -> None:
         """Record a truncated response; the request may have crashed its engine."""
-        self.note_bad(entry)
-        record_broken_response(self._routed, self._parts, entry)
+        self.record_failure(entry)
+        record_broken_response(self._routed, self._context, entry)
 
-    def note_complete_response(self, entry: UpstreamEntry) -> None:
+    def record_complete_response(self, entry: UpstreamEntry) -> None:
         """Record a complete response."""
-        self._parts.health.note_good(upstream=entry.upstream)
-        record_complete_response(self._routed, self._parts, entry)
+        self._context.health.record_success(upstream=entry.upstream)
+        record_complete_response(self._routed, self._context, entry)
 
     def log(self, message: str, entry: UpstreamEntry, **inputs: object) -> None:
         """Log a message about this request at an engine."""
@@ -193,14 +193,14 @@
             message,
             request=request.request,
             upstream=entry.upstream,
-            after_ms=self._parts.clock.now() - request.arrived,
+            after_ms=self._context.clock.now() - request.arrived,
             **inputs,
         )
 
     async def _try_resume(
         self, entry: UpstreamEntry, resume_target: ResumeTarget, progress: RunProgress
     ) -> StreamSegment:
-        sent_at = self._parts.clock.now()
+        sent_at = self._context.clock.now()
         async with asyncio.timeout(RESUME_TIMEOUT_MS / MS_PER_SECOND):
             segment = await self.send(entry=entry, resume_target=resume_target, progress=progress)
         status = segment.response.status
@@ -214,12 +214,12 @@
             holder=resume_target.holder.upstream,
             at=progress.event,
             status=status,
-            took_ms=self._parts.clock.now() - sent_at,
+            took_ms=self._context.clock.now() - sent_at,
         )
         return segment
 
     def _is_evacuated(self, entry: UpstreamEntry) -> bool:
-        return self._parts.upstreams.is_evacuated(entry.upstream)
+        return self._context.upstreams.is_evacuated(entry.upstream)
 
     def _snapshot_at_other_holder(
         self, resume_target: ResumeTarget, entry: UpstreamEntry
@@ -228,7 +228,7 @@
         other = self._other_holder(resume_target, entry)
         if other is entry:
             return None
-        now = self._parts.clock.now()
+        now = self._context.clock.now()
         return Snapshot(
             entry=other, copy=resume_target.copy, taken=now, holder=resume_target.holder
         )
@@ -236,7 +236,7 @@
     def _other_holder(self, resume_target: ResumeTarget, entry: UpstreamEntry) -> UpstreamEntry:
         """Return the other engine that holds the copy, unless that engine is leaving."""
         other = resume_target.holder if entry is resume_target.entry else resume_target.entry
-        return entry if self._parts.gate.is_leaving(other.upstream) else other
+        return entry if self._context.gate.is_leaving(other.upstream) else other
 
     def _build_request(
         self, entry: UpstreamEntry, resume_target: ResumeTarget | None, progress: RunProgress
@@ -252,7 +252,7 @@
             request=self._routed.request,
             upstream=entry,
             account=self._routed.caller.account,
-            time_left_ms=self._routed.deadline - self._parts.clock.now(),
+            time_left_ms=self._routed.deadline - self._context.clock.now(),
             continuation=continuation,
         )
 
--- a/src/tanagerscale/forwarding/_stream.py
+++ b/src/tanagerscale/forwarding/_stream.py
@@ -14,7 +14,7 @@
 from tanagerscale.forwarding._admission import Admission
 from tanagerscale.forwarding._crash_evidence import is_quarantined
 from tanagerscale.forwarding._execution import ExecutionRecord
-from tanagerscale.forwarding._parts import ForwardingParts
+from tanagerscale.forwarding._parts import ForwardingContext
 from tanagerscale.forwarding._refusals import no_upstream
 from tanagerscale.forwarding._refusals import quarantined
 from tanagerscale.forwarding._refusals import upstream_failed
@@ -58,7 +58,7 @@
 
     :param routed: The request.
     :param responder: Sends the response to the caller.
-    :param parts: Dependencies shared by all requests.
+    :param context: Dependencies shared by all requests.
     :param admission: Gets the first engine.
     :param hooks: Receives state changes of the stream.
     """
@@ -68,21 +68,21 @@
         *,
         routed: RoutedRequest,
         responder: Responder,
-        parts: ForwardingParts,
+        context: ForwardingContext,
         admission: Admission,
         hooks: StreamHooks,
     ) -> None:
         self._routed = routed
         self._responder = responder
-        self._parts = parts
+        self._context = context
         self._admission = admission
         self._hooks = hooks
         self._record = ExecutionRecord(route=routed.route)
-        self._sender = SegmentSender(routed=routed, parts=parts)
+        self._sender = SegmentSender(routed=routed, context=context)
         self._relay = EventRelay(
             routed=routed,
             responder=responder,
-            parts=parts,
+            context=context,
             sender=self._sender,
             on_event=self._on_event,
         )
@@ -138,10 +138,10 @@
         segment = self._segment
         if segment is None or segment.first_event is None:
             return 0
-        return self._parts.clock.now() - segment.first_event
+        return self._context.clock.now() - segment.first_event
 
     @property
-    def made(self) -> int:
+    def answer_tokens(self) -> int:
         """Number of answer tokens relayed so far."""
         engine = self._routed.engine
         return self._relay.last_event * (1 if engine is None else engine.tokens_per_event)
@@ -150,7 +150,7 @@
     def tokens(self) -> int:
         """Number of tokens in the run's KV cache."""
         demand = self._routed.request.demand
-        return self.made + (0 if demand is None else demand.prompt_tokens)
+        return self.answer_tokens + (0 if demand is None else demand.prompt_tokens)
 
     async def wait_begun(self) -> None:
         """Wait for the first event or for the end of the stream."""
@@ -187,7 +187,7 @@
             self._ended = True
             self._began.set()
             self._release_snapshot(keep_at=None)
-            self._parts.work.end(request=self.request)
+            self._context.work.end(request=self.request)
             if self._segment is not None:
                 self._segment.close()
 
@@ -203,32 +203,32 @@
                 refusal: Refusal = found.failure()
                 return refusal
             # Other copies of the request may have crashed upstreams since the last check.
-            if is_quarantined(self._routed, self._parts):
+            if is_quarantined(self._routed, self._context):
                 return failure if record.may_have_run else quarantined()
             failure = await self._try_engine(found.unwrap())
             if failure is None:
                 return None
         if failure is not None and record.may_have_run:
             return failure
-        return no_upstream(service=self._routed.service, rng=self._parts.rng)
+        return no_upstream(service=self._routed.service, rng=self._context.rng)
 
     async def _may_repeat(self) -> bool:
-        return await self._parts.retry_budget.may_repeat(service=self._routed.service)
+        return await self._context.retry_permits.may_repeat(service=self._routed.service)
 
     async def _try_engine(self, entry: UpstreamEntry) -> Refusal | None:
         sender = self._sender
         try:
             segment = await sender.send(entry=entry, resume_target=None, progress=self._progress)
         except ExchangeError as error:
-            return self._note_no_response(entry, error)
+            return self._record_no_response(entry, error)
         if segment.response.not_executed:
-            self._record.note_not_run(entry.upstream)
-            sender.note_bad(entry)
+            self._record.record_not_run(entry.upstream)
+            sender.record_failure(entry)
             if segment.response.is_address_reassigned:
-                self._parts.gate.note_gone(upstream=entry.upstream)
+                self._context.gate.record_gone(upstream=entry.upstream)
             else:
-                self._parts.suspects.note_alive(upstream=entry.upstream)
-            self._parts.metrics.attempts.labels("not-executed").inc()
+                self._context.suspects.record_alive(upstream=entry.upstream)
+            self._context.metrics.attempts.labels("not-executed").inc()
             sender.log(
                 "An engine refused the request before execution.",
                 entry,
@@ -236,20 +236,20 @@
             )
             await sender.drain(segment)
             return upstream_failed(cause="No engine took the request")
-        self._record.note_run(entry.upstream)
-        self._parts.metrics.attempts.labels("answered").inc()
+        self._record.record_run(entry.upstream)
+        self._context.metrics.attempts.labels("answered").inc()
         self._set_segment(segment)
         return None
 
-    def _note_no_response(self, entry: UpstreamEntry, error: ExchangeError) -> Refusal:
+    def _record_no_response(self, entry: UpstreamEntry, error: ExchangeError) -> Refusal:
         not_sent = error.failure is ExchangeFailure.NOT_SENT
         if not_sent:
-            self._record.note_not_sent(entry.upstream)
-            self._parts.gate.note_down(upstream=entry.upstream)
+            self._record.record_not_sent(entry.upstream)
+            self._context.gate.record_failure(upstream=entry.upstream)
         else:
-            self._record.note_run(entry.upstream)
-            self._sender.note_broken_response(entry)
-        self._parts.metrics.attempts.labels(error.failure.value).inc()
+            self._record.record_run(entry.upstream)
+            self._sender.record_broken_response(entry)
+        self._context.metrics.attempts.labels(error.failure.value).inc()
         self._sender.log("An attempt failed.", entry, detail=error.detail, sent=not not_sent)
         return upstream_failed(cause=error.detail)
 
@@ -259,7 +259,9 @@
 
     @property
     def _progress(self) -> RunProgress:
-        return RunProgress(tokens=self.tokens, made=self.made, event=self._relay.last_event)
+        return RunProgress(
+            tokens=self.tokens, answer_tokens=self.answer_tokens, event=self._relay.last_event
+        )
 
     def _release_snapshot(self, *, keep_at: UpstreamId | None) -> None:
         """Free the current copy unless the run resumes from it.
@@ -287,10 +289,10 @@
             )
             if cause is None:
                 await self._responder.end()
-                self._relay.note_stream_end(self._segment)
+                self._relay.record_stream_end(self._segment)
                 return None
             segment = await self._resume_elsewhere(self._segment, cause)
-            self._parts.metrics.moves.labels("lost" if segment is None else "moved").inc()
+            self._context.metrics.moves.labels("lost" if segment is None else "moved").inc()
             if segment is None:
                 return upstream_failed(cause=cause)
             self._set_segment(segment)
@@ -301,22 +303,24 @@
             "An engine has answered with a failure.", segment.entry, status=response.status
         )
         if response.status >= MIN_SERVER_ERROR_STATUS:
-            self._sender.note_bad(segment.entry)
+            self._sender.record_failure(segment.entry)
         body = await response.read_all()
-        await self._responder.answer(
+        await self._responder.respond(
             status=response.status, reason=response.reason, headers=response.headers, body=body
         )
 
     def _on_event(self, segment: StreamSegment) -> None:
         self._began.set()
-        self._parts.work.progress(request=self.request, tokens=self.tokens, made=self.made)
+        self._context.work.progress(
+            request=self.request, tokens=self.tokens, answer_tokens=self.answer_tokens
+        )
 
     async def _resume_elsewhere(self, segment: StreamSegment, cause: str) -> StreamSegment | None:
         """Resume the run on another engine; return ``None`` if that is not possible."""
         broken = segment.entry
         self._sender.log("A leg ended early.", broken, detail=cause, at=self._relay.last_event)
         if self._pending_stop is None and not self._resume_targets:
-            self._sender.note_broken_response(broken)
+            self._sender.record_broken_response(broken)
         segment.close()
         self._is_switching = True
         try:
@@ -340,7 +344,7 @@
             return self._resume_targets.pop(0)
         if self.snapshot is None:
             return None
-        if not self._parts.gate.is_leaving(broken.upstream):
+        if not self._context.gate.is_leaving(broken.upstream):
             self._recoveries += 1
         if self._recoveries > MAX_RECOVERIES:
             return None
--- a/src/tanagerscale/forwarding/_types.py
+++ b/src/tanagerscale/forwarding/_types.py
@@ -92,7 +92,7 @@
 
 
 class RoutedRequest(Struct, frozen=True, kw_only=True):
-    """A request with its route, caller and limits from the declarations.
+    """A request with its route, caller and limits from the configuration.
 
     :param request: The request as received.
     :param route: The matching route.
@@ -135,7 +135,7 @@
     async def end(self) -> None:
         """Mark the response as complete."""
 
-    async def answer(
+    async def respond(
         self, *, status: int, reason: str, headers: Sequence[Header], body: bytes
     ) -> None:
         """Send a complete response at once."""
--- a/src/tanagerscale/forwarding/_workload.py
+++ b/src/tanagerscale/forwarding/_workload.py
@@ -25,26 +25,26 @@
     :param prompt_tokens: Tokens the engine must process first: the prompt, or 0 if the KV cache was
         copied.
     :param tokens: Tokens in the KV cache, or tokens it will hold once the prompt is processed.
-    :param made: Tokens of the answer so far.
+    :param answer_tokens: Tokens of the answer so far.
     :param is_long: Whether the answer may run for seconds.
     :param domains: Failure domains in which the generation may run; empty means any.
     :param first_event_at: Time of the first event on this engine; ``None`` before that.
     :param copy_at: Engine that holds a copy of the KV cache, or ``None``.
     :param copied_at: Time at which that copy was taken.
-    :param copy_yields: Whether the copy was taken as a precaution and is evicted for new work.
+    :param is_copy_evictable: Whether the copy was made ahead of time and is evicted for new work.
     :param is_moving: Whether the generation is being copied.
     """
 
     upstream: UpstreamId
     prompt_tokens: int
     tokens: int
-    made: int
+    answer_tokens: int
     is_long: bool
     domains: Set[FailureDomainId] = frozenset()
     first_event_at: Millis | None = None
     copy_at: UpstreamId | None = None
     copied_at: Millis = Millis(0)
-    copy_yields: bool = False
+    is_copy_evictable: bool = False
     is_moving: bool = False
 
 
@@ -79,7 +79,7 @@
         upstream: UpstreamId,
         prompt_tokens: int,
         tokens: int,
-        made: int = 0,
+        answer_tokens: int = 0,
         is_long: bool,
         domains: Set[FailureDomainId] = frozenset(),
     ) -> None:
@@ -89,7 +89,7 @@
         :param upstream: The engine.
         :param prompt_tokens: Tokens the engine must process first.
         :param tokens: Tokens in the KV cache once these are processed.
-        :param made: Tokens of the answer so far.
+        :param answer_tokens: Tokens of the answer so far.
         :param is_long: Whether the answer may run for seconds.
         :param domains: Failure domains in which the generation may run; empty means any.
         """
@@ -101,25 +101,25 @@
             upstream=upstream,
             prompt_tokens=prompt_tokens,
             tokens=tokens,
-            made=made,
+            answer_tokens=answer_tokens,
             is_long=is_long,
             domains=domains,
         )
         self._changes.on_next(None)
 
     def set_copy(
-        self, *, request: RequestId, copy_at: UpstreamId | None, yields: bool = False
+        self, *, request: RequestId, copy_at: UpstreamId | None, is_evictable: bool = False
     ) -> None:
         """Record which engine holds a copy of a generation's KV cache.
 
         :param request: The generation.
         :param copy_at: Engine that holds the copy, or ``None``.
-        :param yields: Whether the copy was taken as a precaution and is evicted for new work.
+        :param is_evictable: Whether the copy was made ahead of time and is evicted for new work.
         """
         run = self._runs.get(request)
         if run is not None:
             run.copy_at = copy_at
-            run.copy_yields = yields
+            run.is_copy_evictable = is_evictable
             run.copied_at = self._clock.now()
             self._changes.on_next(None)
 
@@ -130,18 +130,18 @@
             run.is_moving = is_moving
             self._changes.on_next(None)
 
-    def progress(self, *, request: RequestId, tokens: int, made: int) -> None:
+    def progress(self, *, request: RequestId, tokens: int, answer_tokens: int) -> None:
         """Record the progress of a generation after an event.
 
         :param request: The generation.
         :param tokens: Tokens in its KV cache.
-        :param made: Tokens of its answer so far.
+        :param answer_tokens: Tokens of its answer so far.
         """
         run = self._runs.get(request)
         if run is None:
             return
         run.tokens = tokens
-        run.made = made
+        run.answer_tokens = answer_tokens
         if run.first_event_at is None:
             run.first_event_at = self._clock.now()
             self._changes.on_next(None)
@@ -163,12 +163,12 @@
         upstream=run.upstream,
         prompt_tokens=run.prompt_tokens,
         tokens=run.tokens,
-        made=run.made,
+        made=run.answer_tokens,
         is_long=run.is_long,
         begun_ms=-1 if run.first_event_at is None else now - run.first_event_at,
         copy_at=run.copy_at or "",
         copy_ms=0 if run.copy_at is None else now - run.copied_at,
-        copy_yields=run.copy_yields,
+        copy_yields=run.is_copy_evictable,
         is_moving=run.is_moving,
         domains=sorted(run.domains),
     )
--- a/src/tanagerscale/gateway/_caller_handler.py
+++ b/src/tanagerscale/gateway/_caller_handler.py
@@ -72,7 +72,7 @@
         arrived = self._clock.now()
         body = await self._read_body(request)
         if body is None:
-            responder.close_after_answer()
+            responder.close_after_response()
             await responder.refuse(refusal=_TOO_LARGE)
             return responder.response
         decoded = self._codec.decode(request, body, arrived)
@@ -148,7 +148,7 @@
         """Mark the end of a complete response."""
         await self.response.write_eof()
 
-    async def answer(
+    async def respond(
         self, *, status: int, reason: str, headers: Sequence[Header], body: bytes
     ) -> None:
         """Send a complete response."""
@@ -165,14 +165,14 @@
         headers = [("Content-Type", "application/problem+json"), *self._echoed]
         if refusal.retry_after_ms is not None:
             headers.append(("Retry-After", f"{refusal.retry_after_ms / MS_PER_SECOND:.3f}"))
-        await self.answer(
+        await self.respond(
             status=STATUS_BY_REFUSAL[refusal.kind],
             reason=refusal.kind.value,
             headers=headers,
             body=msgspec.json.encode(problem),
         )
 
-    def close_after_answer(self) -> None:
+    def close_after_response(self) -> None:
         """Close the connection after this response."""
         self._idle_timeout_ms = None
 
--- a/src/tanagerscale/gateway/_compression.py
+++ b/src/tanagerscale/gateway/_compression.py
@@ -40,7 +40,7 @@
     try:
         value = decompressor.decompress(base64.b64decode(text, validate=True), MAX_VALUE_BYTES)
     except (binascii.Error, zlib.error) as error:
-        return Failure(f"The value can't be read ({error}); ask for the whole of it.")
+        return Failure(f"The value can't be decompressed ({error}); request it in full.")
     if not decompressor.eof:
-        return Failure("The value is cut or too large; ask for the whole of it.")
+        return Failure("The value is truncated or too large; request it in full.")
     return Success(value)
--- a/src/tanagerscale/gateway/_configuration.py
+++ b/src/tanagerscale/gateway/_configuration.py
@@ -1,4 +1,4 @@
-"""Active configuration, taken from the store or from peers; its version never decreases."""
+"""Configuration in force, taken from the store or from peers; its version never decreases."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
     @property
     def tables(self) -> BehaviorSubject[RouteTable | None]:
-        """Emits the active table on subscription and after each change.
+        """Emits the table in force on subscription and after each change.
 
         The value is ``None`` until a version is known.
         """
@@ -60,12 +60,12 @@
 
     @property
     def table(self) -> RouteTable | None:
-        """The active table, or ``None`` until a version is known."""
+        """The table in force, or ``None`` until a version is known."""
         return self._tables.value
 
     @property
     def head_revision(self) -> Revision:
-        """The active version; 0 until one is known."""
+        """The version in force; 0 until one is known."""
         table = self._tables.value
         return Revision(0) if table is None else table.version
 
@@ -73,26 +73,26 @@
     def _value(self) -> bytes:
         return self._values[self.head_revision]
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Apply the configuration found in the store."""
-        self._apply_all(found.entries)
+        self._apply_all(snapshot.entries)
 
     def on_changes(self, batch: WatchBatch) -> None:
-        """Apply a change; a configuration whose key is deleted stays active."""
+        """Apply a change; a configuration whose key is deleted stays in force."""
         self._apply_all(batch.entries)
 
     def on_reachability_changed(self, *, reachable: bool) -> None:
-        """Do nothing; the active configuration remains valid without the store."""
+        """Do nothing; the configuration stays in force without the store."""
 
     async def offer_from_peer(
         self, *, head: bytes, chunks: Mapping[str, str], packed_after: int = NOT_PACKED
     ) -> Result[Revision, Any]:
-        """Apply the configuration that a peer has active.
+        """Apply the configuration that a peer has in force.
 
         :param head: The value, or its compressed delta to an older version.
         :param chunks: Unused; the value has no chunks.
         :param packed_after: The older version that the delta is based on; 0 if there is none.
-        :returns: The active version, or the reason why the value was refused.
+        :returns: The version in force, or the reason why the value was refused.
         """
         if packed_after == NOT_PACKED:
             return self._apply(head, source="peer", store_revision=0)
@@ -106,7 +106,7 @@
         return self._apply(decompressed.unwrap(), source="peer", store_revision=0)
 
     def content_for_peer(self, *, have: Revision) -> HeadContent | None:
-        """Return the active configuration for a peer that has an older version.
+        """Return the configuration in force for a peer that has an older version.
 
         :param have: The version that the peer has; 0 if it has none.
         :returns: The compressed value; ``None`` if the peer's version is at least as new.
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -53,7 +53,7 @@
 from tanagerscale.routes import RouteTable
 
 WATCH_GRACE_MS: Final = 150
-"""How long a host that is told of a newer configuration waits for its own watch to deliver it."""
+"""How long a host notified of a newer configuration waits for its own watch to deliver it."""
 
 HEAD_REQUEST_CHECK_INTERVAL_MS: Final = 1000
 """How often a host checks whether a peer that it asked for a configuration has failed to answer.
@@ -64,7 +64,7 @@
 
 @final
 class HostControl:
-    """Tracks hosts, upstreams and the configuration, and places requests or asks a coordinator to.
+    """Tracks hosts, upstreams and the configuration, and requests placements from coordinators.
 
     :param settings: The host's validated settings.
     :param platform: Adapters to the platform.
@@ -109,18 +109,20 @@
         )
         self.mesh = self._make_mesh(transport)
         self._relay = AnnouncementRelay(network=self.mesh, directory=self.directory, clock=clock)
-        self.gate = UpstreamGate(clock=clock, rng=rng, broadcast=self._relay.tell)
-        self.evacuations = Evacuations(domain_of=platform.evacuated_domain, clock=clock)
+        self.gate = UpstreamGate(clock=clock, rng=rng, broadcast=self._relay.announce)
+        self.evacuations = Evacuations(
+            parse_evacuated_domain=platform.parse_evacuated_domain, clock=clock
+        )
         self.roster = UpstreamRoster(
             gate=self.gate,
             evacuations=self.evacuations,
             decode=platform.decode_entry,
-            name_of=platform.name_of,
+            parse_upstream_name=platform.parse_upstream_name,
             clock=clock,
         )
         self.feed = self._make_feed(ListTopic.UPSTREAMS, self.roster)
         self.evacuations_feed = self._make_feed(ListTopic.EVACUATIONS, self.evacuations)
-        self._spread = self._make_spread()
+        self._head_replicator = self._make_head_replicator()
         self._presence = self._make_presence()
         self.warmup = WarmupLimit(
             host=self._host,
@@ -129,8 +131,8 @@
             share=self._share_of_hosts,
             clock=clock,
         )
-        self.duties = self._make_duties()
-        self.repeats = self._make_repeats()
+        self.store_source = self._make_store_source()
+        self.retry_budgets = self._make_retry_budgets()
         self.coordinator = self._make_coordinator()
         self.client = CoordinationClient(
             host=self._host,
@@ -146,13 +148,13 @@
         """Connect to the other hosts and start following the store."""
         await self.mesh.start()
         self._messages.start()
-        self._spread.start()
+        self._head_replicator.start()
         self._subscribe()
         self._spawn(self._presence.run())
         for loop in self.coordinator.loops():
             self._spawn(loop)
         self.mesh.set_peers(self.directory.targets())
-        self.duties.reevaluate()
+        self.store_source.reevaluate()
 
     async def stop(self) -> None:
         """Cancel all tasks and close the connections to other hosts."""
@@ -160,8 +162,8 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.duties.stop()
-        await self._spread.stop()
+        await self.store_source.stop()
+        await self._head_replicator.stop()
         await self.mesh.stop()
 
     async def withdraw(self) -> None:
@@ -187,15 +189,15 @@
     def _make_feed(self, topic: ListTopic, listener: FeedListener) -> ListFeed:
         return ListFeed(topic=topic, listener=listener, send=self._send, clock=self._clock)
 
-    def _make_spread(self) -> HeadReplicator:
+    def _make_head_replicator(self) -> HeadReplicator:
         return HeadReplicator(
             network=self.mesh,
             follower=self.configuration,
             clock=self._clock,
-            request_delay_ms=lambda: WATCH_GRACE_MS if self.duties.follows_store else 0,
+            request_delay_ms=lambda: WATCH_GRACE_MS if self.store_source.follows_store else 0,
             order_key=lambda host: distance(self._host, host),
             check_interval_ms=HEAD_REQUEST_CHECK_INTERVAL_MS,
-            broadcast=self._relay.tell,
+            broadcast=self._relay.announce,
         )
 
     def _make_presence(self) -> HostPresence:
@@ -221,7 +223,7 @@
             rng=self._rng,
         )
 
-    def _make_duties(self) -> StoreSourceSelector:
+    def _make_store_source(self) -> StoreSourceSelector:
         followers = StoreFollowers(
             platform=self._platform,
             configuration=self.configuration,
@@ -245,7 +247,7 @@
     def _feeds(self) -> tuple[ListFeed, ...]:
         return (self.feed, self.evacuations_feed)
 
-    def _make_repeats(self) -> SharedRetryBudgets:
+    def _make_retry_budgets(self) -> SharedRetryBudgets:
         retries = self._settings.retries
         return SharedRetryBudgets(
             ratio=retries.ratio,
@@ -262,7 +264,7 @@
         return min(max(deciding, 1) / self.directory.hosts, 1.0)
 
     def _make_coordinator(self) -> Coordinator:
-        parts = DecisionContext(
+        context = DecisionContext(
             tables=self.configuration,
             upstreams=self.roster,
             gate=self.gate,
@@ -274,18 +276,18 @@
         return Coordinator(
             host=self._host,
             domain=self._domain,
-            context=parts,
-            retry_budgets=self.repeats,
+            context=context,
+            retry_budgets=self.retry_budgets,
             engines=self._platform.upstreams,
             send=self._send,
         )
 
     def _make_message_router(
-        self, carry_out: Callable[[MoveOrder], Awaitable[bool]]
+        self, execute_order: Callable[[MoveOrder], Awaitable[bool]]
     ) -> PeerMessageRouter:
         receivers = MessageReceivers(
             directory=self.directory,
-            duties=self.duties,
+            store_source=self.store_source,
             feeds=self._feeds,
             coordinator=self.coordinator,
             client=self.client,
@@ -294,7 +296,7 @@
             health=self.health,
             suspects=self.suspects,
         )
-        return PeerMessageRouter(mesh=self.mesh, receivers=receivers, execute_order=carry_out)
+        return PeerMessageRouter(mesh=self.mesh, receivers=receivers, execute_order=execute_order)
 
     def _subscribe(self) -> None:
         """Subscribe components to each other's changes."""
@@ -319,14 +321,14 @@
 
     def _on_table(self, table: RouteTable | None) -> None:
         if table is not None:
-            self._spread.announce(revision=table.version, digest="")
+            self._head_replicator.announce(revision=table.version, digest="")
 
     def _on_store_availability(self, is_answered: bool) -> None:
         _log.info(
             "Calls to the store succeed again." if is_answered else "Calls to the store fail."
         )
         self.feed.on_calls(answered=is_answered)
-        self.duties.on_own_store(is_lost=not is_answered)
+        self.store_source.on_own_store(is_lost=not is_answered)
         if self.directory.is_coordinator:
             self.mesh.send_heartbeat()
 
--- a/src/tanagerscale/gateway/_host.py
+++ b/src/tanagerscale/gateway/_host.py
@@ -20,8 +20,8 @@
 from tanagerscale.core import get_logger
 from tanagerscale.forwarding import Admission
 from tanagerscale.forwarding import Dispatcher
+from tanagerscale.forwarding import ForwardingContext
 from tanagerscale.forwarding import ForwardingMetrics
-from tanagerscale.forwarding import ForwardingParts
 from tanagerscale.forwarding import LocalWorkload
 from tanagerscale.forwarding import StreamMover
 from tanagerscale.gateway._caller_server import CallerServer
@@ -70,7 +70,7 @@
             settings=settings,
             platform=platform,
             work=self._work,
-            execute_order=lambda order: self._movers.carry_out(order),
+            execute_order=lambda order: self._stream_mover.execute_order(order),
             is_leaving=lambda: self._leaving,
             clock=clock,
             rng=self._rng,
@@ -98,7 +98,7 @@
         )
         await self._server.start(address=settings.host.callers)
         await self._control.start()
-        self._control.gate.changes.subscribe(self._movers.on_upstreams)
+        self._control.gate.changes.subscribe(self._stream_mover.on_upstreams)
         self._control.roster.replaced.subscribe(
             lambda replaced: self._platform.upstreams.forget(upstream=replaced)
         )
@@ -118,7 +118,7 @@
         old = self._settings
         retries = settings.retries
         if retries != old.retries:
-            self._control.repeats.reconfigure(
+            self._control.retry_budgets.reconfigure(
                 ratio=retries.ratio, slack=retries.slack, window_s=retries.window_s
             )
         self._settings = settings
@@ -175,7 +175,7 @@
 
     @property
     def version(self) -> int:
-        """Version of the active configuration; 0 until one is known."""
+        """Version of the configuration in force; 0 until one is known."""
         return self._control.configuration.head_revision
 
     @property
@@ -215,7 +215,7 @@
 
     def _make_dispatcher(self) -> Dispatcher:
         control = self._control
-        parts = ForwardingParts(
+        context = ForwardingContext(
             tables=control.configuration,
             upstreams=control.roster,
             gate=control.gate,
@@ -224,25 +224,25 @@
             upstream_client=self._platform.upstreams,
             engines=self._platform.upstreams,
             work=self._work,
-            retry_budget=control.client,
+            retry_permits=control.client,
             warmup=control.warmup,
-            permits=control.client,
+            warmup_permits=control.client,
             metrics=ForwardingMetrics(registry=self._registry),
             failure_domain=FailureDomainId(self._settings.host.failure_domain),
             clock=self._clock,
             rng=self._rng,
         )
-        parts.metrics.evacuated.set_function(lambda: len(control.evacuations.domains))
-        self._movers = StreamMover(
-            parts=parts,
+        context.metrics.evacuated.set_function(lambda: len(control.evacuations.domains))
+        self._stream_mover = StreamMover(
+            context=context,
             check_decider=control.client.check_decider,
-            ask_engine=control.coordinator.query_engine,
+            query_engine=control.coordinator.query_engine,
         )
         return Dispatcher(
-            parts=parts,
-            admission=Admission(parts=parts, placer=control.client),
-            stream_mover=self._movers,
-            homes=AllowedRegions(regions=get_regions_by_domain(self._settings)),
+            context=context,
+            admission=Admission(context=context, placer=control.client),
+            stream_mover=self._stream_mover,
+            allowed_regions=AllowedRegions(regions=get_regions_by_domain(self._settings)),
             is_stopping=lambda: self._leaving,
         )
 
--- a/src/tanagerscale/gateway/_operator_keys.py
+++ b/src/tanagerscale/gateway/_operator_keys.py
@@ -21,7 +21,7 @@
 
     :param configuration_key: Store key of the configuration.
     :param configuration: Listener for the configuration.
-    :param evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
+    :param parse_evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
     :param evacuations: Listener for the keys that evacuate failure domains.
     """
 
@@ -30,21 +30,21 @@
         *,
         configuration_key: str,
         configuration: PrefixListener,
-        evacuated_domain: Callable[[str], FailureDomainId | None],
+        parse_evacuated_domain: Callable[[str], FailureDomainId | None],
         evacuations: PrefixListener,
     ) -> None:
         self._configuration_key = configuration_key
         self._configuration = configuration
-        self._evacuated_domain = evacuated_domain
+        self._evacuated_domain = parse_evacuated_domain
         self._evacuations = evacuations
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Replace all known keys by a snapshot."""
         self._configuration.on_snapshot(
-            replace(found, entries=self._configuration_entries(found.entries))
+            replace(snapshot, entries=self._configuration_entries(snapshot.entries))
         )
         self._evacuations.on_snapshot(
-            replace(found, entries=self._evacuation_entries(found.entries))
+            replace(snapshot, entries=self._evacuation_entries(snapshot.entries))
         )
 
     def on_changes(self, batch: WatchBatch) -> None:
--- a/src/tanagerscale/gateway/_peer_messages.py
+++ b/src/tanagerscale/gateway/_peer_messages.py
@@ -43,10 +43,10 @@
     """The components of a host that receive messages from other hosts.
 
     :param directory: Tracks which hosts are coordinators.
-    :param duties: Selects which hosts follow the store.
+    :param store_source: Selects which hosts follow the store.
     :param feeds: Distribute the followed store entries to hosts that do not follow the store.
     :param coordinator: Places the requests of hosts that ask for it.
-    :param client: Asks coordinators to place requests.
+    :param client: Requests placements from the coordinators.
     :param relay: Forwards announcements to other hosts.
     :param gate: Tracks which upstreams are leaving.
     :param health: Tracks the health of upstreams as shown by the outcomes of requests.
@@ -54,7 +54,7 @@
     """
 
     directory: Directory
-    duties: StoreSourceSelector
+    store_source: StoreSourceSelector
     feeds: tuple[ListFeed, ...]
     coordinator: Coordinator
     client: CoordinationClient
@@ -83,7 +83,7 @@
     ) -> None:
         self._mesh = mesh
         self._receivers = receivers
-        self._carry_out = execute_order
+        self._execute_order = execute_order
         self._live: frozenset[HostId] = frozenset()
         self._orders: set[asyncio.Task[None]] = set()
         self._subscriptions: list[DisposableBase] = []
@@ -98,11 +98,11 @@
             self._mesh.live.subscribe(self._on_live),
             self._mesh.joined.subscribe(self._on_joined),
             receivers.directory.changes.subscribe(lambda _: self._on_directory()),
-            receivers.health.news.subscribe(self._send_tallies),
+            receivers.health.tally_updates.subscribe(self._send_tallies),
             receivers.health.ejections.subscribe(
                 lambda ejected: self._mesh.broadcast(message=ejected)
             ),
-            receivers.suspects.news.subscribe(receivers.relay.tell),
+            receivers.suspects.suspect_updates.subscribe(receivers.relay.announce),
         ]
 
     def stop(self) -> None:
@@ -115,7 +115,7 @@
         receivers = self._receivers
         match message:
             case Heartbeat():
-                receivers.duties.on_peer_store(host, is_lost=message.store_lost)
+                receivers.store_source.on_peer_store(host, is_lost=message.store_lost)
             case Coordinators():
                 receivers.directory.on_message(message)
             case MoveOrder():
@@ -160,7 +160,7 @@
             for feed in receivers.feeds:
                 feed.on_gone(host)
             receivers.health.forget_peer(host=host)
-        receivers.duties.reevaluate()
+        receivers.store_source.reevaluate()
 
     def _on_joined(self, peer: PeerInfo) -> None:
         receivers = self._receivers
@@ -186,7 +186,7 @@
     def _on_directory(self) -> None:
         receivers = self._receivers
         self._mesh.set_peers(receivers.directory.targets())
-        receivers.duties.reevaluate()
+        receivers.store_source.reevaluate()
         receivers.client.report_now()
         self._announce_coordinators()
 
@@ -220,7 +220,7 @@
             _log.error("Execution of a move order failed.", detail=repr(error))
 
     async def _run_order(self, host: HostId, order: MoveOrder) -> None:
-        is_done = await self._carry_out(order)
+        is_done = await self._execute_order(order)
         # The coordinator must know where the memory is before it receives the result of its order.
         self._receivers.client.report_now()
         self.send(host, MoveDone(number=order.number, is_done=is_done))
--- a/src/tanagerscale/gateway/_platform.py
+++ b/src/tanagerscale/gateway/_platform.py
@@ -65,10 +65,10 @@
     :param operator_prefix: Prefix of the store keys that operators write.
     :param configuration_key: Store key of the configuration.
     :param decode_configuration: Decodes the configuration, or returns what is wrong with it.
-    :param evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
+    :param parse_evacuated_domain: Returns the failure domain that a key evacuates, or ``None``.
     :param registry_prefix: Prefix of the store keys under which upstreams register.
     :param decode_entry: Decodes the entry of an upstream from its key and value.
-    :param name_of: Returns the name of the upstream that registers under a key.
+    :param parse_upstream_name: Returns the name of the upstream that registers under a key.
     :param callers: Decodes the requests of callers.
     :param close: Closes the connections to the store and to upstreams.
     """
@@ -78,9 +78,9 @@
     operator_prefix: str
     configuration_key: str
     decode_configuration: Callable[[bytes], Result[Configuration, str]]
-    evacuated_domain: Callable[[str], FailureDomainId | None]
+    parse_evacuated_domain: Callable[[str], FailureDomainId | None]
     registry_prefix: str
     decode_entry: Callable[[str, bytes], Result[UpstreamEntry, str]]
-    name_of: Callable[[str], UpstreamName]
+    parse_upstream_name: Callable[[str], UpstreamName]
     callers: CallerCodec
     close: Callable[[], Awaitable[None]]
--- a/src/tanagerscale/gateway/_presence.py
+++ b/src/tanagerscale/gateway/_presence.py
@@ -163,13 +163,13 @@
                 "The lease could not be revoked; it will expire.", detail=revoked.failure().detail
             )
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Replace all known entries by a snapshot."""
         self._has_read = True
         self._records.clear()
-        for entry in found.entries:
+        for entry in snapshot.entries:
             self._decode_record(entry)
-        self._publish(found.revision)
+        self._publish(snapshot.revision)
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Apply changes."""
--- a/src/tanagerscale/gateway/_store_followers.py
+++ b/src/tanagerscale/gateway/_store_followers.py
@@ -75,7 +75,7 @@
         return OperatorKeyListener(
             configuration_key=self._platform.configuration_key,
             configuration=self._configuration,
-            evacuated_domain=self._platform.evacuated_domain,
+            parse_evacuated_domain=self._platform.parse_evacuated_domain,
             evacuations=self._evacuations,
         )
 
--- a/src/tanagerscale/membership/_evacuations.py
+++ b/src/tanagerscale/membership/_evacuations.py
@@ -31,13 +31,13 @@
 
     The last known evacuations stay in force while the store can't be read.
 
-    :param domain_of: Parses a store key into the failure domain that it evacuates; returns ``None``
+    :param parse_evacuated_domain: Parses a store key into the failure domain that it evacuates; returns ``None``
         for keys that evacuate none.
     :param clock: Source of the current time.
     """
 
-    def __init__(self, *, domain_of: ParseDomain, clock: Clock) -> None:
-        self._parse_domain = domain_of
+    def __init__(self, *, parse_evacuated_domain: ParseDomain, clock: Clock) -> None:
+        self._parse_domain = parse_evacuated_domain
         self._clock = clock
         self._domains: frozenset[FailureDomainId] = frozenset()
         self._ended_at: dict[FailureDomainId, Millis] = {}
@@ -72,10 +72,10 @@
         ended_at = self._ended_at.get(domain)
         return None if ended_at is None else self._clock.now() - ended_at
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Replace the evacuations with the content of a full read of the store."""
         self._has_read = True
-        self._replace_domains(self._parse_domains(entry.key for entry in found.entries))
+        self._replace_domains(self._parse_domains(entry.key for entry in snapshot.entries))
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Apply changes that a watch of the store reports."""
--- a/src/tanagerscale/membership/_gate.py
+++ b/src/tanagerscale/membership/_gate.py
@@ -102,16 +102,16 @@
         )
         for entry in upstreams:
             upstream = UpstreamId(entry.id)
-            self.note_incarnation(upstream=upstream, incarnation=entry.incarnation)
+            self.record_incarnation(upstream=upstream, incarnation=entry.incarnation)
             if entry.state is ListedState.LEAVING:
-                self.note_leaving(upstream=upstream, incarnation=entry.incarnation)
+                self.record_leaving(upstream=upstream, incarnation=entry.incarnation)
 
     def on_peer(self, message: UpstreamLeaving) -> None:
         """Handle a notice from a peer that an upstream is leaving."""
         upstream = UpstreamId(message.upstream)
-        self.note_leaving(upstream=upstream, incarnation=message.incarnation)
+        self.record_leaving(upstream=upstream, incarnation=message.incarnation)
 
-    def note_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
+    def record_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
         """Close a leaving upstream and notify the peers, unless that is already known.
 
         :param upstream: The upstream.
@@ -133,7 +133,7 @@
         self._broadcast(UpstreamLeaving(upstream=upstream, incarnation=leaving_incarnation))
         self._changes.on_next(upstream)
 
-    def note_incarnation(self, *, upstream: UpstreamId, incarnation: int) -> None:
+    def record_incarnation(self, *, upstream: UpstreamId, incarnation: int) -> None:
         """Record an incarnation of an upstream that accepts new requests.
 
         :param upstream: The upstream.
@@ -144,9 +144,9 @@
             self._newest_incarnations[upstream] = incarnation
             self._changes.on_next(upstream)
 
-    def note_gone(self, *, upstream: UpstreamId) -> None:
+    def record_gone(self, *, upstream: UpstreamId) -> None:
         """Close an upstream whose address has been reassigned to another upstream."""
-        self.note_leaving(
+        self.record_leaving(
             upstream=upstream, incarnation=max(self._newest_incarnations.get(upstream, 0), 1)
         )
 
@@ -176,7 +176,7 @@
             if self.is_leaving(upstream)
         )
 
-    def note_down(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream was unreachable and back off before the next probe."""
         breaker = self._breakers.setdefault(upstream, _Breaker())
         is_probe = not self.is_broken(upstream)
@@ -196,7 +196,7 @@
         if is_probe:
             self._changes.on_next(upstream)
 
-    def note_up(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream responded, which resets its circuit breaker."""
         breaker = self._breakers.pop(upstream, None)
         if breaker is None:
--- a/src/tanagerscale/membership/_head_replication.py
+++ b/src/tanagerscale/membership/_head_replication.py
@@ -156,7 +156,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def note_hosts_known(self) -> None:
+    def record_hosts_known(self) -> None:
         """Record that the host list has been read, or that there is none.
 
         Before that, the connected peers may be only a few of all hosts, so the revisions that they
--- a/src/tanagerscale/membership/_mesh.py
+++ b/src/tanagerscale/membership/_mesh.py
@@ -208,7 +208,7 @@
             session.send(frame)
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat immediately, for example when a planned stop begins."""
+        """Send a heartbeat immediately, for example when a graceful shutdown begins."""
         self.broadcast(message=self._build_heartbeat())
 
     async def _send_heartbeats_forever(self) -> None:
--- a/src/tanagerscale/membership/_peers.py
+++ b/src/tanagerscale/membership/_peers.py
@@ -29,7 +29,7 @@
     :param failure_domain: Failure domain of the host.
     :param address: Address at which it accepts peers.
     :param revision: Last reported revision of the declarations in force on the host.
-    :param leaving: Whether the host is in a planned stop.
+    :param leaving: Whether the host is shutting down gracefully.
     """
 
     host: HostId
--- a/src/tanagerscale/membership/_roster.py
+++ b/src/tanagerscale/membership/_roster.py
@@ -49,10 +49,10 @@
 upstream rewrites its own entry within a heartbeat of 1.2 s. Two seconds after a leaving notice it
 must get no new requests; it gets none from the moment its entry is unreadable."""
 
-OLDER_START_DELAY_MS: Final = 1800
-"""How long the entry of an earlier start must stay unchanged to be accepted. If the store only
-applied a write of an ended start late, the current start overwrites it within a heartbeat of
-1.2 s."""
+OLDER_INCARNATION_DELAY_MS: Final = 1800
+"""How long the entry of an earlier incarnation must stay unchanged to be accepted. If the store
+only applied a write of an ended incarnation late, the current one overwrites it within a heartbeat
+of 1.2 s."""
 
 GONE_RETENTION_MS: Final = 60_000
 """How long the record of a gone upstream is kept for the requests that still run on it."""
@@ -63,18 +63,18 @@
 
 
 class _UpstreamRecord(Struct, kw_only=True):
-    """State of one start of an upstream.
+    """State of one incarnation of an upstream.
 
     :param entry: Its latest entry.
     :param revision: Store revision of that entry.
-    :param cold_until: When its warm-up ends.
+    :param warmup_until: When its warm-up ends.
     :param missing_since: Since when its entry is missing or unreadable; ``None`` if it is neither.
     :param is_readable: Whether the entry in the store could be decoded.
     """
 
     entry: UpstreamEntry
     revision: StoreRevision
-    cold_until: Millis
+    warmup_until: Millis
     missing_since: Millis | None = None
     is_readable: bool = True
 
@@ -86,7 +86,7 @@
     :param gate: Records leaving upstreams and notifies the peers.
     :param evacuations: The failure domains that get no new requests.
     :param decode: Decodes one store entry from its key and value.
-    :param name_of: Returns the name of the upstream whose entry has a key.
+    :param parse_upstream_name: Returns the name of the upstream whose entry has a key.
     :param clock: Source of the current time.
     """
 
@@ -96,13 +96,13 @@
         gate: UpstreamGate,
         evacuations: Evacuations,
         decode: DecodeEntry,
-        name_of: Callable[[str], UpstreamName],
+        parse_upstream_name: Callable[[str], UpstreamName],
         clock: Clock,
     ) -> None:
         self._gate = gate
         self._evacuations = evacuations
         self._decode = decode
-        self._name_of = name_of
+        self._parse_upstream_name = parse_upstream_name
         self._clock = clock
         self._records: dict[UpstreamId, _UpstreamRecord] = {}
         self._current: dict[UpstreamName, UpstreamId] = {}
@@ -132,7 +132,7 @@
 
     @property
     def replaced(self) -> Observable[UpstreamEntry]:
-        """Emits the entry of each earlier start when its upstream has restarted."""
+        """Emits the entry of each earlier incarnation when its upstream has restarted."""
         return self._replaced
 
     @property
@@ -156,7 +156,7 @@
             entry for entry in self._iterate_eligible(service) if self._gate.is_open(entry.upstream)
         ]
 
-    def staying(self, service: ServiceId) -> list[UpstreamEntry]:
+    def not_leaving(self, service: ServiceId) -> list[UpstreamEntry]:
         """Return the upstreams of a service that are not leaving, including failing ones."""
         return [
             entry
@@ -185,12 +185,12 @@
             if is_match and not self._evacuations.is_evacuated(entry.failure_domain):
                 yield entry
 
-    def cold_ms(self, upstream: UpstreamId) -> int:
+    def warmup_ms(self, upstream: UpstreamId) -> int:
         """Return the remaining warm-up time that an upstream reports, in milliseconds."""
         record = self._records.get(upstream)
-        return 0 if record is None else max(record.cold_until - self._clock.now(), 0)
+        return 0 if record is None else max(record.warmup_until - self._clock.now(), 0)
 
-    def taken_back_ms(self, upstream: UpstreamId) -> int | None:
+    def since_evacuation_ms(self, upstream: UpstreamId) -> int | None:
         """Return the time since the evacuation of an upstream's failure domain ended.
 
         :param upstream: The upstream.
@@ -202,22 +202,22 @@
             None if record is None else self._evacuations.ms_since_end(record.entry.failure_domain)
         )
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Apply a full read of the store."""
-        present = {self._name_of(entry.key) for entry in found.entries}
-        for entry in found.entries:
+        present = {self._parse_upstream_name(entry.key) for entry in snapshot.entries}
+        for entry in snapshot.entries:
             self._handle_entry(entry)
-        self._note_missing(self._current.keys() - present, found.revision)
+        self._record_missing(self._current.keys() - present, snapshot.revision)
         self._has_read = True
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Apply changes that a watch of the store reports."""
         for entry in batch.entries:
             self._handle_entry(entry)
-        deleted = {self._name_of(key) for key in batch.deleted}
+        deleted = {self._parse_upstream_name(key) for key in batch.deleted}
         for name in deleted & self._current.keys():
             self._written_revisions[name] = batch.revision
-        self._note_missing(deleted, batch.revision)
+        self._record_missing(deleted, batch.revision)
 
     def on_reachability_changed(self, *, reachable: bool) -> None:
         """Record whether the store is reachable; entries may have expired during an outage."""
@@ -245,7 +245,7 @@
     def _handle_entry(self, stored: StoreEntry) -> None:
         decoded = self._decode(stored.key, stored.value)
         if isinstance(decoded, Failure):
-            name = self._name_of(stored.key)
+            name = self._parse_upstream_name(stored.key)
             if name in self._current:
                 self._written_revisions[name] = stored.mod_revision
             self._reject(name, stored.mod_revision, decoded.failure())
@@ -259,7 +259,7 @@
             self._apply(entry, revision)
         elif entry.started_ms == 0:
             previous = record.entry.upstream
-            self._reject(entry.name, revision, f"It tells no start, as {previous} did before.")
+            self._reject(entry.name, revision, f"It has no start time; that of {previous} had one.")
         else:
             self._defer(entry, revision, record.entry)
 
@@ -273,10 +273,10 @@
         else:
             self._update(record, entry, revision)
         if entry.state is UpstreamState.LEAVING:
-            self._gate.note_leaving(upstream=entry.upstream, incarnation=revision)
+            self._gate.record_leaving(upstream=entry.upstream, incarnation=revision)
         else:
             # A rewritten entry reopens the upstream, whatever was reported before.
-            self._gate.note_incarnation(upstream=entry.upstream, incarnation=revision)
+            self._gate.record_incarnation(upstream=entry.upstream, incarnation=revision)
         self._changes.on_next(entry.upstream)
 
     def _update(
@@ -284,14 +284,14 @@
     ) -> None:
         """Update a record; reading the same revision again does not restart the warm-up time."""
         if revision != record.revision:
-            record.cold_until = self._compute_cold_until(entry)
+            record.warmup_until = self._compute_warmup_until(entry)
         record.revision = revision
         record.entry = entry
         record.missing_since = None
         record.is_readable = True
 
-    def _compute_cold_until(self, entry: UpstreamEntry) -> Millis:
-        return Millis(self._clock.now() + entry.cold_ms)
+    def _compute_warmup_until(self, entry: UpstreamEntry) -> Millis:
+        return Millis(self._clock.now() + entry.warmup_ms)
 
     def _get_current(self, name: UpstreamName) -> _UpstreamRecord | None:
         upstream = self._current.get(name)
@@ -299,7 +299,7 @@
 
     def _add(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
         self._records[entry.upstream] = _UpstreamRecord(
-            entry=entry, revision=revision, cold_until=self._compute_cold_until(entry)
+            entry=entry, revision=revision, warmup_until=self._compute_warmup_until(entry)
         )
         self._current[entry.name] = entry.upstream
         _log.info(
@@ -312,23 +312,23 @@
         )
 
     def _retire(self, record: _UpstreamRecord, revision: StoreRevision) -> None:
-        """Mark an earlier start as gone; the restarted upstream runs none of its requests."""
+        """Mark an earlier incarnation as gone; the restarted upstream runs none of its requests."""
         _log.info("Upstream restarted.", upstream=record.entry.upstream, revision=revision)
         record.missing_since = self._clock.now()
         self._mark_gone(record.entry.upstream, revision)
         self._replaced.on_next(record.entry)
 
     def _defer(self, entry: UpstreamEntry, revision: StoreRevision, newer: UpstreamEntry) -> None:
-        """Ignore the entry of an earlier start for now; apply it later if nothing overwrites it."""
+        """Ignore an entry of an earlier incarnation for now; apply it later if still unchanged."""
         _log.info(
-            "Deferred an entry of an earlier start of an upstream.",
+            "Deferred an entry of an earlier incarnation of an upstream.",
             upstream=entry.upstream,
             newer=newer.upstream,
             revision=revision,
         )
         loop = asyncio.get_running_loop()
         loop.call_later(
-            OLDER_START_DELAY_MS / MS_PER_SECOND, self._apply_if_unchanged, entry, revision
+            OLDER_INCARNATION_DELAY_MS / MS_PER_SECOND, self._apply_if_unchanged, entry, revision
         )
 
     def _apply_if_unchanged(self, entry: UpstreamEntry, revision: StoreRevision) -> None:
@@ -347,7 +347,7 @@
             record.missing_since = self._clock.now()
             self._mark_gone_later(record, revision, UNREADABLE_GRACE_MS)
 
-    def _note_missing(self, names: Set[UpstreamName], revision: StoreRevision) -> None:
+    def _record_missing(self, names: Set[UpstreamName], revision: StoreRevision) -> None:
         now = self._clock.now()
         missing = [
             record
@@ -398,7 +398,7 @@
         if record is None or record.missing_since is None:
             return
         # The upstream may still serve for a short time, so it is treated as leaving.
-        self._gate.note_leaving(upstream=upstream, incarnation=revision)
+        self._gate.record_leaving(upstream=upstream, incarnation=revision)
         self._changes.on_next(upstream)
         loop = asyncio.get_running_loop()
         loop.call_later(GONE_RETENTION_MS / MS_PER_SECOND, self._delete_if_gone, upstream)
--- a/src/tanagerscale/platform/__main__.py
+++ b/src/tanagerscale/platform/__main__.py
@@ -58,7 +58,7 @@
     if isinstance(result, Failure):
         for error in result.failure():
             _log.error(
-                "The changed settings are invalid; the previous ones remain active.",
+                "The changed settings are invalid; the previous ones stay in force.",
                 detail=str(error),
             )
         return
--- a/src/tanagerscale/platform/_configuration.py
+++ b/src/tanagerscale/platform/_configuration.py
@@ -46,7 +46,7 @@
 _decoder = msgspec.json.Decoder(WireConfiguration)
 
 
-def evacuated_domain(key: str) -> FailureDomainId | None:
+def parse_evacuated_domain(key: str) -> FailureDomainId | None:
     """Return the failure domain that a key evacuates while it exists, regardless of its value.
 
     :param key: A key of the store.
@@ -115,14 +115,14 @@
         health_path=wire.health_path,
         max_connections=wire.max_connections,
         engine=None if wire.engine is None else _to_capabilities(wire.engine),
-        cold_ms=int(wire.cold_start_s * MS_PER_SECOND),
-        cold_per_s=wire.cold_per_s,
+        warmup_ms=int(wire.cold_start_s * MS_PER_SECOND),
+        warmup_requests_per_s=wire.cold_per_s,
     )
 
 
 def _to_capabilities(wire: WireEngine) -> EngineCapabilities:
     return EngineCapabilities(
-        batch=wire.slots,
+        max_batch=wire.slots,
         memory_tokens=wire.kv_cache_tokens,
         token_bytes=int(wire.kv_token_bytes),
         link_mbps=wire.link_mbps,
--- a/src/tanagerscale/platform/_engines.py
+++ b/src/tanagerscale/platform/_engines.py
@@ -165,9 +165,9 @@
         )
 
     async def _receive_matching(self, connection: HttpConnection, request_id: str) -> ResponseHead:
-        """Receive the reply to a request.
+        """Receive the response to a request.
 
-        Late and duplicate replies to earlier requests on the same connection are skipped.
+        Late and duplicate responses to earlier requests on the same connection are skipped.
         """
         for _ in range(MAX_STRAY_REPLIES):
             reply = await connection.receive()
@@ -179,7 +179,7 @@
     async def copy(
         self, *, source: UpstreamEntry, request: RequestId, target: UpstreamEntry, stop: bool
     ) -> Result[RunCopy, CopyError]:
-        """Copy the parts of a run's memory that are new since the last copy to another engine."""
+        """Copy the part of a run's KV cache that the target engine does not have yet."""
         order = WireMove(id=request, to=target.address, last=stop)
         body = msgspec.json.encode(order)
         try:
@@ -193,7 +193,7 @@
         return Failure(
             CopyError(
                 failure=_COPY_FAILURES.get(status, CopyFailure.LOST),
-                detail=f"the engine answered {status}",
+                detail=f"the engine responded with status {status}",
                 retained_copy=moved.handle or None,
             )
         )
@@ -204,11 +204,11 @@
             status, content = await self._call("GET", upstream.address, "/v1/report", b"")
             report = msgspec.json.decode(content, type=WireReport)
         except (ExchangeError, TimeoutError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            return Failure(f"No report came ({type(error).__name__}); ask again later.")
+            return Failure(f"The engine sent no report ({type(error).__name__}); try again later.")
         if status != HTTP_OK:
-            return Failure(f"The engine answered {status}; ask again later.")
+            return Failure(f"The engine responded with status {status}; try again later.")
         if _is_other_incarnation(upstream, report):
-            return Failure("Another start of the engine answered; ask by its newest entry.")
+            return Failure("Another incarnation of the engine answered; use its newest entry.")
         return _to_report(upstream, report)
 
     def forget(self, *, upstream: UpstreamEntry) -> None:
@@ -225,7 +225,7 @@
             )
 
     async def _call(self, method: str, address: str, target: str, body: bytes) -> tuple[int, bytes]:
-        """Make one control call to an engine and return the status and body of its reply."""
+        """Make one control call to an engine and return the status and body of its response."""
         lines = [f"{method} {target} HTTP/1.1", f"Host: {address}"]
         if method == "POST":
             lines += ["Content-Type: application/json", f"Content-Length: {len(body)}"]
@@ -262,7 +262,7 @@
             for run in wire.runs
         )
     except (IndexError, TypeError, ValueError) as error:
-        return Failure(f"The report's runs can't be read ({error}); ask again later.")
+        return Failure(f"The report's runs can't be decoded ({error}); try again later.")
     return Success(
         EngineReport(
             upstream=upstream.upstream,
@@ -277,28 +277,28 @@
     )
 
 
-def _encode_head(order: UpstreamRequest) -> bytes:
-    request = order.request
+def _encode_head(upstream_request: UpstreamRequest) -> bytes:
+    request = upstream_request.request
     lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {request.host}"]
     lines += [f"{name}: {value}" for name, value in request.headers]
-    lines += [f"{name}: {value}" for name, value in _gateway_fields(order)]
+    lines += [f"{name}: {value}" for name, value in _gateway_fields(upstream_request)]
     if request.body or request.method not in ("GET", "HEAD"):
         lines.append(f"Content-Length: {len(request.body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("utf-8", "surrogateescape")
 
 
-def _gateway_fields(order: UpstreamRequest) -> list[Header]:
-    fields: list[Header] = [(EXPECTED_UPSTREAM, order.upstream.name)]
-    if order.time_left_ms is not None:
-        fields.append((TIME_LEFT, str(order.time_left_ms)))
-    if order.account is not None:
-        fields.append((ACCOUNT, order.account))
-    if order.priority is not None:
-        fields.append((PRIORITY, str(order.priority)))
-    if order.continuation is not None:
-        origin = order.continuation
+def _gateway_fields(upstream_request: UpstreamRequest) -> list[Header]:
+    fields: list[Header] = [(EXPECTED_UPSTREAM, upstream_request.upstream.name)]
+    if upstream_request.time_left_ms is not None:
+        fields.append((TIME_LEFT, str(upstream_request.time_left_ms)))
+    if upstream_request.account is not None:
+        fields.append((ACCOUNT, upstream_request.account))
+    if upstream_request.priority is not None:
+        fields.append((PRIORITY, str(upstream_request.priority)))
+    if upstream_request.continuation is not None:
+        origin = upstream_request.continuation
         fields.append((CONTINUE_FROM, f"{origin.holder}/{origin.copy}"))
         fields.append((LAST_EVENT, str(origin.after_event)))
-    elif order.request.resume_after:
-        fields.append((LAST_EVENT, order.request.resume_after))
+    elif upstream_request.request.resume_after:
+        fields.append((LAST_EVENT, upstream_request.request.resume_after))
     return fields
--- a/src/tanagerscale/platform/_factory.py
+++ b/src/tanagerscale/platform/_factory.py
@@ -11,11 +11,11 @@
 from tanagerscale.platform._configuration import CONFIGURATION_KEY
 from tanagerscale.platform._configuration import OPERATOR_PREFIX
 from tanagerscale.platform._configuration import decode_configuration
-from tanagerscale.platform._configuration import evacuated_domain
+from tanagerscale.platform._configuration import parse_evacuated_domain
 from tanagerscale.platform._engines import PlatformUpstreams
 from tanagerscale.platform._registry import REGISTRY_PREFIX
 from tanagerscale.platform._registry import decode_entry
-from tanagerscale.platform._registry import name_of
+from tanagerscale.platform._registry import parse_upstream_name
 from tanagerscale.platform._store import PlatformStore
 from tanagerscale.upstreams import DEAD_PEER_TIMEOUT_S
 from tanagerscale.upstreams import ConnectionPool
@@ -30,7 +30,7 @@
 
 STORE_SILENCE_TIMEOUT_S: Final = 3
 """Time within which TCP probes detect a silent connection to the store; a probe costs no call.
-A configuration must be active two seconds after that."""
+A configuration must be in force two seconds after that."""
 
 
 def make_platform(*, settings: GatewaySettings, clock: Clock) -> Platform:
@@ -61,10 +61,10 @@
         operator_prefix=OPERATOR_PREFIX,
         configuration_key=CONFIGURATION_KEY,
         decode_configuration=decode_configuration,
-        evacuated_domain=evacuated_domain,
+        parse_evacuated_domain=parse_evacuated_domain,
         registry_prefix=REGISTRY_PREFIX,
         decode_entry=decode_entry,
-        name_of=name_of,
+        parse_upstream_name=parse_upstream_name,
         callers=PlatformCallers(),
         close=close,
     )
--- a/src/tanagerscale/platform/_registry.py
+++ b/src/tanagerscale/platform/_registry.py
@@ -32,7 +32,7 @@
 _decoder = msgspec.json.Decoder(WireServer)
 
 
-def name_of(key: str) -> UpstreamName:
+def parse_upstream_name(key: str) -> UpstreamName:
     """Return the name of the upstream that registers under a key; the entry does not contain it."""
     return UpstreamName(key.removeprefix(REGISTRY_PREFIX))
 
@@ -53,9 +53,9 @@
         wire = _decoder.decode(value)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return _reject(str(error))
-    name = name_of(key)
+    name = parse_upstream_name(key)
     if not _NAME.fullmatch(name):
-        return _reject("its name can't be sent")
+        return _reject("its name contains characters that are not allowed in a header field")
     if wire.state not in _STATES:
         return _reject(f"state {wire.state[:20]!r} is unknown")
     if problem := check_address(address=wire.address):
@@ -71,10 +71,10 @@
             failure_domain=FailureDomainId(wire.zone),
             max_concurrency=wire.slots,
             state=_STATES[wire.state],
-            cold_ms=int(wire.cold_remaining_ms),
+            warmup_ms=int(wire.cold_remaining_ms),
         )
     )
 
 
 def _reject(cause: str) -> Result[UpstreamEntry, str]:
-    return Failure(f"The entry can't be read ({cause}); the upstream is left out.")
+    return Failure(f"The entry can't be decoded ({cause}); the upstream is left out.")
--- a/src/tanagerscale/platform/_store.py
+++ b/src/tanagerscale/platform/_store.py
@@ -191,7 +191,7 @@
         body: Mapping[str, Any] | None = None,
         timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> Result[tuple[int, bytes], StoreError]:
-        """Make one call and return the status and body of the reply."""
+        """Make one call and return the status and body of the response."""
         self.calls += 1
         target = f"{path}?{urlencode(query)}" if query else path
         content = b"" if body is None else msgspec.json.encode(body)
@@ -230,7 +230,7 @@
     if status in (HTTP_OK, HTTP_NOT_FOUND, HTTP_PRECONDITION_FAILED):
         return Success((status, body))
     if status == HTTP_GONE:
-        detail = "The history asked for is gone; read the present state and watch from there."
+        detail = "The start revision was compacted; read the current state and watch from there."
         return Failure(StoreError(kind=StoreErrorKind.COMPACTED, detail=detail))
     if status == HTTP_TOO_MANY_REQUESTS:
         detail = "The store refuses calls for now; call it less often."
--- a/src/tanagerscale/policy/__init__.py
+++ b/src/tanagerscale/policy/__init__.py
@@ -26,9 +26,9 @@
 from tanagerscale.policy._placement import MAX_COPY_MEMORY_RATIO
 from tanagerscale.policy._placement import MAX_SPARE_COPY_MEMORY_RATIO
 from tanagerscale.policy._placement import EngineView
-from tanagerscale.policy._placement import Placement
+from tanagerscale.policy._placement import PlacementDecision
 from tanagerscale.policy._placement import PlacementQuery
-from tanagerscale.policy._placement import Verdict
+from tanagerscale.policy._placement import PlacementVerdict
 from tanagerscale.policy._placement import has_capacity
 from tanagerscale.policy._placement import has_capacity_for_copy
 from tanagerscale.policy._placement import has_capacity_without_eviction
@@ -71,14 +71,14 @@
     "MovableRun",
     "Move",
     "MoveSnapshot",
-    "Placement",
+    "PlacementDecision",
     "PlacementQuery",
     "PlacementRequest",
+    "PlacementVerdict",
     "RetryBudget",
     "Scheduler",
     "Tally",
     "Tuning",
-    "Verdict",
     "copies_to_evict",
     "copy_sort_key",
     "estimate_copy_ms",
--- a/src/tanagerscale/policy/_forecast.py
+++ b/src/tanagerscale/policy/_forecast.py
@@ -188,7 +188,7 @@
         """Record that a generation left its engine; only complete answers count as lengths."""
         ledger = self._ledger_by_generation.pop(generation, None)
         if ledger is None:
-            # It may have ended before the decision to move it was carried out.
+            # It may have ended before the decision to move it was executed.
             self._queue.remove(generation)
             return
         running = ledger.remove(generation)
--- a/src/tanagerscale/policy/_placement.py
+++ b/src/tanagerscale/policy/_placement.py
@@ -113,7 +113,7 @@
 
 
 @unique
-class Verdict(Enum):
+class PlacementVerdict(Enum):
     """Outcome of a placement decision."""
 
     SEND = "send"
@@ -146,7 +146,7 @@
         )
 
 
-class Placement(Struct, frozen=True, kw_only=True):
+class PlacementDecision(Struct, frozen=True, kw_only=True):
     """Placement decision and the state it is based on.
 
     :param verdict: What to do with the generation.
@@ -156,7 +156,7 @@
     :param views: Engines that were considered; empty when the generation is sent.
     """
 
-    verdict: Verdict
+    verdict: PlacementVerdict
     engine: EngineView | None = None
     wait_ms: float = 0.0
     reason: str = ""
@@ -262,7 +262,7 @@
     reserved_tokens: int = 0,
     failure_domain: FailureDomainId,
     rng: Random,
-) -> Placement:
+) -> PlacementDecision:
     """Decide whether a generation is sent to an engine, waits or is refused.
 
     :param query: Requirements of the generation.
@@ -290,9 +290,15 @@
     unqueued_ms = query.prompt_tokens / PREFILL_TOKENS_PER_MS
     if wait_ms > query.left_ms > unqueued_ms:
         return _wait_or_refuse(query, views, "prompts that wait would make it late")
-    return Placement(verdict=Verdict.SEND, engine=selected, wait_ms=wait_ms, reason="room")
+    return PlacementDecision(
+        verdict=PlacementVerdict.SEND, engine=selected, wait_ms=wait_ms, reason="room"
+    )
 
 
-def _wait_or_refuse(query: PlacementQuery, views: Sequence[EngineView], reason: str) -> Placement:
-    verdict = Verdict.WAIT if query.left_ms + query.patience_ms > 0 else Verdict.REFUSE
-    return Placement(verdict=verdict, reason=reason, views=views)
+def _wait_or_refuse(
+    query: PlacementQuery, views: Sequence[EngineView], reason: str
+) -> PlacementDecision:
+    verdict = (
+        PlacementVerdict.WAIT if query.left_ms + query.patience_ms > 0 else PlacementVerdict.REFUSE
+    )
+    return PlacementDecision(verdict=verdict, reason=reason, views=views)
--- a/src/tanagerscale/policy/_types.py
+++ b/src/tanagerscale/policy/_types.py
@@ -1,7 +1,7 @@
 """Input and output types of schedulers, without I/O.
 
 A scheduler holds the queue and the ledgers of one pool of engines. The daemon and the replay use it
-in the same way: they report events, then call ``decide`` and carry out the decisions it returns.
+in the same way: they report events, then call ``decide`` and execute the decisions it returns.
 All times are milliseconds of one monotonic clock, passed in with each call.
 """
 
--- a/src/tanagerscale/quarantine/_quarantine.py
+++ b/src/tanagerscale/quarantine/_quarantine.py
@@ -348,7 +348,7 @@
         if suspicion is None:
             return
         self._stop_copies(fingerprint, suspicion)
-        # Peers do not know about a run that began before the request became a suspect.
+        # Peers have no record of a run that began before the request became a suspect.
         if previous is None and self._runs.find_local_run(fingerprint=fingerprint) is not None:
             self._announce(fingerprint)
         # Crashes reported by two different peers may lead to a conviction on this host first.
--- a/src/tanagerscale/quarantine/_suspects.py
+++ b/src/tanagerscale/quarantine/_suspects.py
@@ -2,9 +2,9 @@
 
 It protects against a request that crashes every upstream that starts to run it, and that its
 caller repeats on any host. An upstream that has crashed never answers under its id again. A
-request whose answer broke off at an upstream that has not answered since may therefore have
+request whose response broke off at an upstream that has not answered since may therefore have
 crashed it, and is refused once this holds for three upstreams. Harmless requests that ran on the
-same upstreams are cleared by any complete answer to them.
+same upstreams are cleared by any complete response to them.
 """
 
 from __future__ import annotations
@@ -52,12 +52,12 @@
         self._crashes: OrderedDict[Fingerprint, set[UpstreamId]] = OrderedDict()
         self._last_crash: dict[Fingerprint, Millis] = {}
         self._suspects_by_upstream: dict[UpstreamId, set[Fingerprint]] = {}
-        self._news: Subject[Suspect] = Subject()
+        self._suspect_updates: Subject[Suspect] = Subject()
 
     @property
-    def news(self) -> Observable[Suspect]:
+    def suspect_updates(self) -> Observable[Suspect]:
         """Emits the messages to send to the peers."""
-        return self._news
+        return self._suspect_updates
 
     @property
     def suspect_count(self) -> int:
@@ -71,20 +71,20 @@
             return False
         return self._clock.now() - self._last_crash[fingerprint] < SUSPICION_TTL_MS
 
-    def note_broken(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Record that the answer to a request broke off unexpectedly."""
+    def record_broken_response(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+        """Record that the response to a request broke off unexpectedly."""
         self._add_crash(fingerprint, upstream)
         self._publish(Evidence.BROKEN, upstream, fingerprint)
 
-    def note_whole(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
-        """Record a complete answer, which clears the request and shows that the upstream runs."""
-        self.note_alive(upstream=upstream)
+    def record_complete_response(self, *, fingerprint: Fingerprint, upstream: UpstreamId) -> None:
+        """Record a complete response, which clears the request and shows that the upstream runs."""
+        self.record_alive(upstream=upstream)
         if fingerprint in self._crashes:
             self._remove_suspect(fingerprint)
             self._publish(Evidence.WHOLE, upstream, fingerprint)
 
-    def note_alive(self, *, upstream: UpstreamId) -> None:
-        """Record any answer of an upstream, which shows that no request has crashed it."""
+    def record_alive(self, *, upstream: UpstreamId) -> None:
+        """Record any response of an upstream, which shows that no request has crashed it."""
         if upstream in self._suspects_by_upstream:
             self._withdraw_crash(upstream)
             self._publish(Evidence.ALIVE, upstream)
@@ -116,7 +116,9 @@
     def _publish(
         self, evidence: Evidence, upstream: UpstreamId, fingerprint: Fingerprint = NO_FINGERPRINT
     ) -> None:
-        self._news.on_next(Suspect(upstream=upstream, evidence=evidence, fingerprint=fingerprint))
+        self._suspect_updates.on_next(
+            Suspect(upstream=upstream, evidence=evidence, fingerprint=fingerprint)
+        )
 
     def _withdraw_crash(self, upstream: UpstreamId) -> None:
         for fingerprint in self._suspects_by_upstream.pop(upstream, ()):
--- a/src/tanagerscale/replay/_report.py
+++ b/src/tanagerscale/replay/_report.py
@@ -67,7 +67,7 @@
     least: float | None = None
 
     def is_met(self, report: ReplayReport) -> bool:
-        """Return whether the measure in a report is within the bounds."""
+        """Return whether the measure in a report is within the expected range."""
         value = float(getattr(report.summary, self.measure))
         above = self.most is not None and value > self.most
         below = self.least is not None and value < self.least
--- a/src/tanagerscale/routes/_regions.py
+++ b/src/tanagerscale/routes/_regions.py
@@ -24,7 +24,9 @@
     def __init__(self, *, regions: Mapping[FailureDomainId, RegionId]) -> None:
         self._regions = dict(regions)
 
-    def domains(self, *, route: Route, caller: Caller) -> frozenset[FailureDomainId] | None:
+    def get_failure_domains(
+        self, *, route: Route, caller: Caller
+    ) -> frozenset[FailureDomainId] | None:
         """Return the failure domains in which a request may run.
 
         If both its route and its account name regions, only the regions named by both are allowed.
--- a/src/tanagerscale/routes/_types.py
+++ b/src/tanagerscale/routes/_types.py
@@ -77,7 +77,7 @@
 class EngineCapabilities(Struct, frozen=True, kw_only=True):
     """Capacity and features of the engines of a language model service.
 
-    :param batch: Maximum number of generations that an engine decodes together.
+    :param max_batch: Maximum number of generations that an engine decodes together.
     :param memory_tokens: Capacity of one engine's key-value cache in tokens.
     :param token_bytes: Bytes of key-value cache per token.
     :param link_mbps: Bandwidth at which engines copy cache contents to each other.
@@ -89,7 +89,7 @@
     :param models: Models that the engines serve.
     """
 
-    batch: int
+    max_batch: int
     memory_tokens: int
     token_bytes: int
     link_mbps: float
@@ -108,17 +108,17 @@
     :param health_path: Path of the health check of an upstream.
     :param max_connections: Connections that one upstream accepts from all hosts together.
     :param engine: Capabilities of its engines, or ``None`` if it runs no language model.
-    :param cold_ms: How long an upstream warms up after its start.
-    :param cold_per_s: Requests per second that one upstream can handle until it is warm; 0 means no
-        limit.
+    :param warmup_ms: How long an upstream warms up after its start.
+    :param warmup_requests_per_s: Requests per second that one upstream can handle until it is warm;
+        0 means no limit.
     """
 
     name: ServiceId
     health_path: str
     max_connections: int
     engine: EngineCapabilities | None
-    cold_ms: int = 0
-    cold_per_s: float = 0.0
+    warmup_ms: int = 0
+    warmup_requests_per_s: float = 0.0
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
--- a/src/tanagerscale/routing/_owned_cells.py
+++ b/src/tanagerscale/routing/_owned_cells.py
@@ -40,7 +40,7 @@
     :param gate: Records which engines are reachable.
     :param clock: Clock of this host.
     :param send: Sends a message to an entry host.
-    :param engine_clients: Returns the client that polls an engine; ``None`` disables polling.
+    :param get_client: Returns the client that polls an engine; ``None`` disables polling.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         gate: UpstreamAvailability,
         clock: Clock,
         send: Callable[[HostId, Grant | RunningRequest], None],
-        engine_clients: Callable[[UpstreamId], EngineClient] | None,
+        get_client: Callable[[UpstreamId], EngineClient] | None,
     ) -> None:
         self._ownership = ownership
         self._cell_owners = CellOwners(
@@ -63,7 +63,7 @@
             send=send,
         )
         self._pollers = EnginePollers(
-            get_client=engine_clients, clock=clock, gate=gate, get_owner=self._get_owner_of_engine
+            get_client=get_client, clock=clock, gate=gate, get_owner=self._get_owner_of_engine
         )
 
     @property
--- a/src/tanagerscale/routing/_owner.py
+++ b/src/tanagerscale/routing/_owner.py
@@ -43,14 +43,14 @@
 
     :param host: Entry host of the request.
     :param ask: Message that describes the request.
-    :param last_heard: When the entry host last mentioned the placement.
+    :param renewed_at: When the entry host last renewed the reservation.
     :param engine: Engine that the request is placed on; ``None`` while it waits.
     :param tokens: Number of tokens generated so far.
     """
 
     host: HostId
     ask: Ask
-    last_heard: Millis
+    renewed_at: Millis
     engine: UpstreamId | None = None
     tokens: int = 0
 
@@ -126,7 +126,7 @@
         if reservation is None or reservation.host != host or reservation.ask.serial != ask.serial:
             self._submit(host=host, ask=ask)
             return
-        reservation.last_heard = self._clock.now()
+        reservation.renewed_at = self._clock.now()
         if reservation.engine is None:
             self._unanswered.add(GenerationId(ask.generation))
             self.schedule_decision()
@@ -142,7 +142,7 @@
             if reservation.host == host and reservation.ask.serial > ask.serial:
                 return
             if reservation.host == host and reservation.engine == running.upstream:
-                reservation.last_heard = self._clock.now()
+                reservation.renewed_at = self._clock.now()
                 return
             self._release(generation, tokens=reservation.tokens, complete=False)
         engine = UpstreamId(running.upstream)
@@ -164,7 +164,7 @@
                 unknown.append(serial)
                 continue
             reservation = self._reservations[generation]
-            reservation.last_heard = now
+            reservation.renewed_at = now
             if reservation.engine is not None and tokens > reservation.tokens:
                 reservation.tokens = tokens
                 self._scheduler.on_progress(generation=generation, tokens=tokens, now=now)
@@ -204,12 +204,12 @@
         if now - self._last_tick > _PAUSE_THRESHOLD_MS:
             # This process was paused, so missing messages do not mean that entry hosts are gone.
             for reservation in self._reservations.values():
-                reservation.last_heard = now
+                reservation.renewed_at = now
         self._last_tick = now
         expired = [
             generation
             for generation, reservation in self._reservations.items()
-            if now - reservation.last_heard > RESERVATION_LEASE_MS
+            if now - reservation.renewed_at > RESERVATION_LEASE_MS
         ]
         for generation in expired:
             self._release(generation, tokens=self._reservations[generation].tokens, complete=False)
@@ -240,7 +240,7 @@
         self, *, host: HostId, ask: Ask, engine: UpstreamId | None, tokens: int
     ) -> None:
         reservation = _Reservation(
-            host=host, ask=ask, last_heard=self._clock.now(), engine=engine, tokens=tokens
+            host=host, ask=ask, renewed_at=self._clock.now(), engine=engine, tokens=tokens
         )
         self._reservations[GenerationId(ask.generation)] = reservation
         self._by_serial[(host, ask.serial)] = GenerationId(ask.generation)
--- a/src/tanagerscale/routing/_ownership.py
+++ b/src/tanagerscale/routing/_ownership.py
@@ -83,7 +83,7 @@
         return True
 
     def set_leaving(self, *, leaving: bool) -> None:
-        """Record whether this host is in a planned stop."""
+        """Record whether this host is shutting down gracefully."""
         self._leaving = leaving
         self._update_candidates()
 
--- a/src/tanagerscale/routing/_poller.py
+++ b/src/tanagerscale/routing/_poller.py
@@ -89,9 +89,9 @@
             await self._clock.sleep(POLL_INTERVAL_MS)
 
     def _on_load(self, engine: UpstreamId, report: LoadReport) -> None:
-        self._gate.note_up(upstream=engine)
+        self._gate.record_success(upstream=engine)
         if report.leaving:
-            self._gate.note_leaving(upstream=engine)
+            self._gate.record_leaving(upstream=engine)
         owner = self._get_owner(engine)
         if owner is None:
             return
@@ -120,7 +120,7 @@
 
     def _on_failure(self, engine: UpstreamId, error: UpstreamError, *, failures: int) -> None:
         if error.kind is UpstreamErrorKind.NOT_SENT:
-            self._gate.note_down(upstream=engine)
+            self._gate.record_failure(upstream=engine)
         if failures != _LOST_AFTER_FAILURES or error.kind is not UpstreamErrorKind.NOT_SENT:
             return
         log.warning("Engine lost.", engine=engine, cause=error.detail)
--- a/src/tanagerscale/routing/_protocol.py
+++ b/src/tanagerscale/routing/_protocol.py
@@ -125,11 +125,11 @@
     def is_open(self, upstream: UpstreamId) -> bool:
         """Return whether an upstream accepts new work."""
 
-    def note_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
+    def record_leaving(self, *, upstream: UpstreamId, incarnation: int | None = None) -> None:
         """Record that an upstream is leaving and accepts no new work."""
 
-    def note_down(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream is unreachable."""
 
-    def note_up(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Record that an upstream has answered."""
--- a/src/tanagerscale/routing/_router.py
+++ b/src/tanagerscale/routing/_router.py
@@ -67,7 +67,7 @@
     :param make_scheduler: Creates the scheduler of one cell.
     :param clock: Clock of this host.
     :param rng: Random number generator used to select among cells.
-    :param engine_clients: Returns the client with which an owner polls an engine; ``None``
+    :param get_client: Returns the client with which an owner polls an engine; ``None``
         disables polling.
     :param observe_length: Called with the length of each complete answer that another host placed,
         so that this host can predict lengths when it becomes an owner; its own schedulers observe
@@ -82,7 +82,7 @@
         make_scheduler: Callable[[], PoolScheduler],
         clock: Clock,
         rng: Random,
-        engine_clients: Callable[[UpstreamId], EngineClient] | None = None,
+        get_client: Callable[[UpstreamId], EngineClient] | None = None,
         observe_length: Callable[[PlacementRequest, int], None] = lambda _request, _tokens: None,
     ) -> None:
         self._network = network
@@ -99,7 +99,7 @@
             gate=gate,
             clock=clock,
             send=self._send,
-            engine_clients=engine_clients,
+            get_client=get_client,
         )
         self._fallbacks = CellOwners(
             make_scheduler=make_scheduler,
--- a/src/tanagerscale/services/__init__.py
+++ b/src/tanagerscale/services/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tanagerscale.services._dispatch import ServiceDependencies
+from tanagerscale.services._dispatch import ServiceContext
 from tanagerscale.services._dispatch import ServiceDispatch
 from tanagerscale.services._dispatch import get_addresses
 
-__all__ = ["ServiceDependencies", "ServiceDispatch", "get_addresses"]
+__all__ = ["ServiceContext", "ServiceDispatch", "get_addresses"]
