--- a/src/tanagerscale/services/_dispatch.py
+++ b/src/tanagerscale/services/_dispatch.py
@@ -70,12 +70,12 @@
         """
 
 
-class ServiceDependencies(Struct, frozen=True, kw_only=True):
+class ServiceContext(Struct, frozen=True, kw_only=True):
     """Dependencies of the service dispatch of a host.
 
     :param client: Client that sends calls.
     :param claims: Claims for calls that are not idempotent.
-    :param notes: Receiver of the successes and failures of upstreams.
+    :param observer: Records successes and failures of upstreams.
     :param is_open: Returns whether an upstream accepts new calls.
     :param retries: Retry budget.
     :param clock: Clock that the deadlines of claims refer to.
@@ -85,7 +85,7 @@
 
     client: ServiceClient
     claims: Claims
-    notes: UpstreamObserver
+    observer: UpstreamObserver
     is_open: Callable[[UpstreamId], bool]
     retries: RetryLimiter
     clock: Clock
@@ -96,11 +96,11 @@
 class ServiceDispatch:
     """Dispatches calls to plain services.
 
-    :param dependencies: Dependencies of all calls.
+    :param context: Dependencies of all calls.
     """
 
-    def __init__(self, *, dependencies: ServiceDependencies) -> None:
-        self._dependencies = dependencies
+    def __init__(self, *, context: ServiceContext) -> None:
+        self._context = context
         self._running: Counter[str] = Counter()
         self._tasks: set[asyncio.Task[Result[ServiceResponse, Problem]]] = set()
 
@@ -114,7 +114,7 @@
         :param key: Idempotency key that the caller sent; empty if there is none.
         :param call: Call to send.
         """
-        self._dependencies.retries.on_request()
+        self._context.retries.on_request()
         if is_idempotent(service=service, call=call):
             return await self._call_idempotent(service, call)
         if key:
@@ -129,7 +129,7 @@
         tried_addresses: set[str] = set()
         may_have_run = False
         while len(tried_addresses) < MAX_ATTEMPTS:
-            if may_have_run and not self._dependencies.retries.try_spend():
+            if may_have_run and not self._context.retries.try_spend():
                 break
             address = self._select_address(service, tried_addresses)
             if address is None:
@@ -145,13 +145,13 @@
             if tried_addresses
             else _build_no_upstream_problem(service.name)
         )
-        return Failure(add_retry_jitter(problem=problem, rng=self._dependencies.rng))
+        return Failure(add_retry_jitter(problem=problem, rng=self._context.rng))
 
     async def _call_claimed(
         self, service: Service, account: ClientAccountId, key: str, call: ServiceCall
     ) -> Result[ServiceResponse, Problem]:
         claim_key = ClaimKey(account=account, service=ServiceId(service.name), idempotency_key=key)
-        claimed = await self._dependencies.claims.claim(
+        claimed = await self._context.claims.claim(
             key=claim_key, request_digest=_compute_digest(call), ttl_s=service.claim_ttl_s
         )
         match claimed:
@@ -183,9 +183,9 @@
         self, service: Service, call: ServiceCall, granted: Granted
     ) -> Result[ServiceResponse, Problem]:
         result = await self._send_once(
-            service, call, may_send=lambda: granted.may_dispatch(now=self._dependencies.clock.now())
+            service, call, may_send=lambda: granted.may_dispatch(now=self._context.clock.now())
         )
-        settled = self._dependencies.claims.settle(claim=granted, outcome=_to_outcome(result))
+        settled = self._context.claims.settle(claim=granted, outcome=_to_outcome(result))
         # Once the answer is recorded, a repeat gets it on any host. The wait is bounded, and the
         # write continues in the background, because a store outage must not delay the answer.
         await asyncio.wait({settled}, timeout=RECORD_TIMEOUT_MS / MS_PER_SECOND)
@@ -221,14 +221,14 @@
         upstream = UpstreamId(address)
         self._running[address] += 1
         try:
-            result = await self._dependencies.client.call(
+            result = await self._context.client.call(
                 address=address, call=call, timeout_ms=service.timeout_ms
             )
         finally:
             self._running[address] -= 1
         match result:
             case Success(_):
-                self._dependencies.notes.note_success(upstream=upstream)
+                self._context.observer.record_success(upstream=upstream)
             case Failure(error):
                 self._report_failure(upstream, error)
         return result
@@ -236,25 +236,23 @@
     def _report_failure(self, upstream: UpstreamId, error: UpstreamError) -> None:
         _log.info("Call to an upstream failed.", upstream=upstream, kind=error.kind.value)
         if error.refusal is None:
-            self._dependencies.notes.note_failure(upstream=upstream)
+            self._context.observer.record_failure(upstream=upstream)
         elif error.refusal.kind is RefusalKind.LEAVING:
-            self._dependencies.notes.note_leaving(upstream=upstream)
+            self._context.observer.record_leaving(upstream=upstream)
 
     def _build_single_dispatch_problem(self, error: UpstreamError) -> Problem:
         return add_retry_jitter(
-            problem=_build_single_dispatch_problem(error), rng=self._dependencies.rng
+            problem=_build_single_dispatch_problem(error), rng=self._context.rng
         )
 
     def _select_address(self, service: Service, tried_addresses: set[str]) -> str | None:
         addresses = [
             address for address in get_addresses(service=service) if address not in tried_addresses
         ]
-        addresses = [
-            address for address in addresses if self._dependencies.is_open(UpstreamId(address))
-        ]
+        addresses = [address for address in addresses if self._context.is_open(UpstreamId(address))]
         if not addresses:
             return None
-        rng = self._dependencies.rng
+        rng = self._context.rng
         return min(addresses, key=lambda address: (self._running[address], rng.random()))
 
 
--- a/src/tanagerscale/store/_gateway.py
+++ b/src/tanagerscale/store/_gateway.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the etcd v3 JSON gateway, with errors that tell whether a call was sent."""
+"""HTTP calls to the etcd v3 JSON gateway, with errors that show whether a call was sent."""
 
 from __future__ import annotations
 
@@ -206,7 +206,7 @@
     if code in NO_EFFECT_CODES:
         return StoreError(
             kind=StoreErrorKind.REFUSED,
-            detail=f"The store refused the call ({response.message!r}); mend what it names.",
+            detail=f"The store rejected the call ({response.message!r}); fix the named fault.",
         )
     return StoreError(
         kind=StoreErrorKind.UNCERTAIN,
@@ -219,7 +219,7 @@
     """Return the error for a watch whose start revision was compacted."""
     return StoreError(
         kind=StoreErrorKind.COMPACTED,
-        detail="The history asked for is gone; read the present state and watch from there.",
+        detail="The start revision was compacted; read the current state and watch from there.",
     )
 
 
--- a/src/tanagerscale/store/_protocol.py
+++ b/src/tanagerscale/store/_protocol.py
@@ -35,7 +35,7 @@
 class StoreError(Struct, frozen=True, kw_only=True):
     """Failure of a call to the store.
 
-    :param kind: Reason for the failure, which tells whether the call may have taken effect.
+    :param kind: Reason for the failure, which shows whether the call may have taken effect.
     :param detail: One sentence that states the failure and what to do about it.
     """
 
--- a/src/tanagerscale/store/_watch.py
+++ b/src/tanagerscale/store/_watch.py
@@ -182,5 +182,5 @@
 def _watch_ended_error() -> StoreError:
     return StoreError(
         kind=StoreErrorKind.UNCERTAIN,
-        detail="The watch ended or went silent; read the present state and watch again.",
+        detail="The watch ended or timed out; read the current state and watch again.",
     )
--- a/src/tanagerscale/upstreams/_entries.py
+++ b/src/tanagerscale/upstreams/_entries.py
@@ -22,11 +22,11 @@
 
 
 class UpstreamEntry(Struct, frozen=True, kw_only=True):
-    """One start of an upstream; each restart counts as a new upstream.
+    """One incarnation of an upstream; each restart counts as a new upstream.
 
-    :param upstream: Id of this start. It is never shared with another start, so that state recorded
-        for one start is not applied to another.
-    :param name: Name under which the upstream is registered; a later start may have the same name.
+    :param upstream: Id of this incarnation. No other incarnation shares it, so that state recorded
+        for one incarnation is not applied to another.
+    :param name: Name under which the upstream is registered; later incarnations may share it.
     :param started_ms: When it started, in milliseconds since 1970 by its own clock; 0 if it does
         not report that.
     :param service: Service that it provides.
@@ -34,7 +34,7 @@
     :param failure_domain: Failure domain in which it runs.
     :param max_concurrency: Number of requests that it processes at the same time.
     :param state: Whether it accepts new requests.
-    :param cold_ms: Remaining time for which it is slow after its start, in milliseconds.
+    :param warmup_ms: Remaining warm-up time, in milliseconds; until then it is slow.
     """
 
     upstream: UpstreamId
@@ -45,4 +45,4 @@
     failure_domain: FailureDomainId
     max_concurrency: int
     state: UpstreamState
-    cold_ms: int
+    warmup_ms: int
--- a/src/tanagerscale/upstreams/_http_engine.py
+++ b/src/tanagerscale/upstreams/_http_engine.py
@@ -137,7 +137,7 @@
                 events, pending = self._decode_events(pending + chunk)
                 detector.is_reading = False
                 yield Success(events)
-                detector.note_progress()
+                detector.record_progress()
             has_stall = detector.has_stalled
             kind = UpstreamErrorKind.STALLED if has_stall else UpstreamErrorKind.BROKEN
             yield Failure(_build_error(kind, "The reply ended."))
@@ -210,7 +210,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer = self._loop.call_later(interval_s, self._check)
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Record that data was received and that the next read has begun."""
         self._has_progressed = True
         self.is_reading = True
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -32,8 +32,8 @@
 from tanagerscale.forwarding import CopyError
 from tanagerscale.forwarding import CopyFailure
 from tanagerscale.forwarding import Demand
+from tanagerscale.forwarding import ForwardingContext
 from tanagerscale.forwarding import ForwardingMetrics
-from tanagerscale.forwarding import ForwardingParts
 from tanagerscale.forwarding import Header
 from tanagerscale.forwarding import LocalWorkload
 from tanagerscale.forwarding import Refusal
@@ -66,7 +66,7 @@
     header_bytes=16_384, body_bytes=100_000, header_timeout_ms=3000, idle_timeout_ms=15_000
 )
 ENGINE = EngineCapabilities(
-    batch=24,
+    max_batch=24,
     memory_tokens=34_000,
     token_bytes=163_840,
     link_mbps=24_000.0,
@@ -109,7 +109,7 @@
 
 
 def make_table(
-    *routes: Route, version: int = 1, cold_ms: int = 0, cold_per_s: float = 0.0
+    *routes: Route, version: int = 1, warmup_ms: int = 0, warmup_requests_per_s: float = 0.0
 ) -> RouteTable:
     """Return a route table without accounts."""
     service = Service(
@@ -117,8 +117,8 @@
         health_path="/health",
         max_connections=100,
         engine=ENGINE,
-        cold_ms=cold_ms,
-        cold_per_s=cold_per_s,
+        warmup_ms=warmup_ms,
+        warmup_requests_per_s=warmup_requests_per_s,
     )
     configuration = Configuration(
         version=Revision(version),
@@ -141,7 +141,7 @@
         failure_domain=FailureDomainId(domain),
         max_concurrency=24,
         state=UpstreamState.READY,
-        cold_ms=0,
+        warmup_ms=0,
     )
 
 
@@ -276,7 +276,7 @@
     takes_ms: int = 10
     on_stop: Callable[[str], None] | None = None
     leaves_in_ms: int | None = None
-    staying: set[str] = field(default_factory=set)
+    not_leaving: set[str] = field(default_factory=set)
     """Engines that report that they are not leaving."""
     reports: int = 0
 
@@ -297,7 +297,7 @@
     async def report(self, *, upstream: UpstreamEntry) -> Result[EngineReport, str]:
         """Report when the engine leaves, or fail if no departure is configured."""
         self.reports += 1
-        is_staying = upstream.upstream in self.staying
+        is_staying = upstream.upstream in self.not_leaving
         if self.leaves_in_ms is None and not is_staying:
             return Failure("No report; ask again later.")
         return Success(
@@ -339,11 +339,11 @@
         """Return an entry."""
         return next((entry for entry in self.entries if entry.upstream == upstream), None)
 
-    def cold_ms(self, upstream: UpstreamId) -> int:
+    def warmup_ms(self, upstream: UpstreamId) -> int:
         """Return the remaining warm-up time of an upstream."""
         return self.cold.get(upstream, 0)
 
-    def taken_back_ms(self, upstream: UpstreamId) -> int | None:
+    def since_evacuation_ms(self, upstream: UpstreamId) -> int | None:
         """Return the time since an evacuation ended."""
         return self.taken_back.get(upstream)
 
@@ -369,7 +369,7 @@
             for entry in self.entries
         )
 
-    def staying(self, service: ServiceId) -> list[UpstreamEntry]:
+    def not_leaving(self, service: ServiceId) -> list[UpstreamEntry]:
         """Return the same upstreams as ``open_for``."""
         return self.open_for(service)
 
@@ -381,22 +381,22 @@
         """Return whether an upstream was marked down."""
         return upstream in self.down
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Mark an upstream as leaving and notify the listener."""
         if upstream not in self.leaving:
             self.leaving.add(upstream)
             self.on_leaving(upstream)
 
-    def note_gone(self, *, upstream: UpstreamId) -> None:
+    def record_gone(self, *, upstream: UpstreamId) -> None:
         """Mark an upstream as gone."""
         self.gone.append(upstream)
         self.leaving.add(upstream)
 
-    def note_down(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Mark an upstream as down."""
         self.down.append(upstream)
 
-    def note_up(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Do nothing."""
 
 
@@ -427,7 +427,7 @@
         """Record the end."""
         self.ended = True
 
-    async def answer(
+    async def respond(
         self, *, status: int, reason: str, headers: Sequence[Header], body: bytes
     ) -> None:
         """Record a complete response."""
@@ -443,7 +443,7 @@
 
 
 @dataclass(slots=True)
-class FakeRetryBudget:
+class FakeRetryPermits:
     """Allows ``slack`` retries and one for every five requests."""
 
     slack: float
@@ -493,8 +493,8 @@
     upstreams: FakeUpstreams
     tables: FakeTables
     work: LocalWorkload
-    parts: ForwardingParts
-    permits: FakeWarmupPermits
+    context: ForwardingContext
+    warmup_permits: FakeWarmupPermits
     alone: SingleHost
 
     def totals(self) -> dict[UpstreamId, EngineTotal]:
@@ -516,8 +516,8 @@
     warmup = WarmupLimit(
         host=HOST, tables=tables, upstreams=upstreams, share=lambda: 1.0, clock=clock
     )
-    permits = FakeWarmupPermits(upstreams=upstreams, warmup=warmup)
-    parts = ForwardingParts(
+    warmup_permits = FakeWarmupPermits(upstreams=upstreams, warmup=warmup)
+    parts = ForwardingContext(
         tables=tables,
         upstreams=upstreams,
         gate=upstreams,
@@ -526,9 +526,9 @@
         upstream_client=caller,
         engines=engines,
         work=work,
-        retry_budget=FakeRetryBudget(slack=slack),
+        retry_permits=FakeRetryPermits(slack=slack),
         warmup=warmup,
-        permits=permits,
+        warmup_permits=warmup_permits,
         metrics=ForwardingMetrics(registry=CollectorRegistry()),
         failure_domain=FailureDomainId("a"),
         clock=clock,
@@ -551,8 +551,8 @@
         upstreams=upstreams,
         tables=tables,
         work=work,
-        parts=parts,
-        permits=permits,
+        context=parts,
+        warmup_permits=warmup_permits,
         alone=alone,
     )
 
@@ -560,9 +560,9 @@
 def make_stream_mover(bench: Bench) -> StreamMover:
     """Return the mover of a host's streams, with that host as its own decider."""
     movers = StreamMover(
-        parts=bench.parts,
+        context=bench.context,
         check_decider=bench.alone.client.check_decider,
-        ask_engine=bench.alone.coordinator.query_engine,
+        query_engine=bench.alone.coordinator.query_engine,
     )
     bench.alone.movers = movers
     return movers
--- a/testing/_listed_upstreams.py
+++ b/testing/_listed_upstreams.py
@@ -34,7 +34,7 @@
     """Decode a store entry; the value ``bad`` is unreadable."""
     if value == b"bad":
         return Failure("It can't be read; it is left out.")
-    status, _, cold_ms = value.decode().partition(" ")
+    status, _, warmup_ms = value.decode().partition(" ")
     state, _, started = status.partition("@")
     return Success(
         UpstreamEntry(
@@ -46,6 +46,6 @@
             failure_domain=FailureDomainId("x"),
             max_concurrency=1,
             state=UpstreamState(state),
-            cold_ms=int(cold_ms or 0),
+            warmup_ms=int(warmup_ms or 0),
         )
     )
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -122,7 +122,7 @@
 
     def answer(self, name: str, *, tokens: int = 1000, made: int = 4) -> None:
         """Record the first tokens of a generation."""
-        self.work.progress(request=RequestId(name), tokens=tokens, made=made)
+        self.work.progress(request=RequestId(name), tokens=tokens, answer_tokens=made)
 
     def end(self, name: str) -> None:
         """End a generation."""
@@ -149,7 +149,7 @@
             self.begin(name, at=answer.upstream, tokens=prompt)
         return answer
 
-    async def carry_out(self, order: MoveOrder) -> bool:
+    async def execute_order(self, order: MoveOrder) -> bool:
         """Record an order, and move the run to its target after a delay."""
         self.orders.append(order)
         await asyncio.sleep(ORDER_DURATION_S)
@@ -166,7 +166,7 @@
 def decode_entry(key: str, value: bytes) -> Result[UpstreamEntry, str]:
     """Parse an engine entry: its state, its failure domain and its cold time."""
     name = key.removeprefix(REGISTRY_PREFIX)
-    state, domain, cold_ms = value.decode().split()
+    state, domain, warmup_ms = value.decode().split()
     return Success(
         UpstreamEntry(
             upstream=UpstreamId(name),
@@ -177,12 +177,12 @@
             failure_domain=FailureDomainId(domain),
             max_concurrency=24,
             state=UpstreamState(state),
-            cold_ms=int(cold_ms),
+            warmup_ms=int(warmup_ms),
         )
     )
 
 
-def evacuated_domain(key: str) -> FailureDomainId | None:
+def parse_evacuated_domain(key: str) -> FailureDomainId | None:
     """Return the failure domain that a key evacuates; ``None`` for other keys."""
     domain = key.removeprefix(EVACUATION_PREFIX)
     return FailureDomainId(domain) if domain and domain != key else None
@@ -190,14 +190,14 @@
 
 def decode_configuration(value: bytes) -> Result[Configuration, str]:
     """Parse a configuration: its version, and the cold time and the cold rate of upstreams."""
-    version, cold_ms, cold_per_s = [*value.decode().split(), "0", "0"][:3]
+    version, warmup_ms, cold_per_s = [*value.decode().split(), "0", "0"][:3]
     service = Service(
         name=SERVICE,
         health_path="/",
         max_connections=100,
         engine=ENGINE,
-        cold_ms=int(cold_ms),
-        cold_per_s=float(cold_per_s),
+        warmup_ms=int(warmup_ms),
+        warmup_requests_per_s=float(cold_per_s),
     )
     return Success(
         Configuration(
@@ -240,10 +240,10 @@
         operator_prefix=OPERATOR_PREFIX,
         configuration_key=CONFIGURATION_KEY,
         decode_configuration=decode_configuration,
-        evacuated_domain=evacuated_domain,
+        parse_evacuated_domain=parse_evacuated_domain,
         registry_prefix=REGISTRY_PREFIX,
         decode_entry=decode_entry,
-        name_of=lambda key: UpstreamName(key.removeprefix(REGISTRY_PREFIX)),
+        parse_upstream_name=lambda key: UpstreamName(key.removeprefix(REGISTRY_PREFIX)),
         callers=None,  # type: ignore[arg-type]
         close=_close,
     )
@@ -265,7 +265,7 @@
         settings=settings,
         platform=platform,
         work=work,
-        execute_order=lambda order: made[0].carry_out(order),
+        execute_order=lambda order: made[0].execute_order(order),
         is_leaving=lambda: made[0].is_leaving,
         clock=clock,
         rng=Random(name),
@@ -340,10 +340,10 @@
         return sum(host.received for host in self.hosts)
 
     def set_engine(
-        self, name: str, *, state: str = "ready", domain: str = "domain-0", cold_ms: int = 0
+        self, name: str, *, state: str = "ready", domain: str = "domain-0", warmup_ms: int = 0
     ) -> None:
         """Write the entry of an engine."""
-        self.write(f"{REGISTRY_PREFIX}{name}", f"{state} {domain} {cold_ms}")
+        self.write(f"{REGISTRY_PREFIX}{name}", f"{state} {domain} {warmup_ms}")
 
     def remove_engine(self, name: str) -> None:
         """Remove the entry of an engine."""
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -106,7 +106,7 @@
             upstream=run.entry.upstream,
             prompt_tokens=run.tokens,
             tokens=run.tokens,
-            made=run.made,
+            answer_tokens=run.made,
             is_long=True,
         )
         if run.begun:
@@ -116,12 +116,12 @@
         """Record the first event of a stream."""
         run.begun = True
         run.began.set()
-        self.bench.work.progress(request=run.request, tokens=run.tokens, made=run.made)
+        self.bench.work.progress(request=run.request, tokens=run.tokens, answer_tokens=run.made)
 
     def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
         run.snapshot = Snapshot(entry=self.entry(at), copy="c", taken=taken)
-        self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
+        self.bench.work.set_copy(request=run.request, copy_at=UpstreamId(at), is_evictable=True)
 
     def fill(self, name: str, *, tokens: int) -> None:
         """Use memory of an engine for a generation that needs no copies."""
--- a/testing/_simulation.py
+++ b/testing/_simulation.py
@@ -266,7 +266,7 @@
             ),
             clock=clock,
             rng=random.Random(name),
-            engine_clients=simulation.engines.__getitem__,
+            get_client=simulation.engines.__getitem__,
         )
         declarations = Declarations.from_set(
             declarations=DeclarationSet(
@@ -290,11 +290,11 @@
         crashes.start()
         self.context = DispatchContext(
             router=self.router,
-            client_of=simulation.engines.__getitem__,
+            get_client=simulation.engines.__getitem__,
             observer=GateHealthRecorder(gate=gate),
             crash_watch=crashes,
             retries=RetryBudget(reserve=reserve),
-            canceller=Canceller(client_of=simulation.engines.__getitem__, clock=clock),
+            canceller=Canceller(get_client=simulation.engines.__getitem__, clock=clock),
             meter=UsageMeter(clock=clock, objective=Objective),
             clock=clock,
             rng=random.Random(name),
--- a/testing/_single_host.py
+++ b/testing/_single_host.py
@@ -61,7 +61,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _execute(self, order: MoveOrder) -> None:
-        is_done = False if self.movers is None else await self.movers.carry_out(order)
+        is_done = False if self.movers is None else await self.movers.execute_order(order)
         self.client.report_now()
         self.deliver(HOST, MoveDone(number=order.number, is_done=is_done))
 
--- a/testing/test_cancel.py
+++ b/testing/test_cancel.py
@@ -25,7 +25,7 @@
         request = EngineRequest(attempt_id=ATTEMPT, model="m", prompt="p", max_tokens=5)
         async for _ in engine.generate(request=request):
             break
-        canceller = Canceller(client_of=lambda _engine: engine, clock=clock)
+        canceller = Canceller(get_client=lambda _engine: engine, clock=clock)
         await steps(canceller)
         await clock.sleep(4 * RECONNECT_MS)
         return engine.runs[ATTEMPT].cancelled
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -50,7 +50,7 @@
 from tanagerscale.generated.settings import LimitsSection
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.policy import RetryBudget
-from tanagerscale.services import ServiceDependencies
+from tanagerscale.services import ServiceContext
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.upstreams import HttpServiceClient
 from tanagerscale.usage import UsageMeter
@@ -107,7 +107,7 @@
     rng = random.Random(1)
     declarations = _declarations()
     engine = FakeEngine(clock=clock)
-    canceller = Canceller(client_of=lambda _engine: engine, clock=clock)
+    canceller = Canceller(get_client=lambda _engine: engine, clock=clock)
     gate = UpstreamGate(clock=clock, rng=rng, broadcast=lambda _message: None)
     keys = KeyChecker()
     keys.set_accounts(accounts=declarations.accounts)
@@ -115,7 +115,7 @@
     limits.set_declarations(declarations=declarations)
     dispatch = DispatchContext(
         router=FakeRouter(engines=[ENGINE]),
-        client_of=lambda _engine: engine,
+        get_client=lambda _engine: engine,
         observer=GateHealthRecorder(gate=gate),
         crash_watch=NoQuarantine(),
         retries=RetryBudget(),
@@ -167,10 +167,10 @@
         is_live=lambda _host, _incarnation: True,
     )
     return ServiceDispatch(
-        dependencies=ServiceDependencies(
+        context=ServiceContext(
             client=HttpServiceClient(session=session),
             claims=claims,
-            notes=GateHealthRecorder(gate=gate),
+            observer=GateHealthRecorder(gate=gate),
             is_open=gate.is_open,
             retries=RetryBudget(),
             clock=clock,
--- a/testing/test_evacuations.py
+++ b/testing/test_evacuations.py
@@ -24,7 +24,7 @@
 from tanagerscale.generated.messages import PlaceAnswer
 from tanagerscale.generated.messages import PlaceKind
 from tanagerscale.membership import Evacuations
-from tanagerscale.platform._configuration import evacuated_domain
+from tanagerscale.platform._configuration import parse_evacuated_domain
 from tanagerscale.routes import RouteKind
 from tanagerscale.store import StoreEntry
 from tanagerscale.store import StoreRange
@@ -63,7 +63,7 @@
 
 
 def _make_evacuations() -> Evacuations:
-    return Evacuations(domain_of=evacuated_domain, clock=Clock())
+    return Evacuations(parse_evacuated_domain=parse_evacuated_domain, clock=Clock())
 
 
 def test_domain_is_evacuated_while_its_key_exists() -> None:
@@ -122,9 +122,9 @@
         self.keys: list[str] = []
         self.deleted: list[str] = []
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Record the keys."""
-        self.keys += [entry.key for entry in found.entries]
+        self.keys += [entry.key for entry in snapshot.entries]
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Record the keys."""
@@ -140,7 +140,7 @@
     keys = OperatorKeyListener(
         configuration_key="op/config",
         configuration=configuration,
-        evacuated_domain=evacuated_domain,
+        parse_evacuated_domain=parse_evacuated_domain,
         evacuations=evacuations,
     )
     keys.on_snapshot(_snapshot("op/config", "op/evacuate/a", "op/other"))
@@ -360,7 +360,7 @@
     async def scenario() -> None:
         bench = make_bench(make_entry("x", domain="a"), make_entry("y", domain="b"))
         bench.upstreams.evacuated.add("a")
-        admission = Admission(parts=bench.parts, placer=_OutdatedPlacer("x", "y"))
+        admission = Admission(context=bench.context, placer=_OutdatedPlacer("x", "y"))
         routed = route_request(
             make_request(prompt=1000), make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
         )
@@ -380,13 +380,15 @@
         bench.caller.hang.add("y")
         request = route_request(make_request(), make_route())
         task = asyncio.create_task(
-            PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
+            PlainForwarder(routed=request, context=bench.context).serve(_make_responder())
         )
         await asyncio.sleep(1.9)
         assert bench.caller.asked == ["y"]
         task.cancel()
         bench.upstreams.evacuated.add("b")
-        refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(_make_responder())
+        refusal = await PlainForwarder(routed=request, context=bench.context).serve(
+            _make_responder()
+        )
         assert refusal is not None
         assert refusal.kind is RefusalKind.OVERLOADED
         assert refusal.retry_after_ms is not None
@@ -404,8 +406,8 @@
         x, y = make_entry("x", domain="a"), make_entry("y", domain="b")
         bench = make_bench(x, y)
         routed = route_request(make_request(prompt=1000), make_route(kind=RouteKind.STREAMING))
-        sender = SegmentSender(routed=routed, parts=bench.parts)
-        progress = RunProgress(tokens=1000, made=100, event=25)
+        sender = SegmentSender(routed=routed, context=bench.context)
+        progress = RunProgress(tokens=1000, answer_tokens=100, event=25)
         bench.upstreams.evacuated.add("b")
         await sender.resume(
             resume_target=ResumeTarget(entry=y, holder=x, copy="1"), progress=progress
@@ -430,9 +432,9 @@
         fleet.set_engine("e2", state="leaving", domain="domain-2")
         await asyncio.sleep(PROPAGATION_S)
         for host in fleet.hosts:
-            parts = host.control.coordinator._context
+            context = host.control.coordinator._context
             assert UpstreamId("e1") not in {
-                entry.upstream for entry in eligible_upstreams(parts, SERVICE)
+                entry.upstream for entry in eligible_upstreams(context, SERVICE)
             }
 
     _run_with_fleet(scenario)
--- a/testing/test_evacuations_machine.py
+++ b/testing/test_evacuations_machine.py
@@ -58,7 +58,7 @@
 
     def __init__(self, name: str, machine: EvacuationMachine) -> None:
         self.name = HostId(name)
-        self.evacuations = Evacuations(domain_of=_domain_of, clock=machine.clock)
+        self.evacuations = Evacuations(parse_evacuated_domain=_domain_of, clock=machine.clock)
         self.feed = ListFeed(
             topic=ListTopic.EVACUATIONS,
             listener=self.evacuations,
--- a/testing/test_forwarding_admission.py
+++ b/testing/test_forwarding_admission.py
@@ -66,7 +66,7 @@
 
 def _make_admission() -> tuple[Bench, Admission]:
     bench = make_bench(make_entry("x"))
-    return bench, Admission(parts=bench.parts, placer=bench.alone.client)
+    return bench, Admission(context=bench.context, placer=bench.alone.client)
 
 
 def test_generation_gets_an_engine_at_once_when_there_is_capacity() -> None:
@@ -95,7 +95,7 @@
         bench, admission = _make_admission()
         _fill(bench)
         found = await _find_engine(bench, admission, "1")
-        return bench.parts.clock.now(), found
+        return bench.context.clock.now(), found
 
     waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
@@ -110,7 +110,7 @@
         bench, admission = _make_admission()
         _fill(bench)
         found = await _find_engine(bench, admission, "1", left_of_ms=30_000)
-        return bench.parts.clock.now(), found
+        return bench.context.clock.now(), found
 
     waited, found = run_virtually(scenario())
     assert isinstance(found, Failure)
@@ -164,7 +164,7 @@
         bench, admission = _make_admission()
         _fill(bench)
         await _find_engine(bench, admission, "1", max_tokens=max_tokens, left_of_ms=left_ms)
-        return bench.parts.clock.now()
+        return bench.context.clock.now()
 
     assert run_virtually(scenario()) <= max(left_ms - RESPONSE_RESERVE_MS, 0) + 100
 
@@ -226,7 +226,7 @@
 def test_engine_is_not_chosen_when_it_is_excluded(excluded: bool) -> None:
     async def scenario() -> str:
         bench = make_bench(make_entry("x"), make_entry("y"))
-        admission = Admission(parts=bench.parts, placer=bench.alone.client)
+        admission = Admission(context=bench.context, placer=bench.alone.client)
         _fill(bench, tokens=10_000)
         route = make_route(kind=RouteKind.STREAMING)
         routed = route_request(make_request(prompt=100), route)
--- a/testing/test_forwarding_dispatcher.py
+++ b/testing/test_forwarding_dispatcher.py
@@ -40,12 +40,12 @@
         self.bench: Bench = make_bench(make_entry("x"))
         self.bench.tables.table = make_table(PLAIN, STREAM)
         self.is_stopping = False
-        parts = self.bench.parts
+        context = self.bench.context
         self.dispatcher = Dispatcher(
-            parts=parts,
-            admission=Admission(parts=parts, placer=self.bench.alone.client),
+            context=context,
+            admission=Admission(context=context, placer=self.bench.alone.client),
             stream_mover=make_stream_mover(self.bench),
-            homes=AllowedRegions(regions={}),
+            allowed_regions=AllowedRegions(regions={}),
             is_stopping=lambda: self.is_stopping,
         )
 
@@ -100,7 +100,7 @@
         harness = DispatcherHarness()
         harness.bench.caller.hang = {"x"}
         responder = await harness.ask(make_request())
-        return _kind(responder), harness.bench.parts.clock.now()
+        return _kind(responder), harness.bench.context.clock.now()
 
     assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, PLAIN.timeout_ms)
 
@@ -110,7 +110,7 @@
         harness = DispatcherHarness()
         harness.bench.caller.hang = {"x"}
         responder = await harness.ask(replace(make_request(), time_left_ms=700))
-        return _kind(responder), harness.bench.parts.clock.now()
+        return _kind(responder), harness.bench.context.clock.now()
 
     assert run_virtually(scenario()) == (RefusalKind.TIMED_OUT, 700)
 
@@ -121,7 +121,7 @@
         harness.bench.caller.hang = {"x"}
         request = replace(make_request(), arrived=Millis(0), time_left_ms=0)
         assert _kind(await harness.ask(request)) is RefusalKind.TIMED_OUT
-        return harness.bench.parts.clock.now()
+        return harness.bench.context.clock.now()
 
     assert run_virtually(scenario()) <= 1
 
@@ -189,7 +189,7 @@
         for name in ("a", "b", "c"):
             other = make_request(name="other", path="/s/other", prompt=100)
             fingerprint = route_request(other, STREAM).fingerprint
-            harness.bench.parts.suspects.note_broken(
+            harness.bench.context.suspects.record_broken_response(
                 fingerprint=fingerprint, upstream=UpstreamId(name)
             )
         return await harness.ask(make_request())
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -101,7 +101,7 @@
         harness.bench.engines.takes_ms = 60_000
         resume_target = await harness.movers.recover(run, harness.entry("x"))  # type: ignore[arg-type]
         assert resume_target is not None
-        return harness.bench.parts.clock.now()
+        return harness.bench.context.clock.now()
 
     assert run_virtually(scenario()) == RECOVERY_STOP_TIMEOUT_MS
 
@@ -237,12 +237,12 @@
         run = harness.add("1", at="x")
         await asyncio.sleep(1.0)
         # A continuing run produces a token every 9 ms.
-        assert 4000 <= harness.bench.totals()[UpstreamId("y")].yielding_tokens <= 4150
+        assert 4000 <= harness.bench.totals()[UpstreamId("y")].evictable_tokens <= 4150
         harness.fill("y", tokens=31_000)
         await asyncio.sleep(1.0)
         assert run.snapshot is None
         assert len(harness.bench.engines.dropped) == 1
-        assert harness.bench.totals()[UpstreamId("y")].yielding_tokens == 0
+        assert harness.bench.totals()[UpstreamId("y")].evictable_tokens == 0
 
     run_virtually(scenario())
 
@@ -252,14 +252,14 @@
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
         harness.add_copy(run, at="y")
-        harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+        harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), is_evictable=True)
         harness.fill("y", tokens=31_000)
         harness.bench.engines.takes_ms = 1000
         harness.leave("x")
         await asyncio.sleep(0.5)
         assert harness.bench.engines.dropped == []
         total = harness.bench.totals()[UpstreamId("y")]
-        assert total.yielding_tokens == 0
+        assert total.evictable_tokens == 0
         assert 4000 <= total.copy_tokens <= 4150
 
     run_virtually(scenario())
@@ -361,7 +361,9 @@
         harness.fill("z", tokens=20_000)
         ahead = [harness.add(f"ahead {number}", at="w") for number in range(8)]
         for run in ahead:
-            harness.bench.work.set_copy(request=run.request, copy_at=UpstreamId("y"), yields=True)
+            harness.bench.work.set_copy(
+                request=run.request, copy_at=UpstreamId("y"), is_evictable=True
+            )
         leaving = harness.add("1", at="x")
         harness.leave("x")
         await asyncio.sleep(1.0)
--- a/testing/test_forwarding_health.py
+++ b/testing/test_forwarding_health.py
@@ -32,7 +32,7 @@
     async def scenario() -> None:
         health = _health()
         for _ in range(3):
-            health.note_bad(upstream=X)
+            health.record_failure(upstream=X)
         assert _usable(health) == ["y", "z"]
         await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["x", "y", "z"]
@@ -45,7 +45,7 @@
         health = _health()
         for _ in range(2):
             for _ in range(3):
-                health.note_bad(upstream=X)
+                health.record_failure(upstream=X)
             await asyncio.sleep((BASE_EJECTION_MS + 10) / 1000)
         assert _usable(health) == ["y", "z"]
 
@@ -55,10 +55,10 @@
 def test_failures_are_ignored_when_they_are_older_than_the_window() -> None:
     async def scenario() -> None:
         health = _health()
-        health.note_bad(upstream=X)
-        health.note_bad(upstream=X)
+        health.record_failure(upstream=X)
+        health.record_failure(upstream=X)
         await asyncio.sleep((WINDOW_MS + 10) / 1000)
-        health.note_bad(upstream=X)
+        health.record_failure(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
     run_virtually(scenario())
@@ -67,7 +67,7 @@
 def test_upstream_is_ejected_when_all_hosts_together_saw_enough_failures() -> None:
     async def scenario() -> None:
         health = _health()
-        health.note_bad(upstream=X)
+        health.record_failure(upstream=X)
         for host in ("a", "b"):
             tallies = AnswerTallies(upstreams={"x": [1, 1]})
             health.on_peer(host=HostId(host), tallies=tallies)
@@ -79,10 +79,10 @@
 def test_failures_seen_by_a_host_are_dropped_when_the_host_is_gone() -> None:
     async def scenario() -> None:
         health = _health()
-        health.note_bad(upstream=X)
+        health.record_failure(upstream=X)
         health.on_peer(host=HostId("a"), tallies=AnswerTallies(upstreams={"x": [0, 1]}))
         health.forget_peer(host=HostId("a"))
-        health.note_bad(upstream=X)
+        health.record_failure(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
     run_virtually(scenario())
@@ -92,12 +92,12 @@
     async def scenario() -> list[AnswerTallies]:
         health = _health()
         published: list[AnswerTallies] = []
-        health.news.subscribe(published.append)
-        health.note_good(upstream=Y)
+        health.tally_updates.subscribe(published.append)
+        health.record_success(upstream=Y)
         await asyncio.sleep(TALLY_INTERVAL_MS / 1000)
         assert published == []
-        health.note_good(upstream=X)
-        health.note_bad(upstream=X)
+        health.record_success(upstream=X)
+        health.record_failure(upstream=X)
         await asyncio.sleep((2 * WINDOW_MS) / 1000)
         return published
 
@@ -111,7 +111,7 @@
     async def scenario() -> None:
         health = UpstreamHealth(service_of=lambda _: None, clock=Clock())
         for _ in range(9):
-            health.note_bad(upstream=X)
+            health.record_failure(upstream=X)
         assert _usable(health) == ["x", "y", "z"]
 
     run_virtually(scenario())
--- a/testing/test_forwarding_plain.py
+++ b/testing/test_forwarding_plain.py
@@ -44,7 +44,7 @@
     route = make_route(kind=kind, attempts=attempts)
     routed = route_request(make_request(), route)
     responder = FakeResponder()
-    refusal = await PlainForwarder(routed=routed, parts=bench.parts).serve(responder)
+    refusal = await PlainForwarder(routed=routed, context=bench.context).serve(responder)
     return responder, None if refusal is None else refusal.kind
 
 
@@ -126,7 +126,7 @@
     bench = make_bench(make_entry("x"), make_entry("y"))
     bench.caller.set("x", LOST)
     bench.caller.set("y", FakeResponse(chunks=[b"late"]))
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    bench.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, _ = await _serve(bench, kind=IDEMPOTENT, attempts=2)
     assert bench.caller.asked == ["x", "y"]
     assert responder.body == b"late"
@@ -146,7 +146,7 @@
     bench = make_bench(make_entry("x"), make_entry("y"))
     bench.caller.set("x", FakeResponse(status=500, chunks=[b"mine"]))
     bench.caller.set("y", LOST)
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    bench.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, refusal = await _serve(bench, kind=IDEMPOTENT, attempts=2)
     assert (responder.status, responder.body) == (500, b"mine")
     assert refusal is None
@@ -166,8 +166,8 @@
     bench = make_bench(*(make_entry(name) for name in names), slack=0.0)
     for name in names[:-1]:
         bench.caller.set(name, NOT_SENT)
-        bench.parts.work.plain_counts[UpstreamId(name)] = 0
-    bench.parts.work.plain_counts[UpstreamId("f")] = 1
+        bench.context.work.plain_counts[UpstreamId(name)] = 0
+    bench.context.work.plain_counts[UpstreamId("f")] = 1
     responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
     assert responder.status == 200
 
@@ -178,8 +178,8 @@
     is_address_reassigned: bool,
 ) -> None:
     bench = make_bench(make_entry("x"))
-    suspects = bench.parts.suspects
-    suspects.note_broken(fingerprint=Fingerprint("r"), upstream=UpstreamId("x"))
+    suspects = bench.context.suspects
+    suspects.record_broken_response(fingerprint=Fingerprint("r"), upstream=UpstreamId("x"))
     refusal = FakeResponse(
         status=503, not_executed=True, is_address_reassigned=is_address_reassigned
     )
@@ -192,7 +192,7 @@
 async def test_upstream_is_marked_gone_when_its_address_is_reassigned() -> None:
     bench = make_bench(make_entry("x"), make_entry("y"))
     bench.caller.set("x", FakeResponse(status=421, not_executed=True, is_address_reassigned=True))
-    bench.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    bench.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, _ = await _serve(bench, kind=NON_IDEMPOTENT)
     assert responder.status == 200
     assert bench.upstreams.gone == ["x"]
@@ -201,7 +201,7 @@
 @pytest.mark.asyncio
 async def test_upstream_with_the_fewest_requests_in_progress_is_chosen() -> None:
     bench = make_bench(make_entry("x"), make_entry("y"))
-    bench.parts.work.plain_counts["x"] = 2  # type: ignore[index]
+    bench.context.work.plain_counts["x"] = 2  # type: ignore[index]
     await _serve(bench, kind=NON_IDEMPOTENT)
     assert bench.caller.asked == ["y"]
 
@@ -224,7 +224,7 @@
         # Two of three hang; the third gets the request at the first or second attempt.
         bench.upstreams.entries = [make_entry("x"), make_entry("z")]
         responder, _ = await _serve(bench, kind=IDEMPOTENT, attempts=2)
-        return bench.caller.asked, responder.status, bench.parts.clock.now()
+        return bench.caller.asked, responder.status, bench.context.clock.now()
 
     asked, status, took_ms = run_virtually(scenario())
     assert status == 200
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -96,7 +96,7 @@
 def test_engine_is_not_marked_down_when_it_refuses_a_copy_and_responds() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("y")
+        harness.bench.engines.not_leaving.add("y")
         harness.bench.engines.failures.append(copy_failure(CopyFailure.NO_ROOM))
         harness.add("1", at="x")
         await asyncio.sleep(0.5)
@@ -108,7 +108,7 @@
 def test_other_runs_are_copied_when_copies_of_one_run_fail() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("y")
+        harness.bench.engines.not_leaving.add("y")
         stuck = harness.add("stuck", at="x", made=3000)
         harness.add_copy(stuck, at="y")
         harness.bench.engines.refused.add("stuck")
@@ -148,7 +148,7 @@
         harness = MoveHarness("x", "y")
         harness.disconnect_store()
         harness.bench.engines.leaves_in_ms = 1800
-        harness.bench.engines.staying.add("y")
+        harness.bench.engines.not_leaving.add("y")
         run = harness.add("1", at="x")
         async with _run_departure_watch(harness):
             await asyncio.sleep(1.5)
@@ -171,7 +171,8 @@
             while not harness.bench.upstreams.leaving:
                 await asyncio.sleep(0.01)
             left_ms = (
-                harness.departures.departure_time(UpstreamId("x")) - harness.bench.parts.clock.now()
+                harness.departures.departure_time(UpstreamId("x"))
+                - harness.bench.context.clock.now()
             )
         assert 380 <= left_ms <= 400
 
@@ -194,7 +195,7 @@
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
         harness.disconnect_store()
-        harness.bench.engines.staying.add("x")
+        harness.bench.engines.not_leaving.add("x")
         harness.add("1", at="x")
         for number in range(others):
             use = RunUse(request=f"r{number}", upstream="x", tokens=100, begun_ms=0)
@@ -225,12 +226,12 @@
 def test_engine_is_queried_once_a_second_when_its_responses_close_connections() -> None:
     async def scenario() -> int:
         harness = MoveHarness("x", "y")
-        harness.bench.engines.staying.add("x")
+        harness.bench.engines.not_leaving.add("x")
         harness.add("1", at="x")
         for _ in range(5):
             harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(MIN_LEAVING_QUERY_INTERVAL_MS / 1000)
-        harness.bench.engines.staying.clear()
+        harness.bench.engines.not_leaving.clear()
         harness.bench.engines.leaves_in_ms = 1800
         harness.movers.on_connection_closing(UpstreamId("x"))
         await asyncio.sleep(0.1)
@@ -245,11 +246,11 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         run = harness.add("1", at="x")
-        copier = Copier(parts=harness.bench.parts)
+        copier = Copier(context=harness.bench.context)
         stream = cast(StreamRun, run)
         snapshot = await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
         assert snapshot is not None
-        harness.bench.upstreams.entries[1] = replace(harness.entry("y"), cold_ms=1)
+        harness.bench.upstreams.entries[1] = replace(harness.entry("y"), warmup_ms=1)
         await copier.snapshot(stream, harness.entry("x"), harness.entry("y"), ahead=True)
         await asyncio.sleep(0.1)
         assert harness.bench.engines.dropped == []
--- a/testing/test_forwarding_stream.py
+++ b/testing/test_forwarding_stream.py
@@ -78,8 +78,8 @@
     run = StreamRun(
         routed=route_request(make_request(prompt=100), route),
         responder=responder,
-        parts=bench.parts,
-        admission=Admission(parts=bench.parts, placer=bench.alone.client),
+        context=bench.context,
+        admission=Admission(context=bench.context, placer=bench.alone.client),
         hooks=hooks or RecordingHooks(),
     )
     return run, responder
@@ -171,7 +171,9 @@
         await asyncio.sleep(0.5)
         fingerprint = route_request(make_request(prompt=100), make_route()).fingerprint
         for upstream in ("a", "b", "c"):
-            bench.parts.suspects.note_broken(fingerprint=fingerprint, upstream=UpstreamId(upstream))
+            bench.context.suspects.record_broken_response(
+                fingerprint=fingerprint, upstream=UpstreamId(upstream)
+            )
         bench.work.end(request=filler)
         refusal = await serving
         assert refusal is not None
@@ -294,7 +296,7 @@
 
 
 def _snapshot(bench: Bench, name: str) -> Snapshot:
-    return Snapshot(entry=make_entry(name), copy="c", taken=bench.parts.clock.now())
+    return Snapshot(entry=make_entry(name), copy="c", taken=bench.context.clock.now())
 
 
 def test_stream_resumes_from_its_copy_when_its_engine_crashes() -> None:
@@ -325,7 +327,7 @@
         run.snapshot = _snapshot(bench, "y")
         assert await serving is None
         assert _event_numbers(responder) == [1, 2]
-        return bench.parts.clock.now()
+        return bench.context.clock.now()
 
     assert run_virtually(scenario()) == 3000 + IDLE_TIMEOUT_MS
 
@@ -369,7 +371,7 @@
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=bench.parts.clock.now())
+        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=bench.context.clock.now())
         run.snapshot = snapshot
         await serving
         assert hooks.unused == [snapshot]
--- a/testing/test_forwarding_work.py
+++ b/testing/test_forwarding_work.py
@@ -27,9 +27,9 @@
         _begin(work)
         _begin(work)
         step = "first event"
-        work.progress(request=REQUEST, tokens=1004, made=4)
+        work.progress(request=REQUEST, tokens=1004, answer_tokens=4)
         step = "later events"
-        work.progress(request=REQUEST, tokens=1008, made=8)
+        work.progress(request=REQUEST, tokens=1008, answer_tokens=8)
         step = "copy"
         work.set_copy(request=REQUEST, copy_at=Y)
         step = "moving"
@@ -48,9 +48,9 @@
         work = LocalWorkload(clock=Clock())
         _begin(work)
         before = work.uses()[0].begun_ms
-        work.progress(request=REQUEST, tokens=1004, made=4)
+        work.progress(request=REQUEST, tokens=1004, answer_tokens=4)
         await asyncio.sleep(0.3)
-        work.set_copy(request=REQUEST, copy_at=Y, yields=True)
+        work.set_copy(request=REQUEST, copy_at=Y, is_evictable=True)
         await asyncio.sleep(0.2)
         use = work.uses()[0]
         return before, use.begun_ms, use.copy_ms
@@ -62,9 +62,14 @@
     async def scenario() -> None:
         work = LocalWorkload(clock=Clock())
         _begin(work)
-        work.progress(request=REQUEST, tokens=1400, made=400)
+        work.progress(request=REQUEST, tokens=1400, answer_tokens=400)
         work.begin(
-            request=REQUEST, upstream=Y, prompt_tokens=0, tokens=1400, made=400, is_long=True
+            request=REQUEST,
+            upstream=Y,
+            prompt_tokens=0,
+            tokens=1400,
+            answer_tokens=400,
+            is_long=True,
         )
         (use,) = work.uses()
         assert (use.upstream, use.begun_ms, use.tokens, use.made) == (Y, -1, 1400, 400)
@@ -77,7 +82,7 @@
         work = LocalWorkload(clock=Clock())
         _begin(work)
         work.end(request=REQUEST)
-        work.progress(request=REQUEST, tokens=1004, made=4)
+        work.progress(request=REQUEST, tokens=1004, answer_tokens=4)
         work.set_copy(request=REQUEST, copy_at=Y)
         assert work.uses() == []
 
--- a/testing/test_gateway_http.py
+++ b/testing/test_gateway_http.py
@@ -62,7 +62,7 @@
 
 
 async def _echo(request: CallerRequest, responder: Responder) -> None:
-    await responder.answer(status=200, reason="OK", headers=[], body=request.body)
+    await responder.respond(status=200, reason="OK", headers=[], body=request.body)
 
 
 @dataclass(slots=True)
--- a/testing/test_generation.py
+++ b/testing/test_generation.py
@@ -55,14 +55,14 @@
         """Engines on which the request is not admitted, as if a copy of it ran elsewhere."""
         self.admit_calls = 0
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Record the upstream."""
         self.leaving.append(upstream)
 
-    def note_failure(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Do nothing."""
 
-    def note_success(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Do nothing."""
 
     def check(self, *, fingerprint: str) -> Problem | None:
@@ -129,10 +129,10 @@
     }
     router = FakeRouter(engines=[FIRST, SECOND])
     collaborators = FakeCollaborators()
-    canceller = Canceller(client_of=engines.__getitem__, clock=clock)
-    parts = DispatchContext(
+    canceller = Canceller(get_client=engines.__getitem__, clock=clock)
+    context = DispatchContext(
         router=router,
-        client_of=engines.__getitem__,
+        get_client=engines.__getitem__,
         observer=collaborators,
         crash_watch=collaborators,
         retries=collaborators,
@@ -146,7 +146,7 @@
         router=router,
         collaborators=collaborators,
         canceller=canceller,
-        context=parts,
+        context=context,
     )
 
 
--- a/testing/test_generation_waiting.py
+++ b/testing/test_generation_waiting.py
@@ -147,13 +147,13 @@
     crash_watch = FakeCrashWatch()
     engines = {name: FakeEngine(clock=clock, faults=Faults()) for name in (FULL, FREE)}
     gate = UpstreamGate(clock=clock, rng=random.Random(1), broadcast=lambda _message: None)
-    parts = DispatchContext(
+    context = DispatchContext(
         router=router,
-        client_of=engines.__getitem__,
+        get_client=engines.__getitem__,
         observer=GateHealthRecorder(gate=gate),
         crash_watch=crash_watch,
         retries=RetryBudget(),
-        canceller=Canceller(client_of=engines.__getitem__, clock=clock),
+        canceller=Canceller(get_client=engines.__getitem__, clock=clock),
         meter=UsageMeter(clock=clock, objective=Objective),
         clock=clock,
         rng=random.Random(2),
@@ -175,7 +175,7 @@
         whole=False,
         fingerprint="f",
     )
-    generation = Generation(request=request, sink=ListSink(), context=parts)
+    generation = Generation(request=request, sink=ListSink(), context=context)
     return Harness(router=router, crash_watch=crash_watch, generation=generation)
 
 
--- a/testing/test_many_hosts.py
+++ b/testing/test_many_hosts.py
@@ -64,7 +64,7 @@
             await asyncio.sleep(0.05)
             assert {host.control.roster.known_count for host in fleet.hosts} == {3 + number}
         for host in fleet.hosts:
-            assert host.control.duties.follows_store == host.is_coordinator
+            assert host.control.store_source.follows_store == host.is_coordinator
 
     _run(scenario)
 
@@ -196,7 +196,7 @@
 
 def test_leaving_upstream_detected_by_one_host_reaches_all_hosts() -> None:
     async def scenario(fleet: Fleet) -> None:
-        fleet.members[11].control.gate.note_leaving(upstream=UpstreamId("e0"))
+        fleet.members[11].control.gate.record_leaving(upstream=UpstreamId("e0"))
         await asyncio.sleep(0.25)
         assert all(host.control.gate.is_leaving(UpstreamId("e0")) for host in fleet.hosts)
 
--- a/testing/test_membership.py
+++ b/testing/test_membership.py
@@ -247,7 +247,7 @@
     _, a, b, c = await _start_three_hosts()
     for host in (a, b, c):
         host.entries.on_next((_build_entry(ListedState.LIVE),))
-    a.gate.note_leaving(upstream=ENGINE)
+    a.gate.record_leaving(upstream=ENGINE)
     await asyncio.sleep(0.1)
     assert not any(host.gate.is_open(ENGINE) for host in (a, b, c))
     for host in (a, b, c):
@@ -265,7 +265,7 @@
     gate.on_host_list([leaving])
     await asyncio.sleep(3600)
     assert not gate.is_open(ENGINE)
-    gate.note_leaving(upstream=ENGINE)
+    gate.record_leaving(upstream=ENGINE)
     gate.on_host_list([live])
     await asyncio.sleep(300)
     assert not gate.is_open(ENGINE)
@@ -276,7 +276,7 @@
 async def test_host_list_closes_leaving_upstream_on_host_that_is_disconnected_from_peers() -> None:
     cluster, a, b, c = await _start_three_hosts()
     cluster.freeze("c")
-    a.gate.note_leaving(upstream=ENGINE)
+    a.gate.record_leaving(upstream=ENGINE)
     await asyncio.sleep(1)
     assert not b.gate.is_open(ENGINE)
     assert c.gate.is_open(ENGINE)
@@ -286,7 +286,7 @@
 
 async def test_newly_connected_host_receives_leaving_notices() -> None:
     cluster, a, _, _ = await _start_three_hosts()
-    a.gate.note_leaving(upstream=ENGINE)
+    a.gate.record_leaving(upstream=ENGINE)
     late = await cluster.start("d")
     cluster.connect(late)
     await asyncio.sleep(3)
@@ -299,15 +299,15 @@
     gate = UpstreamGate(clock=Clock(), rng=Random(1), broadcast=lambda _message: None)
     changes: list[UpstreamId] = []
     gate.changes.subscribe(changes.append)
-    gate.note_down(upstream=ENGINE)
+    gate.record_failure(upstream=ENGINE)
     assert not gate.is_open(ENGINE)
     await asyncio.sleep(1)
     assert gate.is_open(ENGINE)
     assert len(changes) == 2
-    gate.note_down(upstream=ENGINE)
+    gate.record_failure(upstream=ENGINE)
     await asyncio.sleep(1)
     assert not gate.is_open(ENGINE)
-    gate.note_up(upstream=ENGINE)
+    gate.record_success(upstream=ENGINE)
     assert gate.is_open(ENGINE)
 
 
@@ -361,7 +361,7 @@
     await asyncio.sleep(5)
     with_one_peer = late.follower.ready
     cluster.connect(late)
-    late.replicator.note_hosts_known()
+    late.replicator.record_hosts_known()
     await asyncio.sleep(5)
     assert (before, with_one_peer, late.follower.ready) == (False, False, True)
     assert late.follower.head_revision == 5
@@ -370,6 +370,6 @@
 async def test_host_without_peers_is_not_ready() -> None:
     cluster = MemoryCluster()
     alone = await cluster.start("a", revision=3)
-    alone.replicator.note_hosts_known()
+    alone.replicator.record_hosts_known()
     await asyncio.sleep(5)
     assert not alone.follower.ready
--- a/testing/test_move_planner.py
+++ b/testing/test_move_planner.py
@@ -31,14 +31,14 @@
         self.bench: Bench = make_bench(*(make_entry(name) for name in engines))
         self.coordinator = self.bench.alone.coordinator
         self.ordered: list[tuple[str, MoveOrder, int]] = []
-        self.coordinator.planner._order = self._order
+        self.coordinator.planner._send_order = self._send_order
         self.gone: set[str] = set()
 
-    def _order(self, host: HostId, message: Message) -> bool:
+    def _send_order(self, host: HostId, message: Message) -> bool:
         assert isinstance(message, MoveOrder)
         if host in self.gone:
             return False
-        self.ordered.append((host, message, self.bench.parts.clock.now()))
+        self.ordered.append((host, message, self.bench.context.clock.now()))
         return True
 
     def report(self, host: str, *names: str, at: str = "x", number: int = 1) -> None:
--- a/testing/test_platform_decoding.py
+++ b/testing/test_platform_decoding.py
@@ -189,7 +189,7 @@
         return
     found = result.unwrap()
     assert found.max_concurrency >= 1
-    assert found.cold_ms >= 0
+    assert found.warmup_ms >= 0
     assert found.started_ms >= 1
     assert check_address(address=found.address) == ""
 
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -136,10 +136,10 @@
     snapshots: int = 0
     reachable: list[bool] = field(default_factory=list)
 
-    def on_snapshot(self, found: StoreRange) -> None:
+    def on_snapshot(self, snapshot: StoreRange) -> None:
         """Replace all known entries by a snapshot."""
         self.snapshots += 1
-        self.known = {entry.key: entry.value for entry in found.entries}
+        self.known = {entry.key: entry.value for entry in snapshot.entries}
 
     def on_changes(self, batch: WatchBatch) -> None:
         """Apply changes."""
--- a/testing/test_policy_placement.py
+++ b/testing/test_policy_placement.py
@@ -12,7 +12,7 @@
 from tanagerscale.policy import MAX_SPARE_COPY_MEMORY_RATIO
 from tanagerscale.policy import EngineView
 from tanagerscale.policy import PlacementQuery
-from tanagerscale.policy import Verdict
+from tanagerscale.policy import PlacementVerdict
 from tanagerscale.policy import has_capacity
 from tanagerscale.policy import has_capacity_for_copy
 from tanagerscale.policy import is_imbalanced
@@ -41,7 +41,7 @@
     return EngineView(**{**defaults, **changes})  # type: ignore[arg-type]
 
 
-def _place(query: PlacementQuery, *views: EngineView) -> tuple[Verdict, str | None]:
+def _place(query: PlacementQuery, *views: EngineView) -> tuple[PlacementVerdict, str | None]:
     placement = place(query=query, views=views, failure_domain=HERE, rng=Random(1))
     return placement.verdict, None if placement.engine is None else placement.engine.upstream
 
@@ -52,7 +52,7 @@
 
 def test_engine_with_fewest_waiting_prompts_is_selected_when_many_arrive() -> None:
     busy = _view("busy", waiting_tokens=6000, waiting=2, held_tokens=6000)
-    assert _place(_query(), busy, _view("idle")) == (Verdict.SEND, "idle")
+    assert _place(_query(), busy, _view("idle")) == (PlacementVerdict.SEND, "idle")
 
 
 def test_engine_with_fewer_generations_is_selected_when_no_prompts_wait() -> None:
@@ -83,36 +83,36 @@
 
 def test_generation_waits_when_memory_is_full_before_its_deadline() -> None:
     full = _view(held_tokens=31_000, running=8)
-    assert _place(_query(), full) == (Verdict.WAIT, None)
+    assert _place(_query(), full) == (PlacementVerdict.WAIT, None)
 
 
 def test_generation_is_refused_when_memory_is_full_at_its_deadline() -> None:
     full = _view(held_tokens=31_000, running=8)
-    assert _place(_query(left_ms=0), full) == (Verdict.REFUSE, None)
+    assert _place(_query(left_ms=0), full) == (PlacementVerdict.REFUSE, None)
 
 
 def test_generation_waits_when_prompts_ahead_would_make_it_late() -> None:
     queue = _view(waiting_tokens=12_000, waiting=4, held_tokens=12_000, running=1)
-    assert _place(_query(left_ms=1500), queue)[0] is Verdict.WAIT
+    assert _place(_query(left_ms=1500), queue)[0] is PlacementVerdict.WAIT
 
 
 def test_late_generation_is_sent_when_there_is_capacity() -> None:
-    assert _place(_query(left_ms=-5000), _view())[0] is Verdict.SEND
+    assert _place(_query(left_ms=-5000), _view())[0] is PlacementVerdict.SEND
 
 
 def test_late_long_generation_leaves_memory_for_one_that_may_be_in_time() -> None:
     # The engine has memory for a prompt of 4,000 tokens and its growth.
     view = _view(held_tokens=27_800)
-    assert _place(_query(left_ms=1), view)[0] is Verdict.SEND
+    assert _place(_query(left_ms=1), view)[0] is PlacementVerdict.SEND
     late = PlacementQuery(prompt_tokens=3000, is_long=True, left_ms=-1, patience_ms=1000)
-    assert _place(late, view)[0] is Verdict.WAIT
+    assert _place(late, view)[0] is PlacementVerdict.WAIT
     short = PlacementQuery(prompt_tokens=3000, is_long=False, left_ms=-1, patience_ms=1000)
-    assert _place(short, view)[0] is Verdict.SEND
+    assert _place(short, view)[0] is PlacementVerdict.SEND
 
 
 def test_late_generation_waits_until_its_patience_ends() -> None:
     full = _view(held_tokens=33_000)
-    for patience_ms, verdict in ((3000, Verdict.WAIT), (2000, Verdict.REFUSE)):
+    for patience_ms, verdict in ((3000, PlacementVerdict.WAIT), (2000, PlacementVerdict.REFUSE)):
         late = PlacementQuery(
             prompt_tokens=3000, is_long=True, left_ms=-2500, patience_ms=patience_ms
         )
@@ -120,8 +120,8 @@
 
 
 def test_generation_waits_when_no_engine_accepts_work() -> None:
-    assert _place(_query()) == (Verdict.WAIT, None)
-    assert _place(_query(left_ms=0)) == (Verdict.REFUSE, None)
+    assert _place(_query()) == (PlacementVerdict.WAIT, None)
+    assert _place(_query(left_ms=0)) == (PlacementVerdict.REFUSE, None)
 
 
 def test_engine_has_no_capacity_when_all_batch_slots_are_taken() -> None:
@@ -145,17 +145,17 @@
 
 
 def test_prompt_is_sent_at_once_when_it_is_late_on_any_engine() -> None:
-    assert _place(_query(prompt=20_000, left_ms=1500), _view())[0] is Verdict.SEND
+    assert _place(_query(prompt=20_000, left_ms=1500), _view())[0] is PlacementVerdict.SEND
 
 
 def test_long_generation_waits_while_evacuated_runs_need_the_memory() -> None:
     views = [_view("x", held_tokens=26_000, running=6), _view("y", held_tokens=24_000, running=6)]
     free = place(query=_query(), views=views, failure_domain=HERE, rng=Random(1))
-    assert free.verdict is Verdict.SEND
+    assert free.verdict is PlacementVerdict.SEND
     reserved = place(
         query=_query(), views=views, reserved_tokens=9000, failure_domain=HERE, rng=Random(1)
     )
-    assert (reserved.verdict, reserved.engine) == (Verdict.WAIT, None)
+    assert (reserved.verdict, reserved.engine) == (PlacementVerdict.WAIT, None)
 
 
 def test_short_generation_is_sent_before_evacuated_runs() -> None:
@@ -164,7 +164,7 @@
     placement = place(
         query=query, views=[view], reserved_tokens=20_000, failure_domain=HERE, rng=Random(1)
     )
-    assert placement.verdict is Verdict.SEND
+    assert placement.verdict is PlacementVerdict.SEND
 
 
 def test_copies_made_ahead_give_way_to_prompts_but_not_to_other_copies() -> None:
--- a/testing/test_regions.py
+++ b/testing/test_regions.py
@@ -54,7 +54,7 @@
         regions=frozenset(RegionId(name) for name in account),
     )
     regions = frozenset(RegionId(name) for name in route)
-    return AllowedRegions(regions=REGIONS).domains(
+    return AllowedRegions(regions=REGIONS).get_failure_domains(
         route=replace(make_route(), regions=regions), caller=caller
     )
 
@@ -120,12 +120,12 @@
         entries = [make_entry(f"x{domain}", domain=domain) for domain in domains]
         self.bench: Bench = make_bench(*entries)
         self.bench.tables.table = make_table(route)
-        parts = self.bench.parts
+        context = self.bench.context
         self.dispatcher = Dispatcher(
-            parts=parts,
-            admission=Admission(parts=parts, placer=self.bench.alone.client),
+            context=context,
+            admission=Admission(context=context, placer=self.bench.alone.client),
             stream_mover=make_stream_mover(self.bench),
-            homes=AllowedRegions(regions=REGIONS),
+            allowed_regions=AllowedRegions(regions=REGIONS),
             is_stopping=lambda: False,
         )
 
@@ -171,12 +171,12 @@
             _DispatcherHarness(make(WEST), "a", "b"),
             _DispatcherHarness(make(RegionId("north")), "a", "c"),
         ):
-            began = host.bench.parts.clock.now()
+            began = host.bench.context.clock.now()
             responder = await host.request(prompt=None if make is _plain else 100)
             assert responder.refusal is not None
             assert responder.refusal.kind is RefusalKind.OVERLOADED
             assert host.bench.caller.asked == []
-            assert host.bench.parts.clock.now() == began
+            assert host.bench.context.clock.now() == began
 
     run_virtually(scenario())
 
--- a/testing/test_roster.py
+++ b/testing/test_roster.py
@@ -15,7 +15,7 @@
 from tanagerscale.membership import UpstreamGate
 from tanagerscale.membership import UpstreamRoster
 from tanagerscale.membership._roster import MASS_EXPIRY_GRACE_MS
-from tanagerscale.membership._roster import OLDER_START_DELAY_MS
+from tanagerscale.membership._roster import OLDER_INCARNATION_DELAY_MS
 from tanagerscale.membership._roster import OUTAGE_GRACE_MS
 from tanagerscale.membership._roster import UNREADABLE_GRACE_MS
 from tanagerscale.store import StoreEntry
@@ -42,9 +42,9 @@
         self.gate = UpstreamGate(clock=clock, rng=Random(1), broadcast=self.notices.append)
         self.roster = UpstreamRoster(
             gate=self.gate,
-            evacuations=Evacuations(domain_of=lambda _: None, clock=clock),
+            evacuations=Evacuations(parse_evacuated_domain=lambda _: None, clock=clock),
             decode=decode_store_entry,
-            name_of=UpstreamName,
+            parse_upstream_name=UpstreamName,
             clock=clock,
         )
         self.revision = 10
@@ -231,7 +231,7 @@
     run_virtually(scenario())
 
 
-def test_earlier_start_is_gone_when_the_upstream_restarts() -> None:
+def test_earlier_incarnation_is_gone_when_the_upstream_restarts() -> None:
     async def scenario() -> None:
         harness = await _create_harness_with_start_times()
         harness.write("b", state="ready@2000")
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("late_value", ["leaving@1000", "ready@1000"])
-def test_late_write_of_earlier_start_is_ignored(late_value: str) -> None:
+def test_late_write_of_earlier_incarnation_is_ignored(late_value: str) -> None:
     async def scenario() -> None:
         harness = await _create_harness_with_start_times()
         harness.write("b", state="ready@2000")
@@ -265,13 +265,13 @@
         harness = await _create_harness_with_start_times()
         harness.write("b", state="ready@9000")
         harness.write("b", state="ready@1000")
-        await asyncio.sleep((OLDER_START_DELAY_MS + MARGIN_MS) / 1000)
+        await asyncio.sleep((OLDER_INCARNATION_DELAY_MS + MARGIN_MS) / 1000)
         assert harness.open_ids() == "a1000b1000c1000d1000e1000"
 
     run_virtually(scenario())
 
 
-def test_late_write_of_earlier_start_is_ignored_when_the_entry_is_deleted() -> None:
+def test_late_write_of_earlier_incarnation_is_ignored_when_the_entry_is_deleted() -> None:
     async def scenario() -> None:
         harness = await _create_harness_with_start_times()
         harness.write("b", state="ready@2000")
@@ -311,7 +311,7 @@
         harness = await _create_settled_harness()
         harness.write("b", state="bad")
         assert harness.open_ids() == "acde"
-        assert "b" not in {entry.upstream for entry in harness.roster.staying(SERVICE)}
+        assert "b" not in {entry.upstream for entry in harness.roster.not_leaving(SERVICE)}
         assert not harness.gate.is_leaving(UpstreamId("b"))
 
     run_virtually(scenario())
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -91,7 +91,7 @@
 
 async def test_place_reports_no_upstream_when_all_engines_are_closed() -> None:
     cluster = Cluster(hosts=["a"], engines=make_engines(number=1))
-    cluster.host("a").gate.note_leaving(upstream=UpstreamId("engine-0"))
+    cluster.host("a").gate.record_leaving(upstream=UpstreamId("engine-0"))
     problem = (await cluster.host("a").router.place(request=make_request("g1"))).failure()
     assert problem.kind is ProblemKind.NO_UPSTREAM
     assert problem.execution is Execution.NOT_EXECUTED
@@ -160,7 +160,7 @@
     # Guards against a request that waits for the owner while its entry host can use the engine.
     cluster = Cluster(hosts=["a", "b"], engines=make_engines(number=1, max_batch=4))
     entry, owner = cluster.entry_and_owner()
-    cluster.host(owner).gate.note_leaving(upstream=UpstreamId("engine-0"))
+    cluster.host(owner).gate.record_leaving(upstream=UpstreamId("engine-0"))
     tasks = [asyncio.create_task(cluster.place(entry, f"g{index}")) for index in range(4)]
     await asyncio.sleep(0.1)
     # Each of the two hosts has a share of two of the engine's four slots.
@@ -181,7 +181,7 @@
     waiting = asyncio.create_task(cluster.host(entry).router.place(request=request))
     await asyncio.sleep(1)
     assert not waiting.done()
-    cluster.host(owner).gate.note_leaving(upstream=second.engine)
+    cluster.host(owner).gate.record_leaving(upstream=second.engine)
     await asyncio.sleep(0.1)
     assert waiting.done()
     assert waiting.result().unwrap().engine == second.engine
@@ -196,8 +196,8 @@
     waiting = asyncio.create_task(cluster.host(entry).router.place(request=make_request("g3")))
     await asyncio.sleep(1)
     for engine in ("engine-0", "engine-1"):
-        cluster.host(owner).gate.note_leaving(upstream=UpstreamId(engine))
-        cluster.host(entry).gate.note_leaving(upstream=UpstreamId(engine))
+        cluster.host(owner).gate.record_leaving(upstream=UpstreamId(engine))
+        cluster.host(entry).gate.record_leaving(upstream=UpstreamId(engine))
     await asyncio.sleep(0.1)
     assert waiting.done()
     assert waiting.result().failure().kind is ProblemKind.NO_UPSTREAM
@@ -336,7 +336,7 @@
 async def test_no_request_is_placed_on_an_engine_that_is_leaving_at_the_entry_host() -> None:
     cluster = Cluster(hosts=["a", "b"], engines=make_engines(number=2))
     entry, _ = cluster.entry_and_owner()
-    cluster.host(entry).gate.note_leaving(upstream=UpstreamId("engine-0"))
+    cluster.host(entry).gate.record_leaving(upstream=UpstreamId("engine-0"))
     for index in range(4):
         placement = await cluster.place(entry, f"g{index}")
         assert placement.engine == "engine-1"
@@ -355,7 +355,7 @@
     asked = [each for each in host.schedulers if each.queue]
     assert len(asked) == 1
     closed, still_open = (first, second) if first.engine in asked[0].specs else (second, first)
-    host.gate.note_leaving(upstream=closed.engine)
+    host.gate.record_leaving(upstream=closed.engine)
     await asyncio.sleep(2)
     cluster.release("a", still_open.generation)
     assert (await waiting).engine == still_open.engine
--- a/testing/test_routing_machine.py
+++ b/testing/test_routing_machine.py
@@ -137,7 +137,7 @@
 
     async def _mark_engines_down(self, host: str, engines: set[str]) -> None:
         for engine in engines:
-            self.cluster.host(host).gate.note_down(upstream=UpstreamId(engine))
+            self.cluster.host(host).gate.record_failure(upstream=UpstreamId(engine))
 
     @rule(viewer=hosts, seen=st.sets(hosts))
     def change_live_peers(self, viewer: str, seen: set[str]) -> None:
@@ -217,7 +217,7 @@
 
     async def _mark_engines_up(self, host: str) -> None:
         for engine in ENGINES:
-            self.cluster.host(host).gate.note_up(upstream=UpstreamId(engine))
+            self.cluster.host(host).gate.record_success(upstream=UpstreamId(engine))
 
     def _start_placing(self, host: str, name: str) -> asyncio.Task[Any]:
         async def place() -> UpstreamId | None:
--- a/testing/test_run_ledger.py
+++ b/testing/test_run_ledger.py
@@ -134,9 +134,9 @@
         ledger = RunLedger(clock=Clock())
         _report(ledger, A, _use("1", begun_ms=0))
         (run,) = ledger.runs_of(decider=A)
-        ledger.plan_copy(run=run, target=Y, yields=True, for_ms=500)
+        ledger.plan_copy(run=run, target=Y, is_evictable=True, for_ms=500)
         _report(ledger, A, _use("1", begun_ms=5), number=2)
-        assert ledger.totals()[Y].yielding_tokens == 1000
+        assert ledger.totals()[Y].evictable_tokens == 1000
         assert ledger.runs_of(decider=A)[0].use.is_moving
         ledger.end_plan(request=RequestId("1"))
         assert Y not in ledger.totals()
@@ -153,7 +153,7 @@
         assert Y not in ledger.totals()
         # The host has not confirmed the drop; it may not have received the order.
         await asyncio.sleep((DROP_TIMEOUT_MS + 10) / 1000)
-        assert ledger.totals()[Y].yielding_tokens >= 1000
+        assert ledger.totals()[Y].evictable_tokens >= 1000
 
     run_virtually(main())
 
--- a/testing/test_services.py
+++ b/testing/test_services.py
@@ -26,7 +26,7 @@
 from tanagerscale.generated.upstream import Refusal
 from tanagerscale.generated.upstream import RefusalKind
 from tanagerscale.policy import RetryBudget
-from tanagerscale.services import ServiceDependencies
+from tanagerscale.services import ServiceContext
 from tanagerscale.services import ServiceDispatch
 from tanagerscale.upstreams import ServiceCall
 from tanagerscale.upstreams import ServiceResponse
@@ -90,19 +90,19 @@
 
 
 @dataclass(kw_only=True)
-class FakeNotes:
+class FakeUpstreamObserver:
     """Records which upstreams are leaving and ignores all other reports."""
 
     leaving: list[UpstreamId] = field(default_factory=list)
 
-    def note_leaving(self, *, upstream: UpstreamId) -> None:
+    def record_leaving(self, *, upstream: UpstreamId) -> None:
         """Record the upstream."""
         self.leaving.append(upstream)
 
-    def note_failure(self, *, upstream: UpstreamId) -> None:
+    def record_failure(self, *, upstream: UpstreamId) -> None:
         """Ignore the failure."""
 
-    def note_success(self, *, upstream: UpstreamId) -> None:
+    def record_success(self, *, upstream: UpstreamId) -> None:
         """Ignore the success."""
 
 
@@ -120,10 +120,10 @@
         is_live=lambda _host, _incarnation: True,
     )
     return ServiceDispatch(
-        dependencies=ServiceDependencies(
+        context=ServiceContext(
             client=service,
             claims=claims,
-            notes=FakeNotes(),
+            observer=FakeUpstreamObserver(),
             is_open=lambda _upstream: True,
             retries=RetryBudget(),
             clock=clock,
--- a/testing/test_suspects.py
+++ b/testing/test_suspects.py
@@ -21,7 +21,7 @@
 
 def _record_crashes(suspects: SuspectTracker, fingerprint: Fingerprint, number: int = 3) -> None:
     for upstream in ENGINES[:number]:
-        suspects.note_broken(fingerprint=fingerprint, upstream=upstream)
+        suspects.record_broken_response(fingerprint=fingerprint, upstream=upstream)
 
 
 def test_request_is_refused_once_it_has_crashed_three_upstreams() -> None:
@@ -30,7 +30,7 @@
         results = []
         for upstream in ENGINES:
             results.append(suspects.is_refused(POISON))
-            suspects.note_broken(fingerprint=POISON, upstream=upstream)
+            suspects.record_broken_response(fingerprint=POISON, upstream=upstream)
         return [*results, suspects.is_refused(POISON)]
 
     assert run_virtually(run()) == [False, False, False, True]
@@ -40,7 +40,7 @@
     async def run() -> bool:
         suspects = SuspectTracker(clock=Clock())
         _record_crashes(suspects, POISON)
-        suspects.note_alive(upstream=ENGINES[1])
+        suspects.record_alive(upstream=ENGINES[1])
         return suspects.is_refused(POISON)
 
     assert not run_virtually(run())
@@ -49,10 +49,10 @@
 def test_crash_is_withdrawn_on_all_hosts_when_the_upstream_answers_one_of_them() -> None:
     async def run() -> list[bool]:
         local, remote = SuspectTracker(clock=Clock()), SuspectTracker(clock=Clock())
-        local.news.subscribe(remote.on_peer)
+        local.suspect_updates.subscribe(remote.on_peer)
         _record_crashes(local, HARMLESS)
         results = [remote.is_refused(HARMLESS)]
-        local.note_alive(upstream=ENGINES[0])
+        local.record_alive(upstream=ENGINES[0])
         return [*results, remote.is_refused(HARMLESS)]
 
     assert run_virtually(run()) == [True, False]
@@ -72,7 +72,7 @@
     async def run() -> bool:
         suspects = SuspectTracker(clock=Clock())
         for _ in range(5):
-            suspects.note_broken(fingerprint=POISON, upstream=ENGINES[0])
+            suspects.record_broken_response(fingerprint=POISON, upstream=ENGINES[0])
         return suspects.is_refused(POISON)
 
     assert not run_virtually(run())
@@ -81,11 +81,11 @@
 def test_request_is_cleared_on_all_hosts_by_a_complete_answer() -> None:
     async def run() -> tuple[bool, bool, bool]:
         local, remote = SuspectTracker(clock=Clock()), SuspectTracker(clock=Clock())
-        local.news.subscribe(remote.on_peer)
+        local.suspect_updates.subscribe(remote.on_peer)
         _record_crashes(local, POISON)
         _record_crashes(local, HARMLESS, 2)
-        local.note_whole(fingerprint=HARMLESS, upstream=UpstreamId("w"))
-        local.note_broken(fingerprint=HARMLESS, upstream=ENGINES[2])
+        local.record_complete_response(fingerprint=HARMLESS, upstream=UpstreamId("w"))
+        local.record_broken_response(fingerprint=HARMLESS, upstream=ENGINES[2])
         return remote.is_refused(POISON), remote.is_refused(HARMLESS), local.is_refused(HARMLESS)
 
     assert run_virtually(run()) == (True, False, False)
@@ -94,9 +94,9 @@
 def test_crashes_are_counted_over_all_hosts_and_sent_to_hosts_that_connect_later() -> None:
     async def run() -> bool:
         first, second, third = (SuspectTracker(clock=Clock()) for _ in range(3))
-        first.news.subscribe(second.on_peer)
-        first.note_broken(fingerprint=POISON, upstream=ENGINES[0])
-        second.note_broken(fingerprint=POISON, upstream=ENGINES[1])
+        first.suspect_updates.subscribe(second.on_peer)
+        first.record_broken_response(fingerprint=POISON, upstream=ENGINES[0])
+        second.record_broken_response(fingerprint=POISON, upstream=ENGINES[1])
         for message in second.snapshot():
             third.on_peer(message)
         third.on_peer(Suspect(upstream=ENGINES[2], evidence=Evidence.BROKEN, fingerprint=POISON))
@@ -120,7 +120,7 @@
         suspects = SuspectTracker(clock=Clock())
         for number in range(MAX_SUSPECTS + 100):
             fingerprint = Fingerprint(str(number))
-            suspects.note_broken(fingerprint=fingerprint, upstream=ENGINES[0])
+            suspects.record_broken_response(fingerprint=fingerprint, upstream=ENGINES[0])
         return suspects.suspect_count
 
     assert run_virtually(run()) == MAX_SUSPECTS
--- a/testing/test_warmup.py
+++ b/testing/test_warmup.py
@@ -55,7 +55,7 @@
 def _limit(*, share: float = 1.0, host: str = "host", per_s: float = RATE_PER_S) -> WarmupLimit:
     return WarmupLimit(
         host=HostId(host),
-        tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=per_s)),
+        tables=FakeTables(table=make_table(warmup_ms=COLD_MS, warmup_requests_per_s=per_s)),
         upstreams=FakeUpstreams(entries=[ENTRY], cold={"x": 60_000}),
         share=lambda: share,
         clock=Clock(),
@@ -113,7 +113,9 @@
     async def main() -> bool:
         limit = WarmupLimit(
             host=HostId("host"),
-            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S)),
+            tables=FakeTables(
+                table=make_table(warmup_ms=COLD_MS, warmup_requests_per_s=RATE_PER_S)
+            ),
             upstreams=FakeUpstreams(entries=[ENTRY]),
             share=lambda: 1.0,
             clock=Clock(),
@@ -128,7 +130,9 @@
         upstreams = FakeUpstreams(entries=[ENTRY])
         limit = WarmupLimit(
             host=HostId("host"),
-            tables=FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S)),
+            tables=FakeTables(
+                table=make_table(warmup_ms=COLD_MS, warmup_requests_per_s=RATE_PER_S)
+            ),
             upstreams=upstreams,
             share=lambda: 1.0,
             clock=Clock(),
@@ -147,24 +151,24 @@
         world = RosterHarness()
         world.write("a")
         await asyncio.sleep(100)
-        seen = [world.roster.cold_ms(UpstreamId("a"))]
+        seen = [world.roster.warmup_ms(UpstreamId("a"))]
         world.revision += 1
         entry = make_store_entry("a", "ready 800", revision=world.revision)
         found = StoreRange(entries=(entry,), revision=StoreRevision(world.revision))
         world.roster.on_snapshot(found)
-        seen.append(world.roster.cold_ms(UpstreamId("a")))
+        seen.append(world.roster.warmup_ms(UpstreamId("a")))
         await asyncio.sleep(0.3)
         # Reading the same entry again does not restart its cold time.
         world.roster.on_snapshot(found)
-        seen.append(world.roster.cold_ms(UpstreamId("a")))
+        seen.append(world.roster.warmup_ms(UpstreamId("a")))
         await asyncio.sleep(1)
-        return [*seen, world.roster.cold_ms(UpstreamId("a"))]
+        return [*seen, world.roster.warmup_ms(UpstreamId("a"))]
 
     assert run_virtually(main()) == [0, 800, 500, 0]
 
 
 def _tables() -> FakeTables:
-    return FakeTables(table=make_table(cold_ms=COLD_MS, cold_per_s=RATE_PER_S))
+    return FakeTables(table=make_table(warmup_ms=COLD_MS, warmup_requests_per_s=RATE_PER_S))
 
 
 def test_plain_requests_above_the_limit_go_to_warm_upstreams() -> None:
@@ -175,7 +179,9 @@
         bench.caller.set("x", *(FakeResponse() for _ in range(500)))
         for number in range(300):
             request = route_request(make_request(name=f"r{number}"), make_route())
-            refusal = await PlainForwarder(routed=request, parts=bench.parts).serve(FakeResponder())
+            refusal = await PlainForwarder(routed=request, context=bench.context).serve(
+                FakeResponder()
+            )
             assert refusal is None
             await asyncio.sleep(0.003)
         return Counter(bench.caller.asked)
@@ -193,7 +199,7 @@
         refusals = []
         for number in range(30):
             request = route_request(make_request(name=f"r{number}"), make_route())
-            forward = PlainForwarder(routed=request, parts=bench.parts)
+            forward = PlainForwarder(routed=request, context=bench.context)
             refusals.append(await forward.serve(FakeResponder()))
         refused = [refusal for refusal in refusals if refusal is not None]
         assert len(bench.caller.asked) + len(refused) == 30
@@ -231,7 +237,7 @@
 
 def test_generations_of_all_hosts_share_the_limit_of_a_cold_engine() -> None:
     async def scenario(fleet: Fleet) -> None:
-        fleet.set_engine("e0", cold_ms=10_000)
+        fleet.set_engine("e0", warmup_ms=10_000)
         await asyncio.sleep(0.1)
         granted = await _ask_concurrently(fleet, count=60)
         assert 1 <= _max_in_a_second(granted) <= RATE_PER_S
@@ -241,7 +247,7 @@
 
 def test_limit_holds_when_the_decider_is_killed_within_the_second() -> None:
     async def scenario(fleet: Fleet) -> None:
-        fleet.set_engine("e0", cold_ms=10_000)
+        fleet.set_engine("e0", warmup_ms=10_000)
         await asyncio.sleep(0.1)
         first = asyncio.create_task(_ask_concurrently(fleet, count=30))
         await asyncio.sleep(0.2)
@@ -255,7 +261,7 @@
 
 def test_limit_holds_when_all_hosts_are_isolated() -> None:
     async def scenario(fleet: Fleet) -> None:
-        fleet.set_engine("e0", cold_ms=60_000)
+        fleet.set_engine("e0", warmup_ms=60_000)
         await asyncio.sleep(0.1)
         for host in fleet.hosts:
             fleet.freeze(host)
--- a/testing/test_warmup_machine.py
+++ b/testing/test_warmup_machine.py
@@ -64,7 +64,7 @@
     def _limit(self, host: str) -> WarmupLimit:
         return WarmupLimit(
             host=HostId(host),
-            tables=FakeTables(table=make_table(cold_ms=60_000, cold_per_s=RATE_PER_S)),
+            tables=FakeTables(table=make_table(warmup_ms=60_000, warmup_requests_per_s=RATE_PER_S)),
             upstreams=FakeUpstreams(entries=[ENTRY], cold={"x": 60_000}),
             share=lambda: self._share(host),
             clock=cast(Clock, self.clock),
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -211,11 +211,11 @@
     gate = UpstreamGate(clock=clock, rng=random.Random(1), broadcast=lambda _message: None)
     dispatch = DispatchContext(
         router=OneEngineRouter(),
-        client_of=lambda _engine: client,
+        get_client=lambda _engine: client,
         observer=GateHealthRecorder(gate=gate),
         crash_watch=NoQuarantine(),
         retries=RetryBudget(),
-        canceller=Canceller(client_of=lambda _engine: client, clock=clock),
+        canceller=Canceller(get_client=lambda _engine: client, clock=clock),
         meter=UsageMeter(clock=clock, objective=Objective),
         clock=clock,
         rng=random.Random(1),
