--- a/src/tanagerscale/coordination/_coordinator.py
+++ b/src/tanagerscale/coordination/_coordinator.py
@@ -162,7 +162,7 @@
         self.queue.reevaluate()
         self.planner.reevaluate()
 
-    def on_store_currency(self, is_current: bool) -> None:
+    def on_store_current_changed(self, is_current: bool) -> None:
         """Record whether the store delivers notices of leaving upstreams."""
         if is_current:
             self._is_store_stale.clear()
--- a/src/tanagerscale/coordination/_ledger.py
+++ b/src/tanagerscale/coordination/_ledger.py
@@ -22,7 +22,7 @@
 
 GRANT_TTL_MS: Final = 1000
 """How long a grant reserves memory for a host that has not reported the run. Hosts report within 30
-ms; a host that died in between must not hold memory that others wait for."""
+ms; a host that crashed in between must not hold memory that others wait for."""
 
 DROP_TIMEOUT_MS: Final = 200
 """How long a copy counts as dropped without a confirmation of its host; dropping takes a few
--- a/src/tanagerscale/declarations/_chunk_store.py
+++ b/src/tanagerscale/declarations/_chunk_store.py
@@ -51,7 +51,7 @@
 ) -> Result[None, StoreError]:
     """Write the chunks that the accepted revision lacks.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     :param chunked: Sections of the revision to publish.
     :param valid_digests: Digests of the accepted revision's chunks that were read intact.
@@ -133,7 +133,7 @@
     The audit record is the one that exceeds ``MAX_AUDIT_RECORDS``. Errors are ignored: chunks that
     are not deleted are found by the full scan every ``FULL_SCAN_INTERVAL_REVISIONS`` revisions.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     :param head: The head that was just accepted.
     :param head_mod_revision: Store revision at which ``head`` was written.
--- a/src/tanagerscale/declarations/_fetch.py
+++ b/src/tanagerscale/declarations/_fetch.py
@@ -57,7 +57,7 @@
 ) -> Result[Mapping[str, bytes], StoreError]:
     """Read chunks, at most ``MAX_CONCURRENT_READS`` at a time.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     :param digests: Digests of the chunks to read.
     :returns: Content by digest, without the chunks that don't exist.
@@ -88,7 +88,7 @@
     Chunks of a revision are deleted once a later one is accepted, so a chunk is reported as missing
     only if the head is unchanged on a second read.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     """
     result = await _read_once(store=store, prefix=prefix)
--- a/src/tanagerscale/declarations/_follower.py
+++ b/src/tanagerscale/declarations/_follower.py
@@ -55,7 +55,7 @@
 class Follower:
     """Follows the accepted declarations and puts each higher revision in force atomically.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     :param clock: Clock used for polling and backoff.
     :param random: Random number generator used to jitter delays and to select chunks for peers.
--- a/src/tanagerscale/declarations/_publish.py
+++ b/src/tanagerscale/declarations/_publish.py
@@ -75,7 +75,7 @@
 ) -> Result[Head, ApplyError]:
     """Publish a set as the next revision.
 
-    :param store: The platform's key-value service.
+    :param store: Client of the store.
     :param prefix: Prefix of all store keys of the installation.
     :param declarations: The set, as returned by ``read_declarations``.
     :param author: Name of the operator, recorded with the revision.
--- a/src/tanagerscale/forwarding/_copier.py
+++ b/src/tanagerscale/forwarding/_copier.py
@@ -47,7 +47,7 @@
         :param run: The run.
         :param source: Engine that runs it.
         :param target: Engine that receives the copy.
-        :param ahead: Whether the copy is a precaution, with no move planned; such a copy is
+        :param ahead: Whether the copy is made ahead of time, with no move planned; such a copy is
             evictable.
         :returns: The copy, or ``None`` if it failed or is no longer needed.
         """
--- a/src/tanagerscale/gateway/_control.py
+++ b/src/tanagerscale/gateway/_control.py
@@ -304,7 +304,7 @@
         self.gate.changes.subscribe(self.coordinator.on_upstreams)
         self.roster.changes.subscribe(self.coordinator.on_upstreams)
         self.evacuations.changes.subscribe(lambda _: self.coordinator.reevaluate())
-        self.roster.is_current_changes.subscribe(self.coordinator.on_store_currency)
+        self.roster.is_current_changes.subscribe(self.coordinator.on_store_current_changed)
         self._work.changes.subscribe(lambda _: self.client.schedule_report())
 
     def _heartbeat(self) -> Heartbeat:
--- a/src/tanagerscale/membership/_evacuations.py
+++ b/src/tanagerscale/membership/_evacuations.py
@@ -31,8 +31,8 @@
 
     The last known evacuations stay in force while the store can't be read.
 
-    :param parse_evacuated_domain: Parses a store key into the failure domain that it evacuates; returns ``None``
-        for keys that evacuate none.
+    :param parse_evacuated_domain: Parses a store key into the failure domain that it evacuates;
+        returns ``None`` for keys that evacuate none.
     :param clock: Source of the current time.
     """
 
--- a/src/tanagerscale/membership/_gate.py
+++ b/src/tanagerscale/membership/_gate.py
@@ -23,7 +23,7 @@
 from tanagerscale.generated.upstream import ListedState
 
 _MIN_BACKOFF_MS = 750
-"""Must exceed the interval at which the owner polls an engine, so that failed polls keep a dead
+"""Must exceed the interval at which the owner polls an engine, so that failed polls keep a crashed
 engine closed."""
 _MAX_BACKOFF_MS = 6000
 
--- a/src/tanagerscale/policy/_copying.py
+++ b/src/tanagerscale/policy/_copying.py
@@ -22,8 +22,8 @@
 """Minimum time between an engine's notice and its end, used when the engine does not report one."""
 
 EVACUATION_BUDGET_MS: Final = 1100
-"""Runs that can be copied within this time after a notice need no copy beforehand. The rest of the
-notice covers its propagation and the start of newly placed runs."""
+"""Runs that can be copied within this time after a notice need no copy ahead of time. The rest of
+the notice covers its propagation and the start of newly placed runs."""
 
 
 def estimate_copy_ms(
--- a/src/tanagerscale/policy/_forecast.py
+++ b/src/tanagerscale/policy/_forecast.py
@@ -48,7 +48,7 @@
     :param accounts: Declared accounts.
     :param tuning: Scheduler settings.
     :param rng: Random number generator used to spread the retries of shed callers.
-    :param share: Part of each engine that this scheduler may fill. Hosts that can't reach the
+    :param share: Fraction of each engine that this scheduler may fill. Hosts that can't reach the
         pool's owner use 1/N each and ignore the work of other schedulers.
     :param lengths: Estimator of answer lengths; the schedulers of one host may share it, so that a
         new owner starts with existing estimates.
@@ -112,14 +112,14 @@
             ledger.refused_tokens.clear()
 
     def set_share(self, *, share: float) -> None:
-        """Set the part of every engine this scheduler may fill, as a new owner must."""
+        """Set the fraction of every engine this scheduler may fill, as a new owner must."""
         self._share = share
         for ledger in self._ledgers.values():
             ledger.ignores_foreign_work = share < 1.0
             ledger.refused_tokens.clear()
 
     def set_shares(self, *, shares: Mapping[UpstreamId, float]) -> None:
-        """Set the part of each engine this scheduler may fill; others keep ``share``."""
+        """Set the fraction of each engine this scheduler may fill; others keep ``share``."""
         self._shares = shares
         for ledger in self._ledgers.values():
             ledger.refused_tokens.clear()
@@ -363,7 +363,7 @@
     :param objective: Declared weights of the scheduling objective.
     :param accounts: Declared accounts.
     :param rng: Random number generator used to spread the retries of shed callers.
-    :param share: Part of each engine that it may fill.
+    :param share: Fraction of each engine that it may fill.
     :param lengths: Estimator of answer lengths, which the schedulers of one host may share.
     """
     return ForecastScheduler(
--- a/src/tanagerscale/policy/_ledger.py
+++ b/src/tanagerscale/policy/_ledger.py
@@ -156,7 +156,7 @@
         return True
 
     def expected_fill(self) -> float:
-        """Return the part of the memory expected to be in use some seconds ahead."""
+        """Return the fraction of the memory expected to be in use some seconds ahead."""
         return self._forecast.mean[FILL_HORIZON_INDEX] / self.spec.memory_tokens
 
     def add(self, running: RunningGeneration, *, now: Millis) -> None:
--- a/src/tanagerscale/policy/_limits.py
+++ b/src/tanagerscale/policy/_limits.py
@@ -33,7 +33,7 @@
 """Each host keeps an eighth of an equal share of the slots, however low its demand is."""
 
 MIN_SHARE_FACTOR = 0.5
-"""Part of an equal share of the rates that a host may always use, whatever its peers report."""
+"""Fraction of an equal share of the rates that a host may always use, whatever its peers report."""
 
 
 @unique
@@ -87,7 +87,7 @@
 class AccountLimits:
     """One host's share of the limits of each account.
 
-    A host may use a part of each limit equal to its part of the demand of all hosts, as reported by
+    A host's share of each limit equals its share of the demand of all hosts, as reported by
     heartbeats. A peer without recent heartbeats counts as using an equal share, so partitioned
     hosts can't exceed the limit together, however long the partition lasts.
 
@@ -228,7 +228,7 @@
         return share * (hosts - silent) / hosts
 
     def _demand_share(self, name: ClientAccountId, *, now: Millis) -> float:
-        """Return this host's part of the demand of all hosts with recent heartbeats."""
+        """Return this host's share of the demand of all hosts with recent heartbeats."""
         own = self._accounts[name].demand
         others = sum(
             item.usage.demand
--- a/src/tanagerscale/policy/_moves.py
+++ b/src/tanagerscale/policy/_moves.py
@@ -243,7 +243,7 @@
 
 
 def _next_copy_ahead(snapshot: MoveSnapshot, rng: Random) -> Move | None:
-    """Return the next copy of a run made in case its engine leaves or fails."""
+    """Return the next copy of a run to make ahead of time, in case its engine leaves or fails."""
     pending = [run for run in snapshot.runs if _needs_copy(snapshot, run)]
     pending.sort(key=lambda run: (run.has_copy_failed, run.copy_at is None, -run.answer_tokens))
     for run in pending:
--- a/src/tanagerscale/policy/_outliers.py
+++ b/src/tanagerscale/policy/_outliers.py
@@ -19,8 +19,8 @@
 """Minimum number of bad responses before an upstream may be ejected."""
 
 MIN_BAD_RATE: Final = 0.2
-"""Minimum part of an upstream's responses that must be bad. Below it, the upstream costs less than
-the load that its ejection adds to its siblings."""
+"""Minimum fraction of an upstream's responses that must be bad. Below it, the upstream costs less
+than the load that its ejection adds to its siblings."""
 
 PRIOR_BAD_RATE: Final = 0.1
 PRIOR_RESPONSES: Final = 10
@@ -49,7 +49,7 @@
 
     @property
     def rate(self) -> float:
-        """Part of the responses that were bad; 0 if there were none."""
+        """Fraction of the responses that were bad; 0 if there were none."""
         return self.bad / max(self.good + self.bad, 1)
 
     def plus(self, other: Tally) -> Tally:
@@ -82,7 +82,7 @@
 
 
 def select_ejections(candidates: Mapping[UpstreamId, float], *, siblings: int) -> set[UpstreamId]:
-    """Return the upstreams to eject, limited to a part of the service, the worst first.
+    """Return the upstreams to eject, limited to a fraction of the service, the worst first.
 
     :param candidates: Upstreams that should be ejected, each with its rate of bad responses.
     :param siblings: Number of upstreams of the service.
--- a/src/tanagerscale/policy/_placement.py
+++ b/src/tanagerscale/policy/_placement.py
@@ -41,17 +41,17 @@
 generation. About ten thousand tokens can be copied within the notice of a leaving engine."""
 
 MAX_PLANNED_MEMORY_RATIO: Final = 0.95
-"""Part of an engine's memory that may be planned for; the rest absorbs the growth of running
+"""Fraction of an engine's memory that may be planned for; the rest absorbs the growth of running
 generations."""
 
 MAX_COPY_MEMORY_RATIO: Final = 0.9
-"""Part of an engine's memory up to which it takes copies of runs that could not all be evacuated
-within the notice of their engine; a prompt still fits."""
+"""Fraction of an engine's memory up to which it accepts copies of runs that could not all be
+evacuated within the notice of their engine; a prompt still fits."""
 
 MAX_SPARE_COPY_MEMORY_RATIO: Final = 0.6
-"""Part of an engine's memory up to which it takes copies of any long generation, in case the engine
-that runs it fails without notice. Copying is cheap but memory is not, so these copies use only
-memory that nothing else needs."""
+"""Fraction of an engine's memory up to which it accepts copies of any long generation, in case the
+engine that runs it fails without notice. Copying is cheap but memory is not, so these copies use
+only memory that nothing else needs."""
 
 MIN_IMBALANCE_FACTOR: Final = 2.5
 """Minimum difference in planned memory between two engines, as a multiple of a run's memory, for
@@ -73,7 +73,7 @@
 
     :param upstream: Id of the engine.
     :param failure_domain: Failure domain of the engine.
-    :param memory_tokens: Total key-value memory, in tokens.
+    :param memory_tokens: Capacity of its KV cache, in tokens.
     :param held_tokens: Memory that generations hold, or will hold once their prompts are prefilled.
     :param copy_tokens: Memory of copies of runs that leave another engine.
     :param evictable_tokens: Memory of copies made ahead, which are evicted when new work needs it.
@@ -201,7 +201,7 @@
 
     :param view: The engine.
     :param tokens: Size of the copy.
-    :param max_ratio: Maximum part of the engine's memory in use, including the copy.
+    :param max_ratio: Maximum fraction of the engine's memory in use, including the copy.
     """
     used_tokens = view.held_tokens + view.copy_tokens + view.evictable_tokens
     return used_tokens + tokens <= view.memory_tokens * max_ratio
--- a/src/tanagerscale/policy/_shedding.py
+++ b/src/tanagerscale/policy/_shedding.py
@@ -21,7 +21,7 @@
 """Lower bound of the rate, which keeps forecast waits finite when no tokens are generated."""
 
 RESERVED_RATE_SHARE = 0.1
-"""Part of the service rate that is reserved for the retries of shed callers."""
+"""Fraction of the service rate that is reserved for the retries of shed callers."""
 
 MAX_RETRY_AFTER_MS = 900_000.0
 RETRY_AFTER_JITTER = 0.05
--- a/src/tanagerscale/policy/_tuning.py
+++ b/src/tanagerscale/policy/_tuning.py
@@ -21,7 +21,7 @@
     """Settings of the forecasting scheduler.
 
     :param deviations: Standard deviations of forecast memory kept free.
-    :param memory_part: Part of an engine's memory to fill; a smaller part makes decoding steps
+    :param memory_part: Fraction of an engine's memory to fill; a smaller one makes decoding steps
         faster.
     :param short_tokens: Expected tokens up to which work counts as short.
     :param length_ms_per_token: Delay in the queue for each expected token.
--- a/src/tanagerscale/policy/_types.py
+++ b/src/tanagerscale/policy/_types.py
@@ -25,7 +25,7 @@
     """Declared properties of an engine.
 
     :param engine: Id of the engine.
-    :param memory_tokens: Key-value memory, in tokens.
+    :param memory_tokens: Capacity of its KV cache, in tokens.
     :param max_batch: Maximum number of generations decoded together.
     """
 
--- a/src/tanagerscale/replay/_engine.py
+++ b/src/tanagerscale/replay/_engine.py
@@ -31,7 +31,7 @@
     :param context_ms: Additional time per token of context read in the step.
     :param prefill_ms: Additional time per prompt token computed in the step.
     :param chunk_tokens: Maximum number of prompt tokens computed in a step.
-    :param memory_tokens: Capacity of the key-value cache, in tokens.
+    :param memory_tokens: Capacity of the KV cache, in tokens.
     :param max_batch: Maximum number of generations in the batch.
     """
 
--- a/src/tanagerscale/routes/_types.py
+++ b/src/tanagerscale/routes/_types.py
@@ -78,8 +78,8 @@
     """Capacity and features of the engines of a language model service.
 
     :param max_batch: Maximum number of generations that an engine decodes together.
-    :param memory_tokens: Capacity of one engine's key-value cache in tokens.
-    :param token_bytes: Bytes of key-value cache per token.
+    :param memory_tokens: Capacity of one engine's KV cache in tokens.
+    :param token_bytes: Bytes of KV cache per token.
     :param link_mbps: Bandwidth at which engines copy cache contents to each other.
     :param can_move: Whether a running generation may be copied to another engine.
     :param tokens_per_event: Number of tokens in one event of a stream.
--- a/src/tanagerscale/routing/_convert.py
+++ b/src/tanagerscale/routing/_convert.py
@@ -16,7 +16,7 @@
     """Return the message that asks the owner of a cell to place a request.
 
     The message carries the time waited instead of the arrival time, because the clocks of hosts
-    are not synchronised.
+    are not synchronized.
 
     :param request: Request to place.
     :param cell: Cell whose owner is asked.
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -136,7 +136,7 @@
     def disconnect_store(self) -> None:
         """Simulate an unavailable store, which reports no more leaving engines."""
         self.bench.upstreams.is_current = False
-        self.coordinator.on_store_currency(False)
+        self.coordinator.on_store_current_changed(False)
 
     def leave(self, name: str) -> None:
         """Mark an engine as leaving."""
