--- a/src/tanagerscale/policy/_placement.py
+++ b/src/tanagerscale/policy/_placement.py
@@ -41,17 +41,17 @@
 generation. About ten thousand tokens can be copied within the notice of a leaving engine."""
 
 MAX_PLANNED_MEMORY_RATIO: Final = 0.95
-"""Part of an engine's memory that may be planned for; the rest absorbs the growth of running
+"""Fraction of an engine's memory that may be planned for; the rest absorbs the growth of running
 generations."""
 
 MAX_COPY_MEMORY_RATIO: Final = 0.9
-"""Part of an engine's memory up to which it takes copies of runs that could not all be evacuated
-within the notice of their engine; a prompt still fits."""
+"""Fraction of an engine's memory up to which it accepts copies of runs that could not all be
+evacuated within the notice of their engine; a prompt still fits."""
 
 MAX_SPARE_COPY_MEMORY_RATIO: Final = 0.6
-"""Part of an engine's memory up to which it takes copies of any long generation, in case the engine
-that runs it fails without notice. Copying is cheap but memory is not, so these copies use only
-memory that nothing else needs."""
+"""Fraction of an engine's memory up to which it accepts copies of any long generation, in case the
+engine that runs it fails without notice. Copying is cheap but memory is not, so these copies use
+only memory that nothing else needs."""
 
 MIN_IMBALANCE_FACTOR: Final = 2.5
 """Minimum difference in planned memory between two engines, as a multiple of a run's memory, for
@@ -73,7 +73,7 @@
 
     :param upstream: Id of the engine.
     :param failure_domain: Failure domain of the engine.
-    :param memory_tokens: Total key-value memory, in tokens.
+    :param memory_tokens: Capacity of its KV cache, in tokens.
     :param held_tokens: Memory that generations hold, or will hold once their prompts are prefilled.
     :param copy_tokens: Memory of copies of runs that leave another engine.
     :param evictable_tokens: Memory of copies made ahead, which are evicted when new work needs it.
@@ -113,7 +113,7 @@
 
 
 @unique
-class Verdict(Enum):
+class PlacementVerdict(Enum):
     """Outcome of a placement decision."""
 
     SEND = "send"
@@ -146,7 +146,7 @@
         )
 
 
-class Placement(Struct, frozen=True, kw_only=True):
+class PlacementDecision(Struct, frozen=True, kw_only=True):
     """Placement decision and the state it is based on.
 
     :param verdict: What to do with the generation.
@@ -156,7 +156,7 @@
     :param views: Engines that were considered; empty when the generation is sent.
     """
 
-    verdict: Verdict
+    verdict: PlacementVerdict
     engine: EngineView | None = None
     wait_ms: float = 0.0
     reason: str = ""
@@ -201,7 +201,7 @@
 
     :param view: The engine.
     :param tokens: Size of the copy.
-    :param max_ratio: Maximum part of the engine's memory in use, including the copy.
+    :param max_ratio: Maximum fraction of the engine's memory in use, including the copy.
     """
     used_tokens = view.held_tokens + view.copy_tokens + view.evictable_tokens
     return used_tokens + tokens <= view.memory_tokens * max_ratio
@@ -262,7 +262,7 @@
     reserved_tokens: int = 0,
     failure_domain: FailureDomainId,
     rng: Random,
-) -> Placement:
+) -> PlacementDecision:
     """Decide whether a generation is sent to an engine, waits or is refused.
 
     :param query: Requirements of the generation.
@@ -290,9 +290,15 @@
     unqueued_ms = query.prompt_tokens / PREFILL_TOKENS_PER_MS
     if wait_ms > query.left_ms > unqueued_ms:
         return _wait_or_refuse(query, views, "prompts that wait would make it late")
-    return Placement(verdict=Verdict.SEND, engine=selected, wait_ms=wait_ms, reason="room")
+    return PlacementDecision(
+        verdict=PlacementVerdict.SEND, engine=selected, wait_ms=wait_ms, reason="room"
+    )
 
 
-def _wait_or_refuse(query: PlacementQuery, views: Sequence[EngineView], reason: str) -> Placement:
-    verdict = Verdict.WAIT if query.left_ms + query.patience_ms > 0 else Verdict.REFUSE
-    return Placement(verdict=verdict, reason=reason, views=views)
+def _wait_or_refuse(
+    query: PlacementQuery, views: Sequence[EngineView], reason: str
+) -> PlacementDecision:
+    verdict = (
+        PlacementVerdict.WAIT if query.left_ms + query.patience_ms > 0 else PlacementVerdict.REFUSE
+    )
+    return PlacementDecision(verdict=verdict, reason=reason, views=views)
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -106,7 +106,7 @@
             upstream=run.entry.upstream,
             prompt_tokens=run.tokens,
             tokens=run.tokens,
-            made=run.made,
+            answer_tokens=run.made,
             is_long=True,
         )
         if run.begun:
@@ -116,12 +116,12 @@
         """Record the first event of a stream."""
         run.begun = True
         run.begun_event.set()
-        self.fakes.work.progress(request=run.request, tokens=run.tokens, made=run.made)
+        self.fakes.work.progress(request=run.request, tokens=run.tokens, answer_tokens=run.made)
 
     def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
         run.snapshot = Snapshot(entry=self.entry(at), copy="c", taken=taken)
-        self.fakes.work.set_copy(request=run.request, copy_at=UpstreamId(at), yields=True)
+        self.fakes.work.set_copy(request=run.request, copy_at=UpstreamId(at), is_evictable=True)
 
     def fill(self, name: str, *, tokens: int) -> None:
         """Use memory of an engine for a generation that needs no copies."""
@@ -136,7 +136,7 @@
     def disconnect_store(self) -> None:
         """Simulate an unavailable store, which reports no more leaving engines."""
         self.fakes.upstreams.is_current = False
-        self.coordinator.on_store_currency(False)
+        self.coordinator.on_store_current_changed(False)
 
     def leave(self, name: str) -> None:
         """Mark an engine as leaving."""
--- a/testing/test_forwarding_plain.py
+++ b/testing/test_forwarding_plain.py
@@ -44,7 +44,7 @@
     route = make_route(kind=kind, attempts=attempts)
     routed = route_request(make_request(), route)
     responder = FakeResponder()
-    refusal = await PlainForwarder(routed=routed, parts=fakes.parts).serve(responder)
+    refusal = await PlainForwarder(routed=routed, context=fakes.context).serve(responder)
     return responder, None if refusal is None else refusal.kind
 
 
@@ -126,7 +126,7 @@
     fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
     fakes.upstream_client.set("x", LOST)
     fakes.upstream_client.set("y", FakeResponse(chunks=[b"late"]))
-    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    fakes.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, _ = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
     assert fakes.upstream_client.asked == ["x", "y"]
     assert responder.body == b"late"
@@ -146,7 +146,7 @@
     fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
     fakes.upstream_client.set("x", FakeResponse(status=500, chunks=[b"mine"]))
     fakes.upstream_client.set("y", LOST)
-    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    fakes.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, refusal = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
     assert (responder.status, responder.body) == (500, b"mine")
     assert refusal is None
@@ -166,8 +166,8 @@
     fakes = make_gateway_fakes(*(make_entry(name) for name in names), slack=0.0)
     for name in names[:-1]:
         fakes.upstream_client.set(name, NOT_SENT)
-        fakes.parts.work.plain_counts[UpstreamId(name)] = 0
-    fakes.parts.work.plain_counts[UpstreamId("f")] = 1
+        fakes.context.work.plain_counts[UpstreamId(name)] = 0
+    fakes.context.work.plain_counts[UpstreamId("f")] = 1
     responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
 
@@ -178,8 +178,8 @@
     is_address_reassigned: bool,
 ) -> None:
     fakes = make_gateway_fakes(make_entry("x"))
-    suspects = fakes.parts.suspects
-    suspects.note_broken(fingerprint=Fingerprint("r"), upstream=UpstreamId("x"))
+    suspects = fakes.context.suspects
+    suspects.record_broken_response(fingerprint=Fingerprint("r"), upstream=UpstreamId("x"))
     refusal = FakeResponse(
         status=503, not_executed=True, is_address_reassigned=is_address_reassigned
     )
@@ -194,7 +194,7 @@
     fakes.upstream_client.set(
         "x", FakeResponse(status=421, not_executed=True, is_address_reassigned=True)
     )
-    fakes.parts.work.plain_counts["y"] = 5  # type: ignore[index]
+    fakes.context.work.plain_counts["y"] = 5  # type: ignore[index]
     responder, _ = await _serve(fakes, kind=NON_IDEMPOTENT)
     assert responder.status == 200
     assert fakes.upstreams.gone == ["x"]
@@ -203,7 +203,7 @@
 @pytest.mark.asyncio
 async def test_upstream_with_the_fewest_requests_in_progress_is_chosen() -> None:
     fakes = make_gateway_fakes(make_entry("x"), make_entry("y"))
-    fakes.parts.work.plain_counts["x"] = 2  # type: ignore[index]
+    fakes.context.work.plain_counts["x"] = 2  # type: ignore[index]
     await _serve(fakes, kind=NON_IDEMPOTENT)
     assert fakes.upstream_client.asked == ["y"]
 
@@ -226,7 +226,7 @@
         # Two of three hang; the third gets the request at the first or second attempt.
         fakes.upstreams.entries = [make_entry("x"), make_entry("z")]
         responder, _ = await _serve(fakes, kind=IDEMPOTENT, attempts=2)
-        return fakes.upstream_client.asked, responder.status, fakes.parts.clock.now()
+        return fakes.upstream_client.asked, responder.status, fakes.context.clock.now()
 
     asked, status, took_ms = run_virtually(scenario())
     assert status == 200
--- a/testing/test_forwarding_stream.py
+++ b/testing/test_forwarding_stream.py
@@ -78,8 +78,8 @@
     run = StreamRun(
         routed=route_request(make_request(prompt=100), route),
         responder=responder,
-        parts=fakes.parts,
-        admission=Admission(parts=fakes.parts, placer=fakes.single_host.client),
+        context=fakes.context,
+        admission=Admission(context=fakes.context, placer=fakes.single_host.client),
         hooks=hooks or RecordingHooks(),
     )
     return run, responder
@@ -173,7 +173,9 @@
         await asyncio.sleep(0.5)
         fingerprint = route_request(make_request(prompt=100), make_route()).fingerprint
         for upstream in ("a", "b", "c"):
-            fakes.parts.suspects.note_broken(fingerprint=fingerprint, upstream=UpstreamId(upstream))
+            fakes.context.suspects.record_broken_response(
+                fingerprint=fingerprint, upstream=UpstreamId(upstream)
+            )
         fakes.work.end(request=filler)
         refusal = await serving
         assert refusal is not None
@@ -296,7 +298,7 @@
 
 
 def _snapshot(fakes: GatewayFakes, name: str) -> Snapshot:
-    return Snapshot(entry=make_entry(name), copy="c", taken=fakes.parts.clock.now())
+    return Snapshot(entry=make_entry(name), copy="c", taken=fakes.context.clock.now())
 
 
 def test_stream_resumes_from_its_copy_when_its_engine_crashes() -> None:
@@ -327,7 +329,7 @@
         run.snapshot = _snapshot(fakes, "y")
         assert await serving is None
         assert _event_numbers(responder) == [1, 2]
-        return fakes.parts.clock.now()
+        return fakes.context.clock.now()
 
     assert run_virtually(scenario()) == 3000 + IDLE_TIMEOUT_MS
 
@@ -371,7 +373,7 @@
         serving = asyncio.create_task(run.serve())
         while not run.begun:
             await asyncio.sleep(0.001)
-        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=fakes.parts.clock.now())
+        snapshot = Snapshot(entry=make_entry("y"), copy="c", taken=fakes.context.clock.now())
         run.snapshot = snapshot
         await serving
         assert hooks.unused == [snapshot]
--- a/testing/test_regions.py
+++ b/testing/test_regions.py
@@ -54,7 +54,7 @@
         regions=frozenset(RegionId(name) for name in account),
     )
     regions = frozenset(RegionId(name) for name in route)
-    return AllowedRegions(regions=REGIONS).domains(
+    return AllowedRegions(regions=REGIONS).get_failure_domains(
         route=replace(make_route(), regions=regions), caller=caller
     )
 
@@ -120,12 +120,12 @@
         entries = [make_entry(f"x{domain}", domain=domain) for domain in domains]
         self.fakes: GatewayFakes = make_gateway_fakes(*entries)
         self.fakes.tables.table = make_table(route)
-        parts = self.fakes.parts
+        context = self.fakes.context
         self.dispatcher = Dispatcher(
-            parts=parts,
-            admission=Admission(parts=parts, placer=self.fakes.single_host.client),
+            context=context,
+            admission=Admission(context=context, placer=self.fakes.single_host.client),
             stream_mover=make_stream_mover(self.fakes),
-            homes=AllowedRegions(regions=REGIONS),
+            allowed_regions=AllowedRegions(regions=REGIONS),
             is_stopping=lambda: False,
         )
 
@@ -173,12 +173,12 @@
             _DispatcherHarness(make(WEST), "a", "b"),
             _DispatcherHarness(make(RegionId("north")), "a", "c"),
         ):
-            began = harness.fakes.parts.clock.now()
+            began = harness.fakes.context.clock.now()
             responder = await harness.serve(prompt=None if make is _plain else 100)
             assert responder.refusal is not None
             assert responder.refusal.kind is RefusalKind.OVERLOADED
             assert harness.fakes.upstream_client.asked == []
-            assert harness.fakes.parts.clock.now() == began
+            assert harness.fakes.context.clock.now() == began
 
     run_virtually(scenario())
 
