--- a/src/tanagerscale/accounts/_checker.py
+++ b/src/tanagerscale/accounts/_checker.py
@@ -17,7 +17,7 @@
 from tanagerscale.core import ClientAccountId
 from tanagerscale.generated.declarations import ClientAccount
 
-MAX_KEY_LENGTH = 512
+MAX_KEY_CHARS = 512
 MAX_CACHED_KEYS = 20_000
 MAX_CACHED_REJECTIONS = 4_096
 MAX_CONCURRENT_HASHES = 2
@@ -45,7 +45,7 @@
         self._accepted: OrderedDict[bytes, _CachedResult] = OrderedDict()
         self._rejected: OrderedDict[bytes, _CachedResult] = OrderedDict()
         self._hash_slots = asyncio.Semaphore(max_concurrent_hashes)
-        # One hash at a time per account, so that wrong keys for one account don't delay others.
+        # One hash at a time per account, so that wrong keys for one account do not delay others.
         self._account_locks: WeakValueDictionary[ClientAccountId, asyncio.Lock] = (
             WeakValueDictionary()
         )
@@ -65,7 +65,7 @@
         """
         account_id = ClientAccountId(parse_account_name(key=bearer))
         account = self._accounts.get(account_id)
-        if account is None or len(bearer) > MAX_KEY_LENGTH:
+        if account is None or len(bearer) > MAX_KEY_CHARS:
             return None
         digest = self._digest(bearer)
         cached = self._get_cached(digest=digest, account=account)
--- a/src/tanagerscale/accounts/_hashes.py
+++ b/src/tanagerscale/accounts/_hashes.py
@@ -13,7 +13,7 @@
 
 KEY_SEPARATOR = "."
 SECRET_BYTES = 32
-# Keys have 256 random bits and can't be guessed, so a low cost is safe and keeps the first
+# Keys have 256 random bits and cannot be guessed, so a low cost is safe and keeps the first
 # check of a key short.
 HASHER = PasswordHasher(time_cost=2, memory_cost=8 * 1024, parallelism=1)
 # Limits the cost of hashes in declarations, which could otherwise exhaust a host.
--- a/src/tanagerscale/audit/_trail.py
+++ b/src/tanagerscale/audit/_trail.py
@@ -48,11 +48,11 @@
 ) -> Result[AuditRecord | None, StoreError]:
     """Find the audit record of an apply.
 
-    :param store: The platform's key-value service.
+    :param store: The platform's key-value store.
     :param prefix: Prefix of all store keys of the installation.
     :param newest: Highest revision to search; older ones are searched in descending order.
     :param apply_id: Id of the apply.
-    :returns: The record; ``None`` if it isn't among the newest ``MAX_SEARCHED_RECORDS``.
+    :returns: The record; ``None`` if it is not among the newest ``MAX_SEARCHED_RECORDS``.
     """
     found = await read_audit(store=store, prefix=prefix, newest=newest, limit=MAX_SEARCHED_RECORDS)
     return found.map(
@@ -65,7 +65,7 @@
 ) -> Result[tuple[AuditRecord, ...], StoreError]:
     """Read the most recent audit records, newest first.
 
-    :param store: The platform's key-value service.
+    :param store: The platform's key-value store.
     :param prefix: Prefix of all store keys of the installation.
     :param newest: Revision of the first record to read.
     :param limit: Maximum number of revisions to read.
--- a/src/tanagerscale/core/_clock.py
+++ b/src/tanagerscale/core/_clock.py
@@ -11,7 +11,7 @@
 """Reading of the monotonic clock, or a duration, in milliseconds."""
 
 WallMillis = NewType("WallMillis", int)
-"""Milliseconds since 1970. Hosts' values are comparable only within their clock skew."""
+"""Milliseconds since 1970. Values of hosts are comparable only to within their clock skew."""
 
 MS_PER_SECOND = 1000
 
--- a/src/tanagerscale/core/_errors.py
+++ b/src/tanagerscale/core/_errors.py
@@ -1,4 +1,4 @@
-"""Errors reported to callers; each message names the remedy."""
+"""Errors reported to callers; each detail states what the caller can do."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
     """Final response that reports a failure.
 
     :param kind: Kind of failure.
-    :param detail: One sentence for the caller that names the remedy.
+    :param detail: One sentence that states what the caller can do.
     :param execution: Whether the request ran on an upstream.
-    :param retry_after_ms: Delay before a retry, or ``None`` if a retry does not help.
+    :param retry_after_ms: Delay before a retry, in milliseconds; ``None`` if a retry does not help.
     """
 
     kind: ProblemKind
--- a/src/tanagerscale/core/_tasks.py
+++ b/src/tanagerscale/core/_tasks.py
@@ -1,4 +1,4 @@
-"""Logs the call stacks of asyncio tasks, to diagnose a process that does not make progress."""
+"""Logging of the call stacks of asyncio tasks, to diagnose a process that makes no progress."""
 
 from __future__ import annotations
 
--- a/src/tanagerscale/entry/_app.py
+++ b/src/tanagerscale/entry/_app.py
@@ -38,7 +38,7 @@
 BEARER_PREFIX = "Bearer "
 MAX_KEY_CHARS = 512
 CLIENT_CLOSED_REQUEST_STATUS = 499
-"""Status set after the caller has disconnected; it is never received."""
+"""Status of a response whose caller has disconnected; no caller receives it."""
 MAX_IDEMPOTENCY_KEY_CHARS = 256
 
 _log = get_logger(part="entry")
@@ -66,7 +66,7 @@
 class CallerApiContext(Struct, frozen=True, kw_only=True):
     """Dependencies of the HTTP interface.
 
-    :param keys: Authenticates callers.
+    :param keys: Authenticates callers by their keys.
     :param admission: Limits concurrent requests on this host.
     :param account_limits: Enforces the limits of client accounts.
     :param completions: Handles completion requests.
--- a/src/tanagerscale/entry/_completions.py
+++ b/src/tanagerscale/entry/_completions.py
@@ -87,7 +87,7 @@
     async def complete(
         self, *, request: web.Request, account: ClientAccountId, chat: bool
     ) -> web.StreamResponse:
-        """Answer ``POST /v1/completions`` and ``POST /v1/chat/completions``.
+        """Handle ``POST /v1/completions`` and ``POST /v1/chat/completions``.
 
         :param request: HTTP request from the caller.
         :param account: Client account that sent the request.
@@ -206,7 +206,7 @@
         )
 
     async def resume(self, *, request: web.Request, account: ClientAccountId) -> web.StreamResponse:
-        """Answer ``GET`` and ``POST /v1/completions/{request_id}/events``.
+        """Handle ``GET`` and ``POST /v1/completions/{request_id}/events``.
 
         If a ``POST`` contains the body of the original request, a generation that has been lost is
         generated again.
--- a/src/tanagerscale/entry/_problems.py
+++ b/src/tanagerscale/entry/_problems.py
@@ -74,7 +74,7 @@
 
 
 def problem_event(*, problem: Problem, request_id: str) -> bytes:
-    """Return the event that terminates an already started stream in place of an end marker.
+    """Return the event that ends a started stream in place of the end marker.
 
     :param problem: Problem to report.
     :param request_id: Id that identifies the request in logs.
--- a/src/tanagerscale/forwarding/_parts.py
+++ b/src/tanagerscale/forwarding/_parts.py
@@ -51,13 +51,13 @@
     :param upstream_client: Sends requests to upstreams.
     :param engines: Copies runs between engines.
     :param work: Tracks this host's requests on upstreams.
-    :param retry_permits: Limits retries.
+    :param retry_permits: Limits the retries of all hosts together.
     :param warmup: Returns which upstreams are warming.
     :param warmup_permits: Limits requests to warming upstreams.
-    :param metrics: Metrics of this host.
+    :param metrics: Exported metrics that requests update.
     :param failure_domain: Failure domain of this host.
-    :param clock: Source of time.
-    :param rng: Random number generator used for jitter, tie breaking and weighted targets.
+    :param clock: Clock used for deadlines and durations.
+    :param rng: Random number generator used for jitter, tie breaking and weighted selection.
     """
 
     tables: RouteTableSource
--- a/src/tanagerscale/ini/_errors.py
+++ b/src/tanagerscale/ini/_errors.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-MAX_FOUND_LENGTH = 120
+MAX_FOUND_CHARS = 120
 
 
 @final
@@ -17,7 +17,7 @@
     :param file: Path of the file.
     :param line: Line number, starting at 1; 0 if the error has no line.
     :param section: Title of the section; empty if the error is outside a section.
-    :param key: Key with the invalid value; empty if the error doesn't concern a key.
+    :param key: Key with the invalid value; empty if the error does not concern a key.
     :param found: The invalid value; empty if there is none or it may be a secret.
     :param allowed: Description of valid values.
     :param suggestion: Closest known name; empty if no name is similar.
@@ -48,4 +48,4 @@
 
 
 def _truncate(text: str) -> str:
-    return text if len(text) <= MAX_FOUND_LENGTH else f"{text[:MAX_FOUND_LENGTH]}…"
+    return text if len(text) <= MAX_FOUND_CHARS else f"{text[:MAX_FOUND_CHARS]}…"
--- a/src/tanagerscale/ini/_sections.py
+++ b/src/tanagerscale/ini/_sections.py
@@ -55,7 +55,7 @@
 
 
 class _LineIndex(Struct, kw_only=True):
-    """Line numbers of sections and keys, which configparser doesn't provide."""
+    """Line numbers of sections and keys, which configparser does not provide."""
 
     sections: dict[str, int] = field(default_factory=dict)
     keys: dict[str, dict[str, int]] = field(default_factory=dict)
--- a/src/tanagerscale/measures/_table.py
+++ b/src/tanagerscale/measures/_table.py
@@ -69,7 +69,7 @@
         self.shed = 0
         self.moves = 0
         self.engine_ms = 0.0
-        """Time in which engines were busy."""
+        """Total busy time of all engines."""
         self._requests = 0
         self._completed = 0
         self._stall_ms = 0.0
--- a/src/tanagerscale/measures/_timeline.py
+++ b/src/tanagerscale/measures/_timeline.py
@@ -46,10 +46,13 @@
         """Time to the first token, or ``None`` before it has arrived."""
         return None if self.first_token_at is None else self.first_token_at - self._arrived_at
 
-    def on_tokens(self, *, total: int, now: float) -> float | None:
-        """Record that the request's generation has produced ``total`` tokens.
+    def record_tokens(self, *, total: int, now: float) -> float | None:
+        """Record tokens and add the wait for them, in excess of the objective, to the stall time.
 
-        :returns: Time since the previous progress, or ``None`` if this is no progress or the first.
+        :param total: Number of tokens of the request's answer generated so far.
+        :param now: Time at which the last of them arrived.
+        :returns: Time since the previous progress; ``None`` if no token is new or these are the
+            first.
         """
         if total <= self.tokens:
             return None
@@ -63,10 +66,10 @@
         self.stall_ms += max(waited - self._token_gap_ms, 0.0)
         return waited
 
-    def add_token_batch(self, *, total: int, now: float, stall_ms: float) -> None:
+    def record_token_batch(self, *, total: int, now: float, stall_ms: float) -> None:
         """Record several tokens at once whose gaps were measured by the caller.
 
-        :param total: Total number of tokens generated.
+        :param total: Number of tokens of the request's answer generated so far.
         :param now: Time of the last token.
         :param stall_ms: Sum of the excess of the gaps over the objective.
         """
@@ -75,10 +78,12 @@
             self._last_progress_at = now
             self.stall_ms += stall_ms
 
-    def give_up(self, *, now: float) -> None:
+    def record_incomplete(self, *, now: float) -> None:
         """Record that the request ends without a complete answer.
 
-        The wait until now in excess of the objective counts as stall time.
+        The wait since the last progress, in excess of the objective, counts as stall time.
+
+        :param now: Time at which the request ends.
         """
         allowed_ms = self._first_token_ms if self.first_token_at is None else self._token_gap_ms
         self.stall_ms += max(now - self._last_progress_at - allowed_ms, 0.0)
--- a/src/tanagerscale/replay/_clairvoyant.py
+++ b/src/tanagerscale/replay/_clairvoyant.py
@@ -83,10 +83,10 @@
         """Add a request to the queue."""
         self._last_number += 1
         output_length = self._output_length(request.generation)
-        key = float(request.arrived)
+        sort_key = float(request.arrived)
         if not self._in_order:
-            key = output_length + PREFILL_TOKEN_COST * request.prompt_tokens
-        heapq.heappush(self._queue, (key, self._last_number, request))
+            sort_key = output_length + PREFILL_TOKEN_COST * request.prompt_tokens
+        heapq.heappush(self._queue, (sort_key, self._last_number, request))
         self._queued.add(request.generation)
 
     def withdraw(self, *, generation: GenerationId, now: Millis) -> None:
@@ -172,7 +172,10 @@
         return float(backlog + prefill_tokens + 30 * len(state.running))
 
     def _fits(self, state: _EngineState, request: PlacementRequest) -> bool:
-        """Return whether memory suffices until all running generations and the request complete."""
+        """Return whether memory suffices until all running generations and the request complete.
+
+        An idle engine accepts any request.
+        """
         if len(state.running) >= state.spec.max_batch:
             return False
         shared = 0 if state.count_prefix_users(request.prefix) else request.prefix_tokens
@@ -194,11 +197,11 @@
         )
         outputs.sort(reverse=True)
         limit = state.spec.memory_tokens * MAX_MEMORY_FRACTION
-        held = float(shared)
+        held_tokens = float(shared)
         # The generations that end later are all still running when a shorter one ends, so their
         # memory is summed from the longest remaining output to the shortest.
-        for alive, (remaining, now_held) in enumerate(outputs, start=1):
-            held += now_held
-            if held + alive * remaining > limit:
+        for still_running, (remaining, current_tokens) in enumerate(outputs, start=1):
+            held_tokens += current_tokens
+            if held_tokens + still_running * remaining > limit:
                 return len(state.running) == 0
         return True
--- a/src/tanagerscale/replay/_events.py
+++ b/src/tanagerscale/replay/_events.py
@@ -32,7 +32,7 @@
     def on_progress(self, sequence: Sequence, *, total: int, now: float) -> None:
         """Record the first new token after a start, a preemption or a move."""
         job: Job = sequence.owner
-        gap = job.timeline.on_tokens(total=total, now=now)
+        gap = job.timeline.record_tokens(total=total, now=now)
         if gap is not None:
             self._simulation.table.gaps.record(gap)
         self._send_progress(job, total)
@@ -40,7 +40,7 @@
     def on_pause(self, sequence: Sequence, *, total: int, now: float, stall_ms: float) -> None:
         """Record the tokens produced since the last progress event."""
         job: Job = sequence.owner
-        job.timeline.add_token_batch(total=total, now=now, stall_ms=stall_ms)
+        job.timeline.record_token_batch(total=total, now=now, stall_ms=stall_ms)
 
     def on_end(self, sequence: Sequence, *, now: float) -> None:
         """Finish a request whose answer is complete and notify the schedulers."""
--- a/src/tanagerscale/replay/_layouts.py
+++ b/src/tanagerscale/replay/_layouts.py
@@ -27,7 +27,7 @@
 from tanagerscale.replay._world import Simulation
 
 OWNER_TIMEOUT_MS = 300.0
-"""Time without an answer from the owner after which a host uses its own scheduler."""
+"""Time without a response from the owner after which a host uses its own scheduler."""
 
 CREDIT_INTERVAL_MS = 250.0
 
@@ -118,7 +118,7 @@
         return [self._owner, *self._fallbacks]
 
     def instance_for(self, *, host: int, now: float) -> SchedulerInstance:
-        """Return the owner's instance, or the host's fallback while it is disconnected."""
+        """Return the owner's instance, or the host's fallback while the host is disconnected."""
         return self._fallbacks[host] if host in self._disconnected_hosts else self._owner
 
     def on_answer_length(self, *, host: int, request: PlacementRequest, tokens: int) -> None:
@@ -225,7 +225,7 @@
         """Do nothing: hosts continue with their current credits."""
 
     def _distribute_credits(self) -> None:
-        """Distribute credits by held memory and demand; they arrive a round trip later."""
+        """Distribute credits by held memory and demand; hosts receive them a round trip later."""
         simulation = self._simulation
         demands = [scheduler.queued + 0.25 for scheduler in self._schedulers]
         total = sum(demands)
--- a/src/tanagerscale/replay/_report.py
+++ b/src/tanagerscale/replay/_report.py
@@ -19,9 +19,11 @@
 
 OUTCOMES_SUFFIX = ".outcomes.json"
 MIN_STALL_LEVEL_MS = 250.0
-"""Total stall of the requests of one second of arrivals, up to which they count as not stalled."""
+"""Lower bound of the stall time above which the requests that arrive within one second count as
+stalled; the mean per second before the fault applies if it is higher."""
 
 STALL_LEVEL_WINDOW_S = 30
+"""Time before the fault over which the stall time per second is averaged."""
 
 
 class ReplayReport(Struct, frozen=True, kw_only=True):
--- a/src/tanagerscale/replay/_sequence.py
+++ b/src/tanagerscale/replay/_sequence.py
@@ -93,7 +93,7 @@
         """Handle the removal of a generation from the batch.
 
         :param total: Number of tokens produced so far.
-        :param stall_ms: Stall of the tokens produced since the last progress event.
+        :param stall_ms: Stall time of the tokens produced since the last progress event.
         """
 
     def on_end(self, sequence: Sequence, *, now: float) -> None:
--- a/src/tanagerscale/replay/_settings.py
+++ b/src/tanagerscale/replay/_settings.py
@@ -65,7 +65,7 @@
     :param objective: Objective that the operators declare.
     :param tuning: Tuning of the forecast schedulers; ``None`` to derive it from the objective.
     :param case: Fault to inject.
-    :param fault_at_ms: Time of the fault.
+    :param fault_at_ms: Simulated time at which the fault begins, in milliseconds.
     :param host_delay_ms: One-way network delay between hosts.
     :param engine_delay_ms: One-way network delay between a host and an engine.
     :param report_period_ms: Interval between the load reports of an engine.
--- a/src/tanagerscale/replay/_world.py
+++ b/src/tanagerscale/replay/_world.py
@@ -119,7 +119,7 @@
     def generated_tokens(self, generation: GenerationId) -> int:
         """Return the number of tokens a generation has produced so far, without reporting delay.
 
-        Among schedulers, only the clairvoyant may use it.
+        Of the schedulers, only the clairvoyant scheduler may call it.
         """
         job = self._jobs_by_generation[generation]
         if job.sequence is None or job.engine is None or job.generation != generation:
@@ -208,7 +208,7 @@
     def send_to_instance(
         self, instance: SchedulerInstance, host: int | None, action: Callable[[], None]
     ) -> None:
-        """Deliver a message to a scheduler instance after the delay and after any freeze.
+        """Deliver a message to a scheduler instance after the network delay and after any freeze.
 
         :param host: Index of the sending host.
         :param action: Callback that handles the message.
@@ -346,7 +346,7 @@
         :param complete: Whether the whole answer was generated.
         """
         if not complete:
-            job.timeline.give_up(now=self.now)
+            job.timeline.record_incomplete(now=self.now)
         job.done = True
         job.complete = complete
         job.ended_at = self.now
--- a/src/tanagerscale/store/_etcd.py
+++ b/src/tanagerscale/store/_etcd.py
@@ -57,7 +57,7 @@
 enclosing one."""
 
 WATCH_IDLE_TIMEOUT_MS: Final = 15_000
-"""Time without messages after which a watch is reopened, in case its connection has stalled."""
+"""Time without messages after which a watch fails, in case its connection has stalled."""
 
 MAX_BYTE: Final = 0xFF
 
--- a/src/tanagerscale/store/_follow.py
+++ b/src/tanagerscale/store/_follow.py
@@ -22,8 +22,8 @@
 
 BASE_BACKOFF_MS: Final = 100
 MAX_BACKOFF_MS: Final = 800
-"""Backoff between attempts to reach a failing store. A configuration must be in force two seconds
-after the store has recovered, so the maximum backoff with jitter must be well below that."""
+"""Backoff between attempts to reach a failing store. A configuration must be in force within two
+seconds of the store's recovery, so the maximum backoff with jitter must be well below that."""
 
 BACKOFF_JITTER: Final = (0.5, 1.5)
 
--- a/src/tanagerscale/store/_gateway.py
+++ b/src/tanagerscale/store/_gateway.py
@@ -24,8 +24,8 @@
 T = TypeVar("T")
 
 CONNECT_TIMEOUT_SHARE: Final = 0.5
-"""Share of the remaining time of a call that connecting may take, so that a connect timeout can be
-told from a lost response."""
+"""Fraction of a call's remaining time that connecting may take, so that a connect timeout can be
+distinguished from a lost response."""
 
 HTTP_OK: Final = 200
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -137,7 +137,7 @@
             report.detail = str(error)
         report.took_ms = self._clock.now() - started_ms
         if report.state is not AnswerState.COMPLETE:
-            timeline.give_up(now=self._clock.now())
+            timeline.record_incomplete(now=self._clock.now())
         report.stall_ms = round(timeline.stall_ms)
         if timeline.time_to_first_token_ms is not None:
             report.first_token_ms = round(timeline.time_to_first_token_ms)
@@ -347,7 +347,7 @@
         submission.text = choice.text
         submission.finish_reason = choice.finish_reason or ""
         submission.done = True
-        timeline.on_tokens(total=_count_tokens(submission.text), now=self._clock.now())
+        timeline.record_tokens(total=_count_tokens(submission.text), now=self._clock.now())
 
     async def _read_stream(
         self,
@@ -377,7 +377,7 @@
         if not choice.text:
             return
         submission.text += choice.text
-        gap = timeline.on_tokens(total=_count_tokens(submission.text), now=self._clock.now())
+        gap = timeline.record_tokens(total=_count_tokens(submission.text), now=self._clock.now())
         if gap is not None:
             report.gaps_ms.append(round(gap))
         if not submission.expected.startswith(submission.text):
--- a/testing/test_replay.py
+++ b/testing/test_replay.py
@@ -161,13 +161,13 @@
 
 def test_stall_counts_only_time_beyond_objectives_when_tokens_are_late() -> None:
     timeline = RequestTimeline(arrived=0.0, first_token_ms=1_000.0, token_gap_ms=50.0)
-    assert timeline.on_tokens(total=1, now=1_200.0) is None
-    assert timeline.on_tokens(total=2, now=1_240.0) == 40.0
+    assert timeline.record_tokens(total=1, now=1_200.0) is None
+    assert timeline.record_tokens(total=2, now=1_240.0) == 40.0
     # A restarted generation produces the first tokens again, which is not progress.
-    assert timeline.on_tokens(total=1, now=1_300.0) is None
-    assert timeline.on_tokens(total=3, now=1_390.0) == 150.0
+    assert timeline.record_tokens(total=1, now=1_300.0) is None
+    assert timeline.record_tokens(total=3, now=1_390.0) == 150.0
     assert timeline.stall_ms == 300.0
-    timeline.give_up(now=1_500.0)
+    timeline.record_incomplete(now=1_500.0)
     assert timeline.stall_ms == 360.0
 
 
@@ -175,7 +175,7 @@
     table = MeasureTable()
     for wait, complete in ((500.0, True), (9_000.0, True), (500.0, False)):
         timeline = RequestTimeline(arrived=0.0, first_token_ms=1_000.0, token_gap_ms=50.0)
-        timeline.on_tokens(total=1, now=wait)
+        timeline.record_tokens(total=1, now=wait)
         table.add(timeline, short=True, complete=complete)
     summary = table.summary()
     assert (summary.requests, summary.completed, summary.good_answers) == (3, 2, 1)
