--- a/standins/demo.py
+++ b/standins/demo.py
@@ -144,7 +144,7 @@
             Guarantee(
                 'nothing reported as "not executed" was executed', not verdict.executed_but_denied
             ),
-            Guarantee("the planned stop interrupted no answer", stopped and uninterrupted),
+            Guarantee("the graceful shutdown interrupted no answer", stopped and uninterrupted),
         ]
         print_caller_results(console=self._console, answers=answers, bookings=bookings)
         print_measures(
--- a/standins/disturbances.py
+++ b/standins/disturbances.py
@@ -128,7 +128,7 @@
     async def _stop_host(self) -> None:
         name = self._reserve(self._cluster.hosts, MIN_FREE_HOSTS)
         if name is not None:
-            self._record(f"planned stop of {name}")
+            self._record(f"graceful shutdown of {name}")
             await self._cluster.set_listed_state(name, ListedState.LEAVING)
             code = await self._cluster.hosts[name].stop()
             if code:
@@ -220,7 +220,7 @@
             self._record(f"freeze {name}")
             group[name].freeze()
             await self._wait_outage()
-            group[name].thaw()
+            group[name].resume()
             self._affected.discard(name)
 
     def _reserve(self, group: dict[str, ManagedProcess], min_free: int) -> str | None:
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -67,7 +67,7 @@
         ``None`` builds a set from the other fields.
     :param not_idempotent: Calls of every service that must not be repeated.
     :param list_lag_ms: Delay of changes in the host list, in milliseconds.
-    :param stop_grace_ms: Longest time that a planned stop waits for running answers, in
+    :param stop_grace_ms: Longest time that a graceful shutdown waits for running answers, in
         milliseconds.
     """
 
--- a/standins/platform_world.py
+++ b/standins/platform_world.py
@@ -239,7 +239,7 @@
         return host
 
     async def kill_host(self, name: str) -> None:
-        """Stop a host without a planned stop."""
+        """Stop a host without a graceful shutdown."""
         await self.hosts.pop(name).abort()
         await self.store_links.pop(name).__aexit__()
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -95,7 +95,7 @@
         """Suspend the process with SIGSTOP, as if it were starved of CPU time."""
         self._send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume the process with SIGCONT."""
         self._send_signal(signal.SIGCONT)
 
@@ -160,7 +160,7 @@
         """Kill all processes that still run."""
         for process in self._processes:
             if process.running:
-                process.thaw()
+                process.resume()
                 await process.kill()
 
     async def start(self, *, name: str, module: str, arguments: list[str]) -> ManagedProcess:
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -46,7 +46,7 @@
 )
 MAX_CRASHES = 2
 """Most engines that one request may crash, whichever hosts it is sent to."""
-POISON_INTERVAL_MS = 3_000
+CRASHING_INTERVAL_MS = 3_000
 MAX_EXAMPLES = 10
 REPORTS_FILE = "reports.jsonl"
 TRACEBACK = "Traceback (most recent call last)"
@@ -79,11 +79,11 @@
             seed=seed,
         )
 
-    async def run(self, *, seconds: float, poison: bool) -> bool:
+    async def run(self, *, seconds: float, crashing: bool) -> bool:
         """Run the soak test.
 
         :param seconds: Time during which failures are injected, in seconds.
-        :param poison: Whether one caller repeatedly sends a request that crashes engines.
+        :param crashing: Whether one caller repeatedly sends a request that crashes engines.
         :returns: Whether every guarantee held.
         """
         await self._cluster.start_hosts()
@@ -97,7 +97,7 @@
             self._restarter.run_forever(),
         ):
             await self._balancer.wait_until_ready(PLAN.hosts)
-            self._start_callers(poison=poison)
+            self._start_callers(crashing=crashing)
             async with _background(
                 self._fault_injector.run_forever(), self._operators.run_forever()
             ):
@@ -108,7 +108,7 @@
             converged = await self._monitor.wait_for_convergence()
         return self._report(converged=converged)
 
-    def _start_callers(self, *, poison: bool) -> None:
+    def _start_callers(self, *, crashing: bool) -> None:
         keys = [account_key(account) for account in ACCOUNTS]
         plan = CallerKind(name="plan", key=keys[0], tokens=(100, 400), stream=False)
         call_sheet = CallerKind(name="sheet", key=keys[1], tokens=(100, 400))
@@ -118,9 +118,9 @@
         self._workload.start_answer_callers(call_sheet, 4)
         self._workload.start_answer_callers(check, 6)
         self._workload.start_booking_callers(booking, 6)
-        if poison:
+        if crashing:
             kind = CallerKind(name="poison", key=keys[3])
-            self._workload.start_poison_caller(kind, interval_ms=POISON_INTERVAL_MS)
+            self._workload.start_crashing_caller(kind, interval_ms=CRASHING_INTERVAL_MS)
 
     def _report(self, *, converged: bool) -> bool:
         self._workload.write_reports(self._cluster.directory / REPORTS_FILE)
@@ -142,7 +142,7 @@
 
     def _print_counts(self, verdict: Verdict) -> None:
         refused = [
-            item for item in self._workload.poison_answers if item.state is AnswerState.REFUSED
+            item for item in self._workload.crashing_answers if item.state is AnswerState.REFUSED
         ]
         print(f"failures injected: {len(self._fault_injector.injected)}")
         print(f"answers complete: {verdict.complete}, answers resumed by cursor: {verdict.resumed}")
@@ -150,7 +150,7 @@
         print(f"refused: {verdict.not_executed}")
         print(f"exit codes of operators: {sorted(self._operators.exit_codes)}")
         print(f"engines crashed by a request: {self._restarter.crashes}", end=", ")
-        print(f"times it was sent: {len(self._workload.poison_answers)}, refused: {len(refused)}")
+        print(f"times it was sent: {len(self._workload.crashing_answers)}, refused: {len(refused)}")
         print(f"bookings executed repeatedly: {verdict.duplicated}, wrong answers: {verdict.wrong}")
         print(f"lost: {verdict.lost} answers, {verdict.lost_bookings} bookings", end="; ")
         print(f"of the lost answers finally refused, for example by quarantine: {verdict.refused}")
@@ -199,14 +199,14 @@
             raise error
 
 
-async def _run(*, seconds: float, seed: int, poison: bool, directory: Path) -> bool:
+async def _run(*, seconds: float, seed: int, crashing: bool, directory: Path) -> bool:
     connector = aiohttp.TCPConnector(limit=0)
     async with (
         Cluster(plan=PLAN, directory=directory) as cluster,
         aiohttp.ClientSession(connector=connector) as session,
     ):
         soak = Soak(cluster=cluster, session=session, seed=seed)
-        return await soak.run(seconds=seconds, poison=poison)
+        return await soak.run(seconds=seconds, crashing=crashing)
 
 
 def main(seconds: float = 120.0, seed: int = 1, poison: bool = True, keep: str = "") -> None:
@@ -221,7 +221,7 @@
     directory = Path(keep or mkdtemp(prefix="tanagerscale-soak-"))
     directory.mkdir(parents=True, exist_ok=True)
     print(f"logs and journals: {directory}; seed {seed}")
-    passed = asyncio.run(_run(seconds=seconds, seed=seed, poison=poison, directory=directory))
+    passed = asyncio.run(_run(seconds=seconds, seed=seed, crashing=poison, directory=directory))
     sys.exit(0 if passed else 1)
 
 
--- a/standins/tcp_relay.py
+++ b/standins/tcp_relay.py
@@ -48,7 +48,7 @@
         """Stop listening and abort all connections."""
         assert self._server is not None
         self._server.close()
-        self.thaw()
+        self.resume()
         self.cut()
         await asyncio.gather(*self._tasks)
 
@@ -56,7 +56,7 @@
         """Stop forwarding and keep all connections open."""
         self._unfrozen.clear()
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Resume forwarding, beginning with the bytes held back."""
         self._unfrozen.set()
 
--- a/standins/workload.py
+++ b/standins/workload.py
@@ -76,7 +76,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.answers: list[AnswerReport] = []
         self.bookings: list[BookingReport] = []
-        self.poison_answers: list[AnswerReport] = []
+        self.crashing_answers: list[AnswerReport] = []
 
     def start_answer_callers(self, kind: CallerKind, count: int) -> None:
         """Start callers that request answers.
@@ -105,13 +105,13 @@
         """
         self._spawn(self._request_answer(self._caller(kind, name), kind, name, tokens))
 
-    def start_poison_caller(self, kind: CallerKind, *, interval_ms: int) -> None:
+    def start_crashing_caller(self, kind: CallerKind, *, interval_ms: int) -> None:
         """Start a caller that repeatedly sends one request that crashes engines.
 
         :param kind: Kind of the caller.
         :param interval_ms: Pause between two requests, also the timeout of each, in milliseconds.
         """
-        self._spawn(self._run_poison_caller(kind, interval_ms))
+        self._spawn(self._run_crashing_caller(kind, interval_ms))
 
     async def finish(self) -> None:
         """Start no more requests, and wait until the running ones end."""
@@ -167,7 +167,7 @@
         )
         self.answers.append(await caller.complete(request))
 
-    async def _run_poison_caller(self, kind: CallerKind, interval_ms: int) -> None:
+    async def _run_crashing_caller(self, kind: CallerKind, interval_ms: int) -> None:
         request = AnswerRequest(
             name=kind.name,
             model=self._model.name,
@@ -179,7 +179,7 @@
         )
         caller = self._caller(kind, kind.name, timeout_ms=interval_ms)
         while not self._stopping.is_set():
-            self.poison_answers.append(await caller.complete(request))
+            self.crashing_answers.append(await caller.complete(request))
             await self._pause(interval_ms)
 
     async def _run_booking_caller(self, kind: CallerKind, name: str) -> None:
--- a/testing/_gateway_fakes.py
+++ b/testing/_gateway_fakes.py
@@ -517,7 +517,7 @@
         host=HOST, tables=tables, upstreams=upstreams, share=lambda: 1.0, clock=clock
     )
     warmup_permits = FakeWarmupPermits(upstreams=upstreams, warmup=warmup)
-    parts = ForwardingContext(
+    context = ForwardingContext(
         tables=tables,
         upstreams=upstreams,
         gate=upstreams,
@@ -541,7 +541,7 @@
         health=health,
         warmup=warmup,
         clock=clock,
-        rng=parts.rng,
+        rng=context.rng,
     )
     single_host = make_single_host(context=decisions, engines=engines, work=work)
     upstreams.on_leaving = single_host.on_leaving
@@ -551,7 +551,7 @@
         upstreams=upstreams,
         tables=tables,
         work=work,
-        context=parts,
+        context=context,
         warmup_permits=warmup_permits,
         single_host=single_host,
     )
--- a/testing/_many_hosts.py
+++ b/testing/_many_hosts.py
@@ -120,9 +120,9 @@
             is_long=True,
         )
 
-    def answer(self, name: str, *, tokens: int = 1000, made: int = 4) -> None:
+    def answer(self, name: str, *, tokens: int = 1000, answer_tokens: int = 4) -> None:
         """Record the first tokens of a generation."""
-        self.work.progress(request=RequestId(name), tokens=tokens, answer_tokens=made)
+        self.work.progress(request=RequestId(name), tokens=tokens, answer_tokens=answer_tokens)
 
     def end(self, name: str) -> None:
         """End a generation."""
--- a/testing/_move_harness.py
+++ b/testing/_move_harness.py
@@ -34,7 +34,7 @@
     entry: UpstreamEntry | None
     request: RequestId
     tokens: int = 4000
-    made: int = 1000
+    answer_tokens: int = 1000
     running_ms: int = 2000
     begun: bool = True
     ended: bool = False
@@ -80,17 +80,23 @@
         return entry
 
     def add(
-        self, name: str, *, at: str, tokens: int = 4000, made: int = 1000, begun: bool = True
+        self,
+        name: str,
+        *,
+        at: str,
+        tokens: int = 4000,
+        answer_tokens: int = 1000,
+        begun: bool = True,
     ) -> FakeRun:
         """Add a stream on an engine."""
         route = make_route(kind=RouteKind.STREAMING, timeout_ms=39_000)
-        routed = route_request(make_request(name=name, prompt=tokens - made), route)
+        routed = route_request(make_request(name=name, prompt=tokens - answer_tokens), route)
         run = FakeRun(
             routed=routed,
             entry=self.entry(at),
             request=RequestId(name),
             tokens=tokens,
-            made=made,
+            answer_tokens=answer_tokens,
             begun=begun,
         )
         run.on_move = self._add_to_workload
@@ -106,7 +112,7 @@
             upstream=run.entry.upstream,
             prompt_tokens=run.tokens,
             tokens=run.tokens,
-            answer_tokens=run.made,
+            answer_tokens=run.answer_tokens,
             is_long=True,
         )
         if run.begun:
@@ -116,7 +122,9 @@
         """Record the first event of a stream."""
         run.begun = True
         run.begun_event.set()
-        self.fakes.work.progress(request=run.request, tokens=run.tokens, answer_tokens=run.made)
+        self.fakes.work.progress(
+            request=run.request, tokens=run.tokens, answer_tokens=run.answer_tokens
+        )
 
     def add_copy(self, run: FakeRun, *, at: str, taken: Millis = LONG_AGO) -> None:
         """Put a copy of a stream on an engine."""
--- a/testing/test_coordination_failures.py
+++ b/testing/test_coordination_failures.py
@@ -158,7 +158,7 @@
     async def scenario(fleet: Fleet) -> None:
         host = fleet.members[0]
         host.begin("r", at="e0")
-        host.answer("r", made=900)
+        host.answer("r", answer_tokens=900)
         await asyncio.sleep(0.1)
         fleet.freeze(fleet.coordinators[0])
         fleet.set_engine("e0", state="leaving")
--- a/testing/test_declarations_processes.py
+++ b/testing/test_declarations_processes.py
@@ -67,11 +67,11 @@
         # The store is unavailable, so the new host can receive the head only from its peers.
         await cluster.start_host("host-4")
         assert await _wait_until_in_force(cluster=cluster, session=session, revision=2) == digests
-        cluster.store.thaw()
+        cluster.store.resume()
         cluster.hosts["host-1"].freeze()
         third = _replace_stall_weight(cluster.declarations, weight=7)
         assert (await cluster.apply(declarations=third)).returncode == 0
-        cluster.hosts["host-1"].thaw()
+        cluster.hosts["host-1"].resume()
         assert len(await _wait_until_in_force(cluster=cluster, session=session, revision=3)) == 1
 
 
--- a/testing/test_delivery_processes.py
+++ b/testing/test_delivery_processes.py
@@ -86,7 +86,7 @@
             lambda: len(cluster.executions(["engine-2"])) >= before + lost_runs
             or any(answer.error for answer in group.answers)
         )
-        relay.thaw()
+        relay.resume()
         await group.wait_until_ended()
         group.assert_complete()
 
@@ -106,7 +106,7 @@
     for group in groups:
         await group.wait_until_ended()
         group.assert_complete()
-    cluster.engines["engine-1"].thaw()
+    cluster.engines["engine-1"].resume()
 
 
 async def test_responses_are_complete_when_a_host_crashes_during_the_shutdown_of_another(
--- a/testing/test_forwarding_evacuation.py
+++ b/testing/test_forwarding_evacuation.py
@@ -48,8 +48,8 @@
 def test_runs_of_a_leaving_engine_are_copied_one_at_a_time_longest_first() -> None:
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
-        for name, made in (("young", 10), ("old", 2000), ("middle", 500)):
-            harness.add(name, at="x", made=made)
+        for name, answer_tokens in (("young", 10), ("old", 2000), ("middle", 500)):
+            harness.add(name, at="x", answer_tokens=answer_tokens)
         harness.leave("x")
         await asyncio.sleep(1.4)
         copied = [(request, stop) for request, _, _, stop in harness.fakes.engines.copies]
--- a/testing/test_forwarding_protection.py
+++ b/testing/test_forwarding_protection.py
@@ -109,7 +109,7 @@
     async def scenario() -> None:
         harness = MoveHarness("x", "y")
         harness.fakes.engines.not_leaving.add("y")
-        stuck = harness.add("stuck", at="x", made=3000)
+        stuck = harness.add("stuck", at="x", answer_tokens=3000)
         harness.add_copy(stuck, at="y")
         harness.fakes.engines.refused.add("stuck")
         await asyncio.sleep(MAX_COPY_AGE_MS / 1000)
--- a/testing/test_handover.py
+++ b/testing/test_handover.py
@@ -1,4 +1,4 @@
-"""Handover of running streams by cursor when a planned stop exceeds its grace period."""
+"""Handover of running streams by cursor when a graceful shutdown exceeds its grace period."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 MODELS = {"as-it-comes": Delivery.STREAM, "at-the-end": Delivery.WHOLE}
 
 
-async def test_streams_resume_at_another_host_when_a_planned_stop_exceeds_its_grace_period(
+async def test_streams_resume_at_another_host_when_a_graceful_shutdown_exceeds_its_grace_period(
     start_ready_cluster: StartReadyCluster, session: aiohttp.ClientSession
 ) -> None:
     models = tuple(
--- a/testing/test_limits_processes.py
+++ b/testing/test_limits_processes.py
@@ -114,7 +114,7 @@
         # The two other hosts may each admit as many requests while isolated from this host.
         assert 0 < isolated.running <= SHARE
     for host in HOSTS:
-        cluster.hosts[host].thaw()
+        cluster.hosts[host].resume()
 
 
 async def _isolate_first_host(cluster: Cluster, session: aiohttp.ClientSession) -> None:
--- a/testing/test_platform_end_to_end.py
+++ b/testing/test_platform_end_to_end.py
@@ -68,13 +68,13 @@
 
 def _assert_no_request_ran_twice(platform: PlatformCluster) -> None:
     runs = Counter(
-        arrival.request for arrival in platform.ledger.received_requests if arrival.executed
+        received.request for received in platform.ledger.received_requests if received.executed
     )
     repeated = {request for request, times in runs.items() if times > 1}
     moved = {
-        arrival.request
-        for arrival in platform.ledger.received_requests
-        if "Kv-From" in arrival.headers
+        received.request
+        for received in platform.ledger.received_requests
+        if "Kv-From" in received.headers
     }
     assert repeated <= moved
     assert all(times == 1 for times in platform.ledger.generations.values())
@@ -85,11 +85,11 @@
     answer = await platform.call("h1", "/book/x?y=1")
     assert answer.status == 200
     assert answer.headers["Tanagerscale-Server-Stamp"] in ("p1", "p2")
-    (arrival,) = platform.ledger.received_requests
-    assert (arrival.method, arrival.target, arrival.body) == ("POST", "/book/x?y=1", b"content")
-    assert arrival.headers["Tanagerscale-Tenant"] == "one"
-    assert "Authorization" not in arrival.headers
-    assert arrival.headers["Host"] == HOST_NAME
+    (received,) = platform.ledger.received_requests
+    assert (received.method, received.target, received.body) == ("POST", "/book/x?y=1", b"content")
+    assert received.headers["Tanagerscale-Tenant"] == "one"
+    assert "Authorization" not in received.headers
+    assert received.headers["Host"] == HOST_NAME
 
 
 @pytest.mark.asyncio
@@ -127,10 +127,10 @@
         "/book/x",
         headers={"Tanagerscale-Tenant": "other", "Kv-From": "x/y", "Tanagerscale-Hold": "1"},
     )
-    (arrival,) = platform.ledger.received_requests
-    assert arrival.headers["Tanagerscale-Tenant"] == "one"
-    assert "Kv-From" not in arrival.headers
-    assert "Tanagerscale-Hold" not in arrival.headers
+    (received,) = platform.ledger.received_requests
+    assert received.headers["Tanagerscale-Tenant"] == "one"
+    assert "Kv-From" not in received.headers
+    assert "Tanagerscale-Hold" not in received.headers
 
 
 @pytest.mark.asyncio
@@ -155,8 +155,8 @@
     assert (
         len(
             {
-                arrival.headers["Tanagerscale-Expect-Instance"]
-                for arrival in platform.ledger.received_requests
+                received.headers["Tanagerscale-Expect-Instance"]
+                for received in platform.ledger.received_requests
             }
         )
         == 2
@@ -172,7 +172,7 @@
     answer = await platform.call("h1", "/book/x")
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
-    assert not any(arrival.executed for arrival in platform.ledger.received_requests)
+    assert not any(received.executed for received in platform.ledger.received_requests)
 
 
 @pytest.mark.asyncio
@@ -190,7 +190,7 @@
         assert answer.is_complete
         assert _event_numbers(answer) == list(range(1, 21))
         assert len(_generation_ids(answer)) == 1
-    assert any("Kv-From" in arrival.headers for arrival in platform.ledger.received_requests)
+    assert any("Kv-From" in received.headers for received in platform.ledger.received_requests)
     assert platform.ledger.overlaps == []
     _assert_no_request_ran_twice(platform)
 
@@ -236,7 +236,7 @@
     for _ in range(6):
         answer = await platform.call("h1", "/book/x")
         assert answer.headers["Tanagerscale-Server-Stamp"] == "p2"
-    ran = [arrival for arrival in platform.ledger.received_requests if arrival.executed]
+    ran = [received for received in platform.ledger.received_requests if received.executed]
     assert len(ran) == 6
 
 
--- a/testing/test_platform_restarts.py
+++ b/testing/test_platform_restarts.py
@@ -93,8 +93,10 @@
         engine = await _restart(platform, "e1", MODEL_SERVICE, born)
         assert (await call).status != 200
     await platform.call("h1", "/draft/x", tokens=TOKENS)
-    arrivals = [arrival for arrival in platform.ledger.received_requests if arrival.executed]
-    assert len(arrivals) == MAX_CRASHES
+    executed_requests = [
+        received for received in platform.ledger.received_requests if received.executed
+    ]
+    assert len(executed_requests) == MAX_CRASHES
 
 
 @pytest.mark.asyncio
--- a/testing/test_platform_store.py
+++ b/testing/test_platform_store.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.asyncio
 @pytest.mark.parametrize(
-    ("mood", "kind"),
+    ("behavior", "kind"),
     [
         (StoreBehavior.BUSY, StoreErrorKind.REFUSED),
         (StoreBehavior.RESET, StoreErrorKind.UNCERTAIN),
@@ -119,13 +119,13 @@
     ],
 )
 async def test_error_kind_shows_whether_a_write_may_have_been_applied(
-    harness: StoreHarness, mood: StoreBehavior, kind: StoreErrorKind
+    harness: StoreHarness, behavior: StoreBehavior, kind: StoreErrorKind
 ) -> None:
-    harness.emulator.behavior = mood
+    harness.emulator.behavior = behavior
     result = await harness.store.commit(puts=[_put("k", b"1")])
     assert isinstance(result, Failure)
     assert result.failure().kind is kind
-    assert (harness.emulator.keys() == ["k"]) == (mood is StoreBehavior.RESET_AFTER_EXECUTION)
+    assert (harness.emulator.keys() == ["k"]) == (behavior is StoreBehavior.RESET_AFTER_EXECUTION)
 
 
 @dataclass(slots=True)
--- a/testing/test_process_failures.py
+++ b/testing/test_process_failures.py
@@ -91,7 +91,7 @@
         await cluster.post(engine, "/admin/oom", OutOfMemoryRequest(fail=True))
     await _check_answers(started)
     if failure == "freeze":
-        engine.thaw()
+        engine.resume()
 
 
 async def test_caller_resumes_when_its_host_and_its_engine_are_killed_together(
@@ -303,7 +303,7 @@
     calls += [ask_at(owner), ask_at(second_host)]
     cluster.hosts[first_host].freeze()
     await wait_until(lambda: f"Engine lost. engine={last_engine}" in cluster.hosts[owner].errors())
-    cluster.hosts[first_host].thaw()
+    cluster.hosts[first_host].resume()
     for answer in await asyncio.gather(*calls):
         problem = msgspec.json.decode(answer.error, type=ProblemDetails)
         assert problem.type.endswith("quarantined")
--- a/testing/test_routing_processes.py
+++ b/testing/test_routing_processes.py
@@ -33,7 +33,7 @@
         others = [name for name in cluster.hosts if name != frozen] * REQUESTS_PER_HOST
         await asyncio.gather(*(ask_at(name, asked + at) for at, name in enumerate(others)))
         asked += len(others)
-        cluster.hosts[frozen].thaw()
+        cluster.hosts[frozen].resume()
         await asyncio.gather(*(ask_at(name, asked + at) for at, name in enumerate(cluster.hosts)))
         asked += len(cluster.hosts)
     reports = [
--- a/testing/test_standins.py
+++ b/testing/test_standins.py
@@ -104,7 +104,7 @@
         writer.write(b"two\n")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readline(), READ_TIMEOUT_S)
-        relay.thaw()
+        relay.resume()
         assert await reader.readline() == b"two\n"
         relay.cut()
         assert await reader.read() == b""
